--- a/src/coordination/claims/claim-table.ts
+++ b/src/coordination/claims/claim-table.ts
@@ -8,21 +8,21 @@
 /** Bounds on what is kept. */
 export interface ClaimBounds {
   /** How long a finished claim and its answer are kept, ms. */
-  readonly keepMs: number
+  readonly retentionMs: number
   /** Bytes of stored answers; beyond it the oldest lose their bodies. */
-  readonly answerBytes: number
+  readonly maxTotalAnswerBytes: number
   /** Bytes of one answer; a larger one is not kept. */
-  readonly oneAnswerBytes: number
+  readonly maxAnswerBytes: number
 }
 
 interface ClaimRecord {
   readonly digest: string
   state: ClaimState
-  touchedAt: number
+  changedAt: number
 }
 
 interface Tombstone {
-  readonly at: number
+  readonly withdrawnAt: number
 }
 
 /** The table as it stands in a snapshot. */
@@ -31,24 +31,24 @@
   readonly withdrawn: readonly (readonly [string, number])[]
 }
 
-const noClaims: ClaimTableState = { claims: [], withdrawn: [] }
+const emptyClaimTable: ClaimTableState = { claims: [], withdrawn: [] }
 
 export class ClaimTable {
   #bounds: ClaimBounds
   #claims = new Map<string, ClaimRecord>()
-  #withdrawn = new Map<AttemptId, Tombstone>()
+  #tombstones = new Map<AttemptId, Tombstone>()
   /** Names of claims with a stored answer, oldest first. */
-  #answered = new Set<string>()
-  #bytes = 0
+  #namesWithAnswer = new Set<string>()
+  #answerBytes = 0
 
-  constructor (bounds: ClaimBounds, state: ClaimTableState = noClaims) {
+  constructor (bounds: ClaimBounds, state: ClaimTableState = emptyClaimTable) {
     this.#bounds = bounds
-    for (const [name, digest, claim, touchedAt] of state.claims) this.#put(name, { digest, state: claim, touchedAt })
-    for (const [attempt, at] of state.withdrawn) this.#withdrawn.set(attempt, { at })
+    for (const [name, digest, claim, changedAt] of state.claims) this.#put(name, { digest, state: claim, changedAt: changedAt })
+    for (const [attempt, withdrawnAt] of state.withdrawn) this.#tombstones.set(attempt, { withdrawnAt: withdrawnAt })
   }
 
   get size (): number { return this.#claims.size }
-  get answerBytes (): number { return this.#bytes }
+  get answerBytes (): number { return this.#answerBytes }
 
   /** Carries out one command at agreed time `now`. */
   apply (command: ClaimCommand, now: number): ClaimResult {
@@ -63,32 +63,32 @@
   /** The table for a snapshot. */
   save (): ClaimTableState {
     return {
-      claims: [...this.#claims].map(([name, one]) => [name, one.digest, one.state, one.touchedAt]),
-      withdrawn: [...this.#withdrawn].map(([attempt, one]) => [attempt, one.at])
+      claims: [...this.#claims].map(([name, record]) => [name, record.digest, record.state, record.changedAt]),
+      withdrawn: [...this.#tombstones].map(([attempt, tombstone]) => [attempt, tombstone.withdrawnAt])
     }
   }
 
   #claim (key: ClaimKey, digest: string, attempt: AttemptId, ttlMs: number, now: number): ClaimResult {
-    if (this.#withdrawn.has(attempt)) return { type: 'withdrawn' }
+    if (this.#tombstones.has(attempt)) return { type: 'withdrawn' }
     const name = formatKey(key)
-    const known = this.#claims.get(name)
-    if (known === undefined) {
-      this.#put(name, { digest, state: { type: 'claimed', attempt, until: now + ttlMs }, touchedAt: now })
+    const existing = this.#claims.get(name)
+    if (existing === undefined) {
+      this.#put(name, { digest, state: { type: 'claimed', attempt, until: now + ttlMs }, changedAt: now })
       return { type: 'granted' }
     }
-    if (known.digest !== digest) return { type: 'other-body' }
-    return this.#tell(name, known, attempt, now)
+    if (existing.digest !== digest) return { type: 'other-body' }
+    return this.#claimExisting(name, existing, attempt, now)
   }
 
-  #tell (name: string, known: ClaimRecord, attempt: AttemptId, now: number): ClaimResult {
-    const { state } = known
+  #claimExisting (name: string, existing: ClaimRecord, attempt: AttemptId, now: number): ClaimResult {
+    const { state } = existing
     switch (state.type) {
       case 'answered': return state
       case 'answer-dropped': return state
       case 'unknown': return state
       case 'claimed':
         if (now >= state.until) {
-          this.#put(name, { digest: known.digest, state: { type: 'unknown' }, touchedAt: now })
+          this.#put(name, { digest: existing.digest, state: { type: 'unknown' }, changedAt: now })
           return { type: 'unknown' }
         }
         // The same attempt asks again after losing the answer.
@@ -98,65 +98,65 @@
   }
 
   #withdraw (key: ClaimKey, attempt: AttemptId, now: number): ClaimResult {
-    this.#withdrawn.set(attempt, { at: now })
+    this.#tombstones.set(attempt, { withdrawnAt: now })
     const name = formatKey(key)
-    const known = this.#claims.get(name)
-    if (known?.state.type === 'claimed' && known.state.attempt === attempt) this.#remove(name)
+    const existing = this.#claims.get(name)
+    if (existing?.state.type === 'claimed' && existing.state.attempt === attempt) this.#remove(name)
     return { type: 'withdrawn' }
   }
 
   #settle (key: ClaimKey, attempt: AttemptId, answer: StoredAnswer | null, now: number): ClaimResult {
     const name = formatKey(key)
-    const known = this.#claims.get(name)
-    if (known === undefined || known.state.type !== 'claimed' || known.state.attempt !== attempt) return { type: 'unknown' }
-    this.#put(name, { digest: known.digest, state: this.#keepAnswer(answer), touchedAt: now })
-    this.#dropOldAnswers()
+    const existing = this.#claims.get(name)
+    if (existing === undefined || existing.state.type !== 'claimed' || existing.state.attempt !== attempt) return { type: 'unknown' }
+    this.#put(name, { digest: existing.digest, state: this.#composeSettledState(answer), changedAt: now })
+    this.#evictOldAnswers()
     return { type: 'settled' }
   }
 
-  #keepAnswer (answer: StoredAnswer | null): ClaimState {
+  #composeSettledState (answer: StoredAnswer | null): ClaimState {
     if (answer === null) return { type: 'unknown' }
-    if (answer.body.length > this.#bounds.oneAnswerBytes) return { type: 'answer-dropped' }
+    if (answer.body.length > this.#bounds.maxAnswerBytes) return { type: 'answer-dropped' }
     return { type: 'answered', answer }
   }
 
   // The map's order is the order of the last change, so both loops stop early.
   #expire (now: number): void {
-    for (const [name, one] of this.#claims) {
-      if (now - one.touchedAt <= this.#bounds.keepMs) break
-      if (one.state.type === 'claimed' && now < one.state.until) break
+    for (const [name, record] of this.#claims) {
+      if (now - record.changedAt <= this.#bounds.retentionMs) break
+      if (record.state.type === 'claimed' && now < record.state.until) break
       this.#remove(name)
     }
-    for (const [attempt, one] of this.#withdrawn) {
-      if (now - one.at <= this.#bounds.keepMs) break
-      this.#withdrawn.delete(attempt)
+    for (const [attempt, tombstone] of this.#tombstones) {
+      if (now - tombstone.withdrawnAt <= this.#bounds.retentionMs) break
+      this.#tombstones.delete(attempt)
     }
   }
 
-  #dropOldAnswers (): void {
-    for (const name of this.#answered) {
-      if (this.#bytes <= this.#bounds.answerBytes) return
-      const known = this.#claims.get(name)
-      if (known === undefined) continue
-      this.#bytes -= measureAnswer(known.state)
-      known.state = { type: 'answer-dropped' }
-      this.#answered.delete(name)
+  #evictOldAnswers (): void {
+    for (const name of this.#namesWithAnswer) {
+      if (this.#answerBytes <= this.#bounds.maxTotalAnswerBytes) return
+      const record = this.#claims.get(name)
+      if (record === undefined) continue
+      this.#answerBytes -= countAnswerBytes(record.state)
+      record.state = { type: 'answer-dropped' }
+      this.#namesWithAnswer.delete(name)
     }
   }
 
   #put (name: string, record: ClaimRecord): void {
     this.#remove(name)
     this.#claims.set(name, record)
-    this.#bytes += measureAnswer(record.state)
-    if (record.state.type === 'answered') this.#answered.add(name)
+    this.#answerBytes += countAnswerBytes(record.state)
+    if (record.state.type === 'answered') this.#namesWithAnswer.add(name)
   }
 
   #remove (name: string): void {
-    const known = this.#claims.get(name)
-    if (known === undefined) return
-    this.#bytes -= measureAnswer(known.state)
+    const record = this.#claims.get(name)
+    if (record === undefined) return
+    this.#answerBytes -= countAnswerBytes(record.state)
     this.#claims.delete(name)
-    this.#answered.delete(name)
+    this.#namesWithAnswer.delete(name)
   }
 }
 
@@ -164,6 +164,6 @@
   return JSON.stringify([key.workspace, key.service, key.key])
 }
 
-function measureAnswer (state: ClaimState): number {
+function countAnswerBytes (state: ClaimState): number {
   return state.type === 'answered' ? state.answer.body.length : 0
 }
--- a/src/coordination/keeper-log.ts
+++ b/src/coordination/keeper-log.ts
@@ -21,7 +21,7 @@
 }
 
 /** Where a log lies and whose it is. */
-export interface KeeperLogPlace {
+export interface KeeperLogOptions {
   readonly folder: string
   /** The keeper's name, the first part of its replica's id. */
   readonly name: string
@@ -34,7 +34,7 @@
 export class KeeperLog {
   #store: LogStore
   #host: KeeperLogHost
-  #state = new KeeperState(defaultBounds, null)
+  #stateMachine = new KeeperState(defaultBounds, null)
   #replica: Replica | null = null
   #forming = false
 
@@ -44,15 +44,15 @@
   }
 
   /** Opens the disk; starts the replica where a log was formed there. Throws where the log is damaged. */
-  static async open (place: KeeperLogPlace, host: KeeperLogHost): Promise<KeeperLog> {
-    const log = new KeeperLog(await LogStore.open(place.folder, place.name, place.firstPart, place.patience), host)
+  static async open (options: KeeperLogOptions, host: KeeperLogHost): Promise<KeeperLog> {
+    const log = new KeeperLog(await LogStore.open(options.folder, options.name, options.firstPart, options.patience), host)
     if (log.isFormed) log.startReplica()
     return log
   }
 
   get id (): ReplicaId { return this.#store.id }
   get store (): LogStore { return this.#store }
-  get state (): KeeperState { return this.#state }
+  get state (): KeeperState { return this.#stateMachine }
   /** Null until a log is formed, or joined. */
   get replica (): Replica | null { return this.#replica }
   get isFormed (): boolean { return this.#store.stored.snapshot !== null }
@@ -79,9 +79,9 @@
     const host = this.#host
     this.#replica = new Replica(this.#store, {
       machine: {
-        apply: (command, time) => this.#state.apply(command as KeeperCommand, time),
-        save: () => this.#state.save(),
-        restore: state => { this.#state = new KeeperState(defaultBounds, state as KeeperSnapshot | null) }
+        apply: (command, time) => this.#stateMachine.apply(command as KeeperCommand, time),
+        save: () => this.#stateMachine.save(),
+        restore: state => { this.#stateMachine = new KeeperState(defaultBounds, state as KeeperSnapshot | null) }
       },
       timing: host.timing,
       snapshotEvery: host.snapshotEvery,
--- a/src/coordination/keeper-state.ts
+++ b/src/coordination/keeper-state.ts
@@ -35,8 +35,8 @@
 
 /** Bounds that suit the sizes of today. */
 export const defaultBounds: KeeperBounds = {
-  claims: { keepMs: 24 * 3_600_000, answerBytes: 64 * 2 ** 20, oneAnswerBytes: 64 * 2 ** 10 },
-  config: { revisions: 1024, keepMs: 24 * 3_600_000, answers: 100_000 }
+  claims: { retentionMs: 24 * 3_600_000, maxTotalAnswerBytes: 64 * 2 ** 20, maxAnswerBytes: 64 * 2 ** 10 },
+  config: { maxRevisions: 1024, retentionMs: 24 * 3_600_000, maxResults: 100_000 }
 }
 
 /** The whole state in a snapshot. */
--- a/src/coordination/leases/elapsed-clock.ts
+++ b/src/coordination/leases/elapsed-clock.ts
@@ -17,17 +17,17 @@
 }
 
 export class ElapsedClock {
-  #last: ClockReading
-  #elapsed = 0
+  #previous: ClockReading
+  #elapsedMs = 0
 
   constructor (start: ClockReading) {
-    this.#last = start
+    this.#previous = start
   }
 
   /** The most that may have passed since the start, ms. */
   read (now: ClockReading): number {
-    this.#elapsed += Math.max(0, now.steady - this.#last.steady, now.wall - this.#last.wall)
-    this.#last = now
-    return this.#elapsed
+    this.#elapsedMs += Math.max(0, now.steady - this.#previous.steady, now.wall - this.#previous.wall)
+    this.#previous = now
+    return this.#elapsedMs
   }
 }
--- a/src/coordination/leases/lease-book.ts
+++ b/src/coordination/leases/lease-book.ts
@@ -36,7 +36,7 @@
 export type LeaseBookState = readonly (readonly [duty: string, state: LeaseState])[]
 
 /** Holders that are kept of each duty: enough for a stop of all boxes in turn within one lease's time. */
-const mostRecent = 16
+const maxRecentHolders = 16
 
 export class LeaseBook {
   #leases: Map<string, LeaseState>
@@ -59,25 +59,25 @@
   save (): LeaseBookState { return [...this.#leases] }
 
   #claim (duty: string, holder: string, seen: number): LeaseResult {
-    const known = this.#leases.get(duty)
-    if ((known?.mark ?? 0) !== seen) return { type: 'refused' }
-    const fence = (known?.fence ?? 0) + 1
-    const recent = [...(known?.recent ?? []).filter(one => one !== holder), holder].slice(-mostRecent)
+    const current = this.#leases.get(duty)
+    if ((current?.mark ?? 0) !== seen) return { type: 'refused' }
+    const fence = (current?.fence ?? 0) + 1
+    const recent = [...(current?.recent ?? []).filter(one => one !== holder), holder].slice(-maxRecentHolders)
     this.#leases.set(duty, { fence, holder, mark: seen + 1, recent })
     return { type: 'granted', fence }
   }
 
   #renew (duty: string, holder: string, fence: number): LeaseResult {
-    const known = this.#leases.get(duty)
-    if (known === undefined || known.holder !== holder || known.fence !== fence) return { type: 'refused' }
-    this.#leases.set(duty, { ...known, mark: known.mark + 1 })
+    const current = this.#leases.get(duty)
+    if (current === undefined || current.holder !== holder || current.fence !== fence) return { type: 'refused' }
+    this.#leases.set(duty, { ...current, mark: current.mark + 1 })
     return { type: 'granted', fence }
   }
 
   #release (duty: string, holder: string, fence: number): LeaseResult {
-    const known = this.#leases.get(duty)
-    if (known === undefined || known.holder !== holder || known.fence !== fence) return { type: 'refused' }
-    this.#leases.set(duty, { ...known, holder: null, mark: known.mark + 1 })
+    const current = this.#leases.get(duty)
+    if (current === undefined || current.holder !== holder || current.fence !== fence) return { type: 'refused' }
+    this.#leases.set(duty, { ...current, holder: null, mark: current.mark + 1 })
     return { type: 'released' }
   }
 }
--- a/src/coordination/leases/lease-holder.ts
+++ b/src/coordination/leases/lease-holder.ts
@@ -16,13 +16,13 @@
 /** What the box was granted, and when it asked for it, on its elapsed clock, ms. */
 interface Grant {
   readonly fence: number
-  readonly askedAt: number
+  readonly requestedAt: number
 }
 
 /** A command that is under way. */
-interface Pending {
+interface PendingCommand {
   readonly command: LeaseCommand
-  readonly askedAt: number
+  readonly requestedAt: number
 }
 
 export class LeaseHolder {
@@ -32,11 +32,11 @@
   #clock: ElapsedClock
   #state: LeaseState | undefined
   /** When the mark was first seen where it is, on the steady clock, ms. */
-  #markedAt: number
+  #markSeenAt: number
   /** Since when another is known to have the lease after this box, on the steady clock, ms; null where none has. */
   #replacedAt: number | null
   #grant: Grant | null = null
-  #pending: Pending | null = null
+  #pending: PendingCommand | null = null
 
   /** `self`: the box, as calls name it; unique over all machines. `now`: the start of its process. */
   constructor (duty: string, self: string, timing: LeaseTiming, now: ClockReading) {
@@ -44,7 +44,7 @@
     this.self = self
     this.#timing = timing
     this.#clock = new ElapsedClock(now)
-    this.#markedAt = now.steady
+    this.#markSeenAt = now.steady
     this.#replacedAt = now.steady
   }
 
@@ -54,12 +54,12 @@
   /** Takes the lease as the log has it here; undefined where it was never held. */
   observe (state: LeaseState | undefined, now: ClockReading): void {
     if (state?.mark === this.#state?.mark) return
-    if (state?.fence !== this.#state?.fence) this.#noteFence(state, now)
+    if (state?.fence !== this.#state?.fence) this.#updateFence(state, now)
     this.#state = state
-    this.#markedAt = now.steady
+    this.#markSeenAt = now.steady
   }
 
-  #noteFence (state: LeaseState | undefined, now: ClockReading): void {
+  #updateFence (state: LeaseState | undefined, now: ClockReading): void {
     if (this.#grant !== null && state?.fence !== this.#grant.fence) this.#grant = null
     if (state?.holder === this.self) this.#replacedAt = null
     else this.#replacedAt ??= now.steady
@@ -67,34 +67,34 @@
 
   /** What to propose now; null for nothing. `mayClaim`: whether this box is to take the lease where nobody has it. */
   decide (now: ClockReading, mayClaim: boolean): LeaseCommand | null {
-    const elapsed = this.#clock.read(now)
+    const elapsedMs = this.#clock.read(now)
     if (this.#pending !== null) return null
-    const command = this.#choose(now.steady, elapsed, mayClaim)
-    if (command !== null) this.#pending = { command, askedAt: elapsed }
+    const command = this.#chooseCommand(now.steady, elapsedMs, mayClaim)
+    if (command !== null) this.#pending = { command, requestedAt: elapsedMs }
     return command
   }
 
-  #choose (steady: number, elapsed: number, mayClaim: boolean): LeaseCommand | null {
+  #chooseCommand (monotonicMs: number, elapsedMs: number, mayClaim: boolean): LeaseCommand | null {
     const { duty, self } = this
     const grant = this.#grant
-    if (grant !== null && elapsed - grant.askedAt < this.#timing.holdMs) {
-      return elapsed - grant.askedAt < this.#timing.renewMs ? null : { type: 'renew', duty, holder: self, fence: grant.fence }
+    if (grant !== null && elapsedMs - grant.requestedAt < this.#timing.holdMs) {
+      return elapsedMs - grant.requestedAt < this.#timing.renewMs ? null : { type: 'renew', duty, holder: self, fence: grant.fence }
     }
     this.#grant = null
-    if (!mayClaim || !this.#isFree(steady) || this.#isCooling(steady)) return null
+    if (!mayClaim || !this.#isAvailable(monotonicMs) || this.#isInCooldown(monotonicMs)) return null
     return { type: 'claim', duty, holder: self, seen: this.#state?.mark ?? 0 }
   }
 
-  #isFree (steady: number): boolean {
+  #isAvailable (monotonicMs: number): boolean {
     if (this.#state === undefined || this.#state.holder === null) return true
-    return steady - this.#markedAt >= this.#timing.waitMs
+    return monotonicMs - this.#markSeenAt >= this.#timing.waitMs
   }
 
   // Another has had the lease since: in the time that the bound names, this box must not act again.
-  #isCooling (steady: number): boolean {
+  #isInCooldown (monotonicMs: number): boolean {
     const recent = this.#state?.recent ?? []
     const wasReplaced = recent.includes(this.self) && recent.at(-1) !== this.self
-    return wasReplaced && this.#replacedAt !== null && steady - this.#replacedAt < this.#timing.coolMs
+    return wasReplaced && this.#replacedAt !== null && monotonicMs - this.#replacedAt < this.#timing.cooldownMs
   }
 
   /** Takes the end of the command that was proposed; null where it isn't known whether the log took it. */
@@ -105,7 +105,7 @@
     switch (result.type) {
       case 'granted':
         if (pending.command.type === 'renew' && this.#grant === null) return
-        this.#grant = { fence: result.fence, askedAt: pending.askedAt }
+        this.#grant = { fence: result.fence, requestedAt: pending.requestedAt }
         return
       case 'released':
       case 'refused':
@@ -116,8 +116,8 @@
   /** The fence for a call that takes up to `needMs`, ms; null where the lease may not last as long. To be asked right before each call is written. */
   findFence (now: ClockReading, needMs: number): number | null {
     const grant = this.#grant
-    const elapsed = this.#clock.read(now)
-    if (grant === null || elapsed - grant.askedAt + needMs > this.#timing.holdMs) return null
+    const elapsedMs = this.#clock.read(now)
+    if (grant === null || elapsedMs - grant.requestedAt + needMs > this.#timing.holdMs) return null
     return grant.fence
   }
 
--- a/src/coordination/leases/lease-timing.ts
+++ b/src/coordination/leases/lease-timing.ts
@@ -9,22 +9,22 @@
   /** How long a mark must have stood still before another may claim. */
   readonly waitMs: number
   /** How long one that held the lease before leaves it to others once one of them has it. */
-  readonly coolMs: number
+  readonly cooldownMs: number
 }
 
 /** Part of the bound that a holder acts within: the rest is for calls that arrive late and for claims. */
-const holdShare = 0.8
+const holdFraction = 0.8
 /** Part of that for one call, so that one more fits in between two renewals: an answer takes a few ms, and fifty times as long from a slow platform. */
-const callShare = 0.3
+const callFraction = 0.3
 /** Renewals in the time of a lease: one may be lost, and another one late. */
-const renewals = 5
+const renewalsPerLease = 5
 /** Clocks of boxes differ by less in their pace: crystals by 0.0002, virtual ones by a few in a hundred. */
-const driftShare = 0.05
+const maxClockDrift = 0.05
 /** A call that was written at the last moment has arrived, or was called off, ms. */
-const arrivalMs = 250
+const deliveryMarginMs = 250
 
 /** Works the times out from the bound within which holders may not come back, ms. */
 export function planLeaseTiming (boundMs: number): LeaseTiming {
-  const holdMs = boundMs * holdShare
-  return { holdMs, renewMs: holdMs / renewals, callMs: holdMs * callShare, waitMs: holdMs * (1 + driftShare) + arrivalMs, coolMs: boundMs * (1 + driftShare) + arrivalMs }
+  const holdMs = boundMs * holdFraction
+  return { holdMs, renewMs: holdMs / renewalsPerLease, callMs: holdMs * callFraction, waitMs: holdMs * (1 + maxClockDrift) + deliveryMarginMs, cooldownMs: boundMs * (1 + maxClockDrift) + deliveryMarginMs }
 }
--- a/src/coordination/ledger/config-ledger.ts
+++ b/src/coordination/ledger/config-ledger.ts
@@ -3,20 +3,20 @@
  * by compare-and-set on the base revision, and the first answer to every
  * command, given again when the command is resent.
  */
-import { makeChanges } from './document.js'
+import { applyChangesInPlace } from './document.js'
 import type { Change, CommandId, Document, LedgerCommand, LedgerResult, Plan, Revision } from './ledger-types.js'
 
 /** Bounds on what is kept beside the document. */
 export interface LedgerBounds {
   /** Revisions whose changes are kept for boxes that catch up. */
-  readonly revisions: number
+  readonly maxRevisions: number
   /** How long first answers and unconfirmed plans are kept, ms. */
-  readonly keepMs: number
+  readonly retentionMs: number
   /** First answers kept at most. */
-  readonly answers: number
+  readonly maxResults: number
 }
 
-interface FirstAnswer {
+interface RecordedResult {
   readonly digest: string
   readonly result: LedgerResult
   readonly time: number
@@ -29,7 +29,7 @@
   readonly recent: readonly Revision[]
   readonly plans: readonly Plan[]
   readonly confirmed: readonly (readonly [number, number])[]
-  readonly answers: readonly (readonly [string, FirstAnswer])[]
+  readonly answers: readonly (readonly [string, RecordedResult])[]
   readonly lastPlan: number
 }
 
@@ -40,44 +40,44 @@
   /** This ledger's own sections, changed in place: a change costs what it touches. */
   #sections: Record<string, Record<string, unknown>>
   /** What `document` gave last, until the next change. */
-  #document: Document | null
+  #cachedDocument: Document | null
   #revision: number
   #recent: Revision[]
   #plans: Map<number, Plan>
   #confirmed: Map<number, number>
-  #answers: Map<string, FirstAnswer>
+  #results: Map<string, RecordedResult>
   #lastPlan: number
 
   constructor (bounds: LedgerBounds, state: LedgerState = emptyLedger) {
     this.#bounds = bounds
     this.#sections = copySections(state.document)
-    this.#document = null
+    this.#cachedDocument = null
     this.#revision = state.revision
     this.#recent = [...state.recent]
     this.#plans = new Map(state.plans.map(plan => [plan.number, plan]))
     this.#confirmed = new Map(state.confirmed)
-    this.#answers = new Map(state.answers)
+    this.#results = new Map(state.answers)
     this.#lastPlan = state.lastPlan
   }
 
   /** The document in force. What is given never changes later. */
   get document (): Document {
-    this.#document ??= copySections(this.#sections)
-    return this.#document
+    this.#cachedDocument ??= copySections(this.#sections)
+    return this.#cachedDocument
   }
 
   get revision (): number { return this.#revision }
 
   /** Carries out one command at agreed time `now`. */
   apply (command: LedgerCommand, now: number): LedgerResult {
-    this.#forget(now)
-    const key = formatCommand(command.id)
-    const first = this.#answers.get(key)
-    if (first !== undefined) {
-      return first.digest === command.id.digest ? first.result : { type: 'other-command' }
+    this.#evict(now)
+    const key = formatCommandKey(command.id)
+    const recorded = this.#results.get(key)
+    if (recorded !== undefined) {
+      return recorded.digest === command.id.digest ? recorded.result : { type: 'other-command' }
     }
-    const result = this.#run(command, now)
-    this.#answers.set(key, { digest: command.id.digest, result, time: now })
+    const result = this.#execute(command, now)
+    this.#results.set(key, { digest: command.id.digest, result, time: now })
     return result
   }
 
@@ -95,12 +95,12 @@
       recent: [...this.#recent],
       plans: [...this.#plans.values()],
       confirmed: [...this.#confirmed],
-      answers: [...this.#answers],
+      answers: [...this.#results],
       lastPlan: this.#lastPlan
     }
   }
 
-  #run (command: LedgerCommand, now: number): LedgerResult {
+  #execute (command: LedgerCommand, now: number): LedgerResult {
     switch (command.type) {
       case 'plan': return this.#plan(command.id, command.base, command.changes, now)
       case 'confirm': return this.#confirm(command.id, command.plan, now)
@@ -116,8 +116,8 @@
   }
 
   #confirm (id: CommandId, number: number, now: number): LedgerResult {
-    const done = this.#confirmed.get(number)
-    if (done !== undefined) return { type: 'already-confirmed', plan: number, revision: done }
+    const confirmedRevision = this.#confirmed.get(number)
+    if (confirmedRevision !== undefined) return { type: 'already-confirmed', plan: number, revision: confirmedRevision }
     const plan = this.#plans.get(number)
     if (plan === undefined) return { type: 'unknown-plan', plan: number }
     if (plan.base !== this.#revision) return this.#conflict(plan.base)
@@ -126,11 +126,11 @@
   }
 
   #accept (plan: Plan, operator: string, now: number): void {
-    makeChanges(this.#sections, plan.changes)
-    this.#document = null
+    applyChangesInPlace(this.#sections, plan.changes)
+    this.#cachedDocument = null
     this.#revision += 1
     this.#recent.push({ revision: this.#revision, changes: plan.changes, operator, time: now })
-    if (this.#recent.length > this.#bounds.revisions) this.#recent.shift()
+    if (this.#recent.length > this.#bounds.maxRevisions) this.#recent.shift()
     this.#plans.delete(plan.number)
     this.#confirmed.set(plan.number, this.#revision)
   }
@@ -140,17 +140,17 @@
     return { type: 'conflict', base, revision: this.#revision, since: since.flatMap(one => one.changes) }
   }
 
-  #forget (now: number): void {
-    for (const [key, answer] of this.#answers) {
-      if (now - answer.time <= this.#bounds.keepMs && this.#answers.size < this.#bounds.answers) break
-      this.#answers.delete(key)
+  #evict (now: number): void {
+    for (const [key, recorded] of this.#results) {
+      if (now - recorded.time <= this.#bounds.retentionMs && this.#results.size < this.#bounds.maxResults) break
+      this.#results.delete(key)
     }
     for (const [number, plan] of this.#plans) {
-      if (now - plan.time <= this.#bounds.keepMs) break
+      if (now - plan.time <= this.#bounds.retentionMs) break
       this.#plans.delete(number)
     }
     for (const number of this.#confirmed.keys()) {
-      if (this.#confirmed.size <= this.#bounds.revisions) break
+      if (this.#confirmed.size <= this.#bounds.maxRevisions) break
       this.#confirmed.delete(number)
     }
   }
@@ -160,6 +160,6 @@
   return Object.fromEntries(Object.entries(document).map(([section, items]) => [section, { ...items }]))
 }
 
-function formatCommand (id: CommandId): string {
+function formatCommandKey (id: CommandId): string {
   return JSON.stringify([id.operator, id.number])
 }
--- a/src/coordination/ledger/document.ts
+++ b/src/coordination/ledger/document.ts
@@ -4,12 +4,12 @@
 export function applyChanges (document: Document, changes: readonly Change[]): Document {
   const touched: Record<string, Record<string, unknown>> = {}
   for (const { section } of changes) touched[section] ??= { ...document[section] }
-  makeChanges(touched, changes)
+  applyChangesInPlace(touched, changes)
   return { ...document, ...touched }
 }
 
 /** Makes the changes in the given sections themselves. */
-export function makeChanges (sections: Record<string, Record<string, unknown>>, changes: readonly Change[]): void {
+export function applyChangesInPlace (sections: Record<string, Record<string, unknown>>, changes: readonly Change[]): void {
   for (const { section, name, after } of changes) {
     const items = sections[section] ??= {}
     if (after === null) delete items[name]
@@ -22,26 +22,26 @@
   const changes: Change[] = []
   const sections = new Set([...Object.keys(from), ...Object.keys(to)])
   for (const section of [...sections].sort()) {
-    const old = from[section] ?? {}
-    const wanted = to[section] ?? {}
-    const names = new Set([...Object.keys(old), ...Object.keys(wanted)])
+    const fromItems = from[section] ?? {}
+    const toItems = to[section] ?? {}
+    const names = new Set([...Object.keys(fromItems), ...Object.keys(toItems)])
     for (const name of [...names].sort()) {
-      const before = old[name] ?? null
-      const after = wanted[name] ?? null
-      if (!isSame(before, after)) changes.push({ section, name, before, after })
+      const before = fromItems[name] ?? null
+      const after = toItems[name] ?? null
+      if (!isEqual(before, after)) changes.push({ section, name, before, after })
     }
   }
   return changes
 }
 
-function isSame (a: unknown, b: unknown): boolean {
+function isEqual (a: unknown, b: unknown): boolean {
   return formatCanonical(a) === formatCanonical(b)
 }
 
 /** JSON with the keys of every object in order, for digests and comparison. */
 export function formatCanonical (value: unknown): string {
-  return JSON.stringify(value, (_key, inner: unknown) => {
-    if (inner === null || typeof inner !== 'object' || Array.isArray(inner)) return inner
-    return Object.fromEntries(Object.entries(inner).sort(([a], [b]) => (a < b ? -1 : 1)))
+  return JSON.stringify(value, (_key, member: unknown) => {
+    if (member === null || typeof member !== 'object' || Array.isArray(member)) return member
+    return Object.fromEntries(Object.entries(member).sort(([a], [b]) => (a < b ? -1 : 1)))
   })
 }
--- a/src/coordination/log/election-timer.ts
+++ b/src/coordination/log/election-timer.ts
@@ -4,14 +4,14 @@
  * Part of the usual time after which an election is tried by a replica that has heard no leader
  * since it started: where all lost power none will be heard, and where one leads its followers refuse.
  */
-const startShare = 1 / 3
+const initialTimeoutFraction = 1 / 3
 
 /** When a replica tries an election: after a random time without a leader. Times in ms, on a clock that only rises. */
 export class ElectionTimer {
   #timing: RaftTiming
   #random: () => number
   #dueAt = 0
-  #heardAt = -Infinity
+  #leaderSeenAt = -Infinity
 
   constructor (timing: RaftTiming, random: () => number) {
     this.#timing = timing
@@ -21,17 +21,17 @@
   isDue (at: number): boolean { return at >= this.#dueAt }
 
   /** True where a leader was heard so lately that it may still lead. */
-  hasHeardLeader (at: number): boolean { return at - this.#heardAt < this.#timing.electionMs }
+  hasRecentLeader (at: number): boolean { return at - this.#leaderSeenAt < this.#timing.electionMs }
 
   /** Begins the wait anew. */
   reset (at: number): void {
-    const share = this.#heardAt === -Infinity ? startShare : 1
-    this.#dueAt = at + this.#timing.electionMs * share * (1 + this.#random())
+    const fraction = this.#leaderSeenAt === -Infinity ? initialTimeoutFraction : 1
+    this.#dueAt = at + this.#timing.electionMs * fraction * (1 + this.#random())
   }
 
   /** Takes word of a leader. */
   noteLeader (at: number): void {
-    this.#heardAt = at
+    this.#leaderSeenAt = at
     this.reset(at)
   }
 }
--- a/src/coordination/log/entry-list.ts
+++ b/src/coordination/log/entry-list.ts
@@ -1,12 +1,12 @@
 import type { LogEntry, Members, Snapshot } from './log-types.js'
 
-const nobody: Members = { voters: [], learners: [] }
+const noMembers: Members = { voters: [], learners: [] }
 
 /** The entries that a replica holds after its snapshot, with their terms and members. */
 export class EntryList {
   #snapshot: Snapshot | null
   #entries: LogEntry[]
-  #membersAt: { index: number, members: Members }[] = []
+  #memberChanges: { index: number, members: Members }[] = []
 
   constructor (snapshot: Snapshot | null, entries: readonly LogEntry[]) {
     this.#snapshot = snapshot
@@ -22,16 +22,16 @@
 
   /** The members in force: the last that were appended, committed or not. */
   get members (): Members {
-    return this.#membersAt.at(-1)?.members ?? this.#snapshot?.members ?? nobody
+    return this.#memberChanges.at(-1)?.members ?? this.#snapshot?.members ?? noMembers
   }
 
   /** The index of the last change of members that the entries hold, or 0. */
-  get membersIndex (): number { return this.#membersAt.at(-1)?.index ?? 0 }
+  get membersIndex (): number { return this.#memberChanges.at(-1)?.index ?? 0 }
 
   /** The members in force at `index`. */
   membersUpTo (index: number): Members {
-    const known = this.#membersAt.findLast(one => one.index <= index)
-    return known?.members ?? this.#snapshot?.members ?? nobody
+    const change = this.#memberChanges.findLast(one => one.index <= index)
+    return change?.members ?? this.#snapshot?.members ?? noMembers
   }
 
   /** The term of an entry; undefined where it's not held. */
@@ -42,7 +42,7 @@
   }
 
   /** True where another log with this end lacks what may be committed here. */
-  isNewerThan (lastIndex: number, lastTerm: number): boolean {
+  isMoreUpToDateThan (lastIndex: number, lastTerm: number): boolean {
     if (lastTerm !== this.lastTerm) return lastTerm < this.lastTerm
     return lastIndex < this.lastIndex
   }
@@ -52,16 +52,16 @@
   }
 
   /** At most `most` entries from `from` on. Throws RangeError where the snapshot holds `from`. */
-  slice (from: number, most: number): LogEntry[] {
+  slice (from: number, maxCount: number): LogEntry[] {
     if (from <= this.base) throw new RangeError(`entry ${from} is in the snapshot at ${this.base}`)
     const start = from - this.base - 1
-    return this.#entries.slice(start, start + most)
+    return this.#entries.slice(start, start + maxCount)
   }
 
   /** Those of the entries, from the first on, that are not held yet with the same term. */
-  listFresh (entries: readonly LogEntry[]): readonly LogEntry[] {
-    const fresh = entries.findIndex(entry => this.termAt(entry.index) !== entry.term)
-    return fresh < 0 ? [] : entries.slice(fresh)
+  listNewEntries (entries: readonly LogEntry[]): readonly LogEntry[] {
+    const firstNew = entries.findIndex(entry => this.termAt(entry.index) !== entry.term)
+    return firstNew < 0 ? [] : entries.slice(firstNew)
   }
 
   /** A snapshot of the state after an entry; undefined where the entry is not held. */
@@ -81,20 +81,20 @@
 
   /** Puts a snapshot in place of the entries up to it. */
   compact (snapshot: Snapshot): void {
-    const keep = this.termAt(snapshot.index) === snapshot.term ? this.slice(snapshot.index + 1, Infinity) : []
+    const retained = this.termAt(snapshot.index) === snapshot.term ? this.slice(snapshot.index + 1, Infinity) : []
     this.#snapshot = snapshot
     this.#entries = []
-    this.#membersAt = []
-    for (const entry of keep) this.#push(entry)
+    this.#memberChanges = []
+    for (const entry of retained) this.#push(entry)
   }
 
   #push (entry: LogEntry): void {
     this.#entries.push(entry)
-    if (entry.content.type === 'members') this.#membersAt.push({ index: entry.index, members: entry.content.members })
+    if (entry.content.type === 'members') this.#memberChanges.push({ index: entry.index, members: entry.content.members })
   }
 
   #truncate (from: number): void {
     this.#entries.length = Math.max(0, from - this.base - 1)
-    while (this.membersIndex >= from) this.#membersAt.pop()
+    while (this.membersIndex >= from) this.#memberChanges.pop()
   }
 }
--- a/src/coordination/log/log-store.ts
+++ b/src/coordination/log/log-store.ts
@@ -18,7 +18,7 @@
 type PersistEffect = Extract<RaftEffect, { type: 'persist' }>
 
 /** How to bear a disk that refuses to write: what is to be kept is tried again, and nothing is acknowledged meanwhile. */
-export interface DiskPatience {
+export interface DiskRetryPolicy {
   readonly retryMs: number
   noteFault (error: Error): void
   noteWell (): void
@@ -27,32 +27,32 @@
 const identityFile = 'identity.json'
 const snapshotFile = 'snapshot'
 /** A log of fewer bytes is never cut for its size: writing a snapshot costs two syncs more. */
-const leastGrownBytes = 16 * 2 ** 20
+const minOversizedBytes = 16 * 2 ** 20
 /** Beyond that it may hold so many times what its snapshot does, so that snapshots cost no more than a part of what is written. */
-const grownTimes = 2
-const noHard: HardState = { term: 0, vote: null }
+const maxLogToSnapshotRatio = 2
+const initialHardState: HardState = { term: 0, vote: null }
 
 export class LogStore {
   readonly folder: string
   readonly id: ReplicaId
-  #list: EntryList
-  #hard: HardState
+  #entries: EntryList
+  #hardState: HardState
   #file: FileHandle
   #generation: number
   #length: number
   #snapshotBytes = 0
-  #patience: DiskPatience | null
+  #diskRetry: DiskRetryPolicy | null
   #closed = false
 
-  private constructor (folder: string, id: ReplicaId, list: EntryList, hard: HardState, file: FileHandle, generation: number, length: number, patience: DiskPatience | null) {
+  private constructor (folder: string, id: ReplicaId, list: EntryList, hard: HardState, file: FileHandle, generation: number, length: number, diskRetry: DiskRetryPolicy | null) {
     this.folder = folder
     this.id = id
-    this.#list = list
-    this.#hard = hard
+    this.#entries = list
+    this.#hardState = hard
     this.#file = file
     this.#generation = generation
     this.#length = length
-    this.#patience = patience
+    this.#diskRetry = diskRetry
   }
 
   /**
@@ -60,7 +60,7 @@
    * of which `firstPart` is the second half (random where it is left out).
    * Throws `DamagedLogError` where acknowledged records can't be read.
    */
-  static async open (folder: string, name: string, firstPart?: string, patience: DiskPatience | null = null): Promise<LogStore> {
+  static async open (folder: string, name: string, firstPart?: string, diskRetry: DiskRetryPolicy | null = null): Promise<LogStore> {
     await mkdir(folder, { recursive: true })
     const id = await readIdentity(folder, name, firstPart)
     const snapshot = await readSnapshot(folder)
@@ -75,24 +75,24 @@
     }
     const { list, hard } = replay(snapshot, records)
     await syncFolder(folder)
-    return new LogStore(folder, id, list, hard, file, generation, length, patience)
+    return new LogStore(folder, id, list, hard, file, generation, length, diskRetry)
   }
 
   /** True where the log has grown far beyond its snapshot, in bytes. */
-  get isGrown (): boolean { return this.#length > Math.max(leastGrownBytes, this.#snapshotBytes * grownTimes) }
+  get isOversized (): boolean { return this.#length > Math.max(minOversizedBytes, this.#snapshotBytes * maxLogToSnapshotRatio) }
 
   /** Everything that is stored, for a replica that starts. */
   get stored (): StoredLog {
-    return { hard: this.#hard, snapshot: this.#list.snapshot, entries: this.#list.slice(this.#list.base + 1, Infinity) }
+    return { hard: this.#hardState, snapshot: this.#entries.snapshot, entries: this.#entries.slice(this.#entries.base + 1, Infinity) }
   }
 
   /** Writes the effects in order and syncs once. Whoever calls waits for it. */
   async persist (effects: readonly PersistEffect[]): Promise<void> {
     const snapshot = effects.findLast(effect => effect.snapshot !== null)?.snapshot ?? null
     const buffers = [encodeRecord({ type: 'mark', synced: this.#length })]
-    for (const effect of effects) this.#take(effect, buffers)
+    for (const effect of effects) this.#recordEffect(effect, buffers)
     const bytes = Buffer.concat(buffers)
-    await this.#insist(() => snapshot !== null ? this.#rewrite(snapshot) : this.#append(bytes))
+    await this.#writeWithRetry(() => snapshot !== null ? this.#rewrite(snapshot) : this.#append(bytes))
   }
 
   // A write that failed may have left a part of its bytes behind.
@@ -104,18 +104,18 @@
     this.#length += bytes.length
   }
 
-  async #insist (write: () => Promise<void>): Promise<void> {
-    const patience = this.#patience
-    if (patience === null) return await write()
-    for (let failed = false; ; failed = true) {
+  async #writeWithRetry (write: () => Promise<void>): Promise<void> {
+    const diskRetry = this.#diskRetry
+    if (diskRetry === null) return await write()
+    for (let hasFailed = false; ; hasFailed = true) {
       try {
         await write()
-        if (failed) patience.noteWell()
+        if (hasFailed) diskRetry.noteWell()
         return
       } catch (error) {
         if (this.#closed) throw error
-        if (!failed) patience.noteFault(error as Error)
-        await new Promise(resolve => setTimeout(resolve, patience.retryMs))
+        if (!hasFailed) diskRetry.noteFault(error as Error)
+        await new Promise(resolve => setTimeout(resolve, diskRetry.retryMs))
       }
     }
   }
@@ -126,27 +126,27 @@
     await this.#file.close()
   }
 
-  #take (effect: PersistEffect, buffers: Buffer[]): void {
+  #recordEffect (effect: PersistEffect, buffers: Buffer[]): void {
     if (effect.hard !== null) {
-      this.#hard = effect.hard
+      this.#hardState = effect.hard
       buffers.push(encodeRecord({ type: 'hard', hard: effect.hard }))
     }
-    this.#list.append(effect.entries)
+    this.#entries.append(effect.entries)
     for (const entry of effect.entries) buffers.push(encodeRecord({ type: 'entry', entry }))
-    if (effect.snapshot !== null) this.#list.compact(effect.snapshot)
+    if (effect.snapshot !== null) this.#entries.compact(effect.snapshot)
   }
 
   // The snapshot is in place before the log that lacks its entries is.
   async #rewrite (snapshot: Snapshot): Promise<void> {
-    const sealed = sealSnapshot(snapshot)
-    await writeWhole(this.folder, snapshotFile, sealed)
-    this.#snapshotBytes = sealed.length
-    const records: LogRecord[] = [{ type: 'mark', synced: 0 }, { type: 'hard', hard: this.#hard }]
-    for (const entry of this.#list.slice(this.#list.base + 1, Infinity)) records.push({ type: 'entry', entry })
+    const encoded = encodeSnapshot(snapshot)
+    await writeAtomically(this.folder, snapshotFile, encoded)
+    this.#snapshotBytes = encoded.length
+    const records: LogRecord[] = [{ type: 'mark', synced: 0 }, { type: 'hard', hard: this.#hardState }]
+    for (const entry of this.#entries.slice(this.#entries.base + 1, Infinity)) records.push({ type: 'entry', entry })
     const bytes = Buffer.concat(records.map(encodeRecord))
     const old = this.#generation
     this.#generation += 1
-    await writeWhole(this.folder, `log.${this.#generation}`, bytes)
+    await writeAtomically(this.folder, `log.${this.#generation}`, bytes)
     await this.#file.close()
     this.#file = await open(join(this.folder, `log.${this.#generation}`), 'a+')
     await rm(join(this.folder, `log.${old}`))
@@ -156,7 +156,7 @@
 
 function replay (snapshot: Snapshot | null, records: readonly LogRecord[]): { list: EntryList, hard: HardState } {
   const list = new EntryList(snapshot, [])
-  let hard = noHard
+  let hard = initialHardState
   for (const record of records) {
     switch (record.type) {
       case 'mark': break
@@ -176,7 +176,7 @@
   const text = await readFile(join(folder, identityFile), 'utf8').catch(allowMissing)
   if (text !== null) return (JSON.parse(text) as { replica: ReplicaId }).replica
   const replica = `${name}#${firstPart ?? randomBytes(6).toString('hex')}` as ReplicaId
-  await writeWhole(folder, identityFile, Buffer.from(JSON.stringify({ replica })))
+  await writeAtomically(folder, identityFile, Buffer.from(JSON.stringify({ replica })))
   return replica
 }
 
@@ -188,7 +188,7 @@
   return decode(body) as Snapshot
 }
 
-function sealSnapshot (snapshot: Snapshot): Buffer {
+function encodeSnapshot (snapshot: Snapshot): Buffer {
   const body = encode(snapshot)
   const header = Buffer.allocUnsafe(4)
   header.writeUInt32LE(crc32(body), 0)
@@ -210,7 +210,7 @@
   return newest
 }
 
-async function writeWhole (folder: string, name: string, bytes: Buffer): Promise<void> {
+async function writeAtomically (folder: string, name: string, bytes: Buffer): Promise<void> {
   const path = join(folder, `${name}.new`)
   const file = await open(path, 'w')
   await file.writeFile(bytes)
--- a/src/coordination/log/member-plan.ts
+++ b/src/coordination/log/member-plan.ts
@@ -28,7 +28,7 @@
 }
 
 /** Where members stand. */
-export interface MemberState {
+export interface MemberPlanState {
   readonly members: Members
   /** The leader, which plans. */
   readonly self: ReplicaId
@@ -38,9 +38,9 @@
 }
 
 /** A learner so many entries behind counts as caught up. */
-const nearEntries = 64
+const caughtUpEntries = 64
 /** A keeper that was heard from within this time can be reached, ms. */
-const aliveMs = 1200
+const reachableMs = 1200
 
 /** The place of a replica: its id without the part that is made with its disk. */
 export function getReplicaHost (replica: ReplicaId): string {
@@ -48,20 +48,20 @@
 }
 
 /** The next members on the way to the wish; null where nothing is to be changed now. */
-export function planMembers (state: MemberState, wish: MemberWish): Members | null {
-  const planner = new MemberPlanner(state, wish)
-  return planner.replaceNewDisk() ?? planner.admit() ?? planner.promote() ?? planner.replaceSilent() ?? planner.balance() ?? planner.shrink() ?? planner.forget()
+export function planMembers (state: MemberPlanState, target: MemberWish): Members | null {
+  const planner = new MemberPlanner(state, target)
+  return planner.replaceNewDisk() ?? planner.admit() ?? planner.promote() ?? planner.replaceSilent() ?? planner.balance() ?? planner.demoteSurplus() ?? planner.dropSilentLearners()
 }
 
 class MemberPlanner {
-  #state: MemberState
-  #wish: MemberWish
-  #sights: Map<ReplicaId, KeeperSight>
+  #state: MemberPlanState
+  #target: MemberWish
+  #observations: Map<ReplicaId, KeeperSight>
 
-  constructor (state: MemberState, wish: MemberWish) {
+  constructor (state: MemberPlanState, target: MemberWish) {
     this.#state = state
-    this.#wish = wish
-    this.#sights = new Map(state.sights.map(sight => [sight.replica, sight]))
+    this.#target = target
+    this.#observations = new Map(state.sights.map(observation => [observation.replica, observation]))
   }
 
   get #voters (): readonly ReplicaId[] { return this.#state.members.voters }
@@ -70,32 +70,32 @@
   /** A keeper with a new disk takes the place of its old replica, without a vote at first. */
   replaceNewDisk (): Members | null {
     for (const old of [...this.#voters, ...this.#learners]) {
-      const fresh = this.#state.sights.find(sight => sight.replica !== old && getReplicaHost(sight.replica) === getReplicaHost(old) && sight.silentMs < aliveMs)
-      if (fresh === undefined || this.#silence(old) < fresh.silentMs) continue
+      const replacement = this.#state.sights.find(sight => sight.replica !== old && getReplicaHost(sight.replica) === getReplicaHost(old) && sight.silentMs < reachableMs)
+      if (replacement === undefined || this.#getSilentMs(old) < replacement.silentMs) continue
       const voters = this.#voters.filter(id => id !== old)
       if (!this.#hasQuorum(voters)) continue
-      const learners = this.#learners.filter(id => id !== old && id !== fresh.replica)
-      return { voters, learners: voters.includes(fresh.replica) ? learners : [...learners, fresh.replica] }
+      const learners = this.#learners.filter(id => id !== old && id !== replacement.replica)
+      return { voters, learners: voters.includes(replacement.replica) ? learners : [...learners, replacement.replica] }
     }
     return null
   }
 
   admit (): Members | null {
     const known = new Set([...this.#voters, ...this.#learners])
-    const fresh = this.#state.sights.filter(sight => !known.has(sight.replica) && sight.silentMs < aliveMs)
-    if (fresh.length === 0) return null
-    return { voters: this.#voters, learners: [...this.#learners, ...fresh.map(sight => sight.replica)] }
+    const newcomers = this.#state.sights.filter(sight => !known.has(sight.replica) && sight.silentMs < reachableMs)
+    if (newcomers.length === 0) return null
+    return { voters: this.#voters, learners: [...this.#learners, ...newcomers.map(sight => sight.replica)] }
   }
 
   promote (): Members | null {
-    if (this.#voters.length >= this.#wish.voters) return null
-    const spare = this.#findSpare(this.#wish.perZone)
+    if (this.#voters.length >= this.#target.voters) return null
+    const spare = this.#findSpare(this.#target.perZone)
     return spare === undefined ? null : this.#withVoter(spare)
   }
 
   // The spare joins before the silent one leaves.
   replaceSilent (): Members | null {
-    if (this.#voters.length !== this.#wish.voters) return null
+    if (this.#voters.length !== this.#target.voters) return null
     const silent = this.#findSilent()
     if (silent === undefined) return null
     const spare = this.#findSpare(Infinity)
@@ -103,22 +103,22 @@
   }
 
   balance (): Members | null {
-    if (this.#voters.length !== this.#wish.voters) return null
-    if (!this.#voters.some(id => this.#countZone(this.#zone(id)) > this.#wish.perZone)) return null
-    const spare = this.#findSpare(this.#wish.perZone)
+    if (this.#voters.length !== this.#target.voters) return null
+    if (!this.#voters.some(id => this.#countZone(this.#getZone(id)) > this.#target.perZone)) return null
+    const spare = this.#findSpare(this.#target.perZone)
     return spare === undefined ? null : this.#withVoter(spare)
   }
 
-  shrink (): Members | null {
-    if (this.#voters.length <= this.#wish.voters) return null
-    const leaving = this.#findSilent() ?? this.#findCrowded()
-    const voters = this.#voters.filter(id => id !== leaving)
-    if (leaving === undefined || !this.#hasQuorum(voters)) return null
-    return { voters, learners: [...this.#learners, leaving] }
+  demoteSurplus (): Members | null {
+    if (this.#voters.length <= this.#target.voters) return null
+    const demoted = this.#findSilent() ?? this.#findVoterInCrowdedZone()
+    const voters = this.#voters.filter(id => id !== demoted)
+    if (demoted === undefined || !this.#hasQuorum(voters)) return null
+    return { voters, learners: [...this.#learners, demoted] }
   }
 
-  forget (): Members | null {
-    const learners = this.#learners.filter(id => this.#silence(id) < this.#wish.forgetMs)
+  dropSilentLearners (): Members | null {
+    const learners = this.#learners.filter(id => this.#getSilentMs(id) < this.#target.forgetMs)
     return learners.length === this.#learners.length ? null : { voters: this.#voters, learners }
   }
 
@@ -130,35 +130,35 @@
   #findSpare (perZone: number): ReplicaId | undefined {
     const { commit } = this.#state
     const spares = this.#learners.filter(id => {
-      const sight = this.#sights.get(id)
-      return sight !== undefined && sight.silentMs < aliveMs && sight.match > 0 && sight.match + nearEntries >= commit
+      const observation = this.#observations.get(id)
+      return observation !== undefined && observation.silentMs < reachableMs && observation.match > 0 && observation.match + caughtUpEntries >= commit
     })
-    const free = spares.filter(id => this.#countZone(this.#zone(id)) < perZone)
-    const best = (free.length > 0 ? free : this.#voters.length < this.#wish.voters ? spares : [])
-    return [...best].sort((a, b) => this.#countZone(this.#zone(a)) - this.#countZone(this.#zone(b)) || (a < b ? -1 : 1))[0]
+    const withinLimit = spares.filter(id => this.#countZone(this.#getZone(id)) < perZone)
+    const candidates = (withinLimit.length > 0 ? withinLimit : this.#voters.length < this.#target.voters ? spares : [])
+    return [...candidates].sort((a, b) => this.#countZone(this.#getZone(a)) - this.#countZone(this.#getZone(b)) || (a < b ? -1 : 1))[0]
   }
 
   #findSilent (): ReplicaId | undefined {
-    const silent = this.#voters.filter(id => id !== this.#state.self && this.#silence(id) >= this.#wish.replaceMs)
-    return silent.sort((a, b) => this.#silence(b) - this.#silence(a))[0]
+    const silent = this.#voters.filter(id => id !== this.#state.self && this.#getSilentMs(id) >= this.#target.replaceMs)
+    return silent.sort((a, b) => this.#getSilentMs(b) - this.#getSilentMs(a))[0]
   }
 
-  #findCrowded (): ReplicaId | undefined {
+  #findVoterInCrowdedZone (): ReplicaId | undefined {
     const others = this.#voters.filter(id => id !== this.#state.self)
-    return others.sort((a, b) => this.#countZone(this.#zone(b)) - this.#countZone(this.#zone(a)) || (a < b ? 1 : -1))[0]
+    return others.sort((a, b) => this.#countZone(this.#getZone(b)) - this.#countZone(this.#getZone(a)) || (a < b ? 1 : -1))[0]
   }
 
-  #silence (id: ReplicaId): number {
-    return id === this.#state.self ? 0 : this.#sights.get(id)?.silentMs ?? Infinity
+  #getSilentMs (id: ReplicaId): number {
+    return id === this.#state.self ? 0 : this.#observations.get(id)?.silentMs ?? Infinity
   }
 
-  #zone (id: ReplicaId): string { return this.#sights.get(id)?.zone ?? '' }
+  #getZone (id: ReplicaId): string { return this.#observations.get(id)?.zone ?? '' }
 
   #countZone (zone: string): number {
-    return this.#voters.filter(id => this.#zone(id) === zone).length
+    return this.#voters.filter(id => this.#getZone(id) === zone).length
   }
 
   #hasQuorum (voters: readonly ReplicaId[]): boolean {
-    return voters.filter(id => this.#silence(id) < aliveMs).length * 2 > voters.length
+    return voters.filter(id => this.#getSilentMs(id) < reachableMs).length * 2 > voters.length
   }
 }
--- a/src/coordination/log/member-progress.ts
+++ b/src/coordination/log/member-progress.ts
@@ -1,9 +1,9 @@
 /** What a leader knows of a member: what it was sent, what it acknowledged, and when it may be sent the same again. */
 
 /** What a member did not acknowledge is sent again after this, ms: some round trips and a sync. */
-const firstResendMs = 500
+const initialResendMs = 500
 /** Each time in vain it takes twice as long, up to this, ms: what is large may still be on its way, and would then come twice. */
-const longestResendMs = 8000
+const maxResendMs = 8000
 
 export class MemberProgress {
   /** Index of the entry that it is sent next. */
@@ -13,14 +13,14 @@
   /** The newest round that it has answered. */
   round = 0
   /** When it was last heard from, ms. */
-  heardAt: number
+  lastContactAt: number
   #sentAt = -Infinity
   #sentRound = -1
-  #resendMs = firstResendMs
+  #resendMs = initialResendMs
 
   constructor (next: number, at: number) {
     this.next = next
-    this.heardAt = at
+    this.lastContactAt = at
   }
 
   /** True where nothing was sent lately, so that what is not acknowledged may be sent again. */
@@ -30,7 +30,7 @@
   retry (at: number): void {
     if (this.next <= this.match + 1 || !this.mayResend(at)) return
     this.next = this.match + 1
-    this.#waitLonger()
+    this.#backOff()
   }
 
   /** Entries were sent. */
@@ -42,28 +42,28 @@
 
   /** A snapshot was sent. */
   noteSnapshot (at: number, round: number): void {
-    if (this.#sentAt > -Infinity) this.#waitLonger()
+    if (this.#sentAt > -Infinity) this.#backOff()
     this.#noteSent(at, round)
   }
 
   /** It answered. */
-  noteHeard (at: number, round: number): void {
-    this.heardAt = at
+  noteReply (at: number, round: number): void {
+    this.lastContactAt = at
     this.round = Math.max(this.round, round)
   }
 
   /** It has the log up to `match`. */
   noteMatch (match: number): void {
-    if (match > this.match) this.#resendMs = firstResendMs
+    if (match > this.match) this.#resendMs = initialResendMs
     this.match = Math.max(this.match, match)
     this.next = Math.max(this.next, this.match + 1)
   }
 
   /** It lacks what comes after `hint`, or holds something else there. */
-  noteLack (hint: number, round: number): void {
+  noteMismatch (hint: number, round: number): void {
     if (hint + 1 < this.next) this.next = Math.max(this.match, hint) + 1
     // Links keep order: who answers what was sent later, without having acknowledged this, will not get it any more.
-    if (round > this.#sentRound) this.#resendMs = firstResendMs
+    if (round > this.#sentRound) this.#resendMs = initialResendMs
   }
 
   #noteSent (at: number, round: number): void {
@@ -71,7 +71,7 @@
     this.#sentRound = round
   }
 
-  #waitLonger (): void {
-    this.#resendMs = Math.min(longestResendMs, this.#resendMs * 2)
+  #backOff (): void {
+    this.#resendMs = Math.min(maxResendMs, this.#resendMs * 2)
   }
 }
--- a/src/coordination/log/pending-reads.ts
+++ b/src/coordination/log/pending-reads.ts
@@ -15,9 +15,9 @@
   }
 
   /** Takes out those whose round was answered. Rounds rise, so they go in the order in which they came. */
-  takeAnswered (isAnswered: (round: number) => boolean): readonly PendingRead[] {
-    const first = this.#reads.findIndex(({ round }) => !isAnswered(round))
-    return this.#reads.splice(0, first < 0 ? this.#reads.length : first)
+  takeConfirmed (isConfirmed: (round: number) => boolean): readonly PendingRead[] {
+    const firstUnconfirmed = this.#reads.findIndex(({ round }) => !isConfirmed(round))
+    return this.#reads.splice(0, firstUnconfirmed < 0 ? this.#reads.length : firstUnconfirmed)
   }
 
   takeAll (): readonly PendingRead[] {
--- a/src/coordination/log/raft-leader.ts
+++ b/src/coordination/log/raft-leader.ts
@@ -7,12 +7,12 @@
 import type { EntryContent, LogEntry, Members, RaftTiming, ReplicaId } from './log-types.js'
 import { MemberProgress } from './member-progress.js'
 import { PendingReads } from './pending-reads.js'
-import { findAgreed, hasQuorum, listOthers } from './quorum.js'
+import { findQuorumIndex, hasQuorum, listPeers } from './quorum.js'
 import type { Proposal, ProposalFault, RaftEffect } from './raft-event.js'
 import type { RaftMessage } from './raft-message.js'
 
-const entriesPerMessage = 256
-const pipelinedEntries = 2048
+const maxEntriesPerMessage = 256
+const maxInFlightEntries = 2048
 
 /** The node that leads, as its leadership sees it. */
 export interface LeaderHost {
@@ -24,11 +24,11 @@
   /** Index up to which its own disk has the log. */
   readonly syncedIndex: number
   /** True where the last change of members is committed. */
-  readonly isSettled: boolean
+  readonly hasCommittedMembers: boolean
   emit (effect: RaftEffect): void
   commitTo (index: number): void
   stepDown (): void
-  violate (rule: string, detail: string): void
+  reportViolation (rule: string, detail: string): void
 }
 
 export class RaftLeader {
@@ -36,49 +36,49 @@
   #timing: RaftTiming
   #progress = new Map<ReplicaId, MemberProgress>()
   #reads = new PendingReads()
-  #heartbeatAt = 0
+  #nextHeartbeatAt = 0
   #round = 0
-  #termStart: number
+  #firstTermIndex: number
   #transferUntil = -Infinity
 
   constructor (host: LeaderHost, timing: RaftTiming) {
     this.#host = host
     this.#timing = timing
-    this.#termStart = host.log.lastIndex + 1
+    this.#firstTermIndex = host.log.lastIndex + 1
   }
 
   /** Begins the term: nothing of older terms is committed before an entry of this one is. */
   start (): void {
     this.#append(this.#host.log.lastTime, { type: 'noop' })
-    this.beat()
+    this.sendHeartbeatsIfDue()
   }
 
   /** The acknowledged index of each member that was heard from lately; the own one is what is synced. */
   get matches (): ReadonlyMap<ReplicaId, number> {
     const matches = new Map<ReplicaId, number>()
     for (const [id, progress] of this.#progress) {
-      if (this.#host.now - progress.heardAt < 2 * this.#timing.electionMs) matches.set(id, progress.match)
+      if (this.#host.now - progress.lastContactAt < 2 * this.#timing.electionMs) matches.set(id, progress.match)
     }
     matches.set(this.#host.id, this.#host.syncedIndex)
     return matches
   }
 
   /** False where no quorum was heard from for as long as an election takes: another may lead by now. */
-  get isHeard (): boolean {
+  get hasQuorumContact (): boolean {
     const { now } = this.#host
-    return this.#hasQuorum(id => now - this.#progressOf(id).heardAt < this.#timing.electionMs)
+    return this.#hasQuorum(id => now - this.#getProgress(id).lastContactAt < this.#timing.electionMs)
   }
 
   /** Sends heartbeats if they are due. */
-  beat (): void {
+  sendHeartbeatsIfDue (): void {
     const { now } = this.#host
-    if (now < this.#heartbeatAt) return
-    this.#heartbeatAt = now + this.#timing.heartbeatMs
-    this.#beatNow()
+    if (now < this.#nextHeartbeatAt) return
+    this.#nextHeartbeatAt = now + this.#timing.heartbeatMs
+    this.#sendHeartbeats()
   }
 
   /** Ends the term here: the reads that wait can't be answered. */
-  close (): void {
+  endTerm (): void {
     for (const { read } of this.#reads.takeAll()) this.#host.emit({ type: 'readFailed', read })
   }
 
@@ -88,9 +88,9 @@
     const { proposal } = event
     const fault = this.#findFault(event)
     if (fault !== undefined) return this.#host.emit({ type: 'rejected', proposal, fault })
-    const { index, term } = this.#append(event.wall, describeContent(event))
+    const { index, term } = this.#append(event.wall, composeContent(event))
     this.#host.emit({ type: 'accepted', proposal, index, term })
-    for (const id of this.#others) this.#replicate(id, false)
+    for (const id of this.#peers) this.#replicate(id, false)
   }
 
   #findFault (event: Proposal): ProposalFault | undefined {
@@ -99,15 +99,15 @@
   }
 
   #findMembersFault (members: Members): ProposalFault | undefined {
-    const { commitIndex, isSettled, log } = this.#host
-    if (commitIndex < this.#termStart) return 'not-ready'
+    const { commitIndex, hasCommittedMembers: isSettled, log } = this.#host
+    if (commitIndex < this.#firstTermIndex) return 'not-ready'
     if (!isSettled) return 'change-in-progress'
     const { voters } = log.members
     const added = members.voters.filter(id => !voters.includes(id))
     const removed = voters.filter(id => !members.voters.includes(id))
     if (added.length + removed.length > 1 || members.voters.length === 0) return 'not-one-change'
-    const lacking = added.some(id => this.#progressOf(id).match < commitIndex)
-    return lacking ? 'not-caught-up' : undefined
+    const isLagging = added.some(id => this.#getProgress(id).match < commitIndex)
+    return isLagging ? 'not-caught-up' : undefined
   }
 
   #append (wall: number, content: EntryContent): LogEntry {
@@ -123,11 +123,11 @@
 
   #replicate (to: ReplicaId, isHeartbeat: boolean): void {
     const { log, now, term, commitIndex } = this.#host
-    const progress = this.#progressOf(to)
+    const progress = this.#getProgress(to)
     if (isHeartbeat) progress.retry(now)
     if (progress.next <= log.base) return this.#sendSnapshot(to, progress, isHeartbeat)
-    const room = progress.match + pipelinedEntries - progress.next + 1
-    const entries = log.slice(progress.next, Math.max(0, Math.min(entriesPerMessage, room)))
+    const capacity = progress.match + maxInFlightEntries - progress.next + 1
+    const entries = log.slice(progress.next, Math.max(0, Math.min(maxEntriesPerMessage, capacity)))
     if (entries.length === 0 && !isHeartbeat) return
     const prevIndex = progress.next - 1
     const prevTerm = log.termAt(prevIndex)
@@ -141,7 +141,7 @@
     const { snapshot } = log
     if (snapshot === null) return
     if (!progress.mayResend(now)) {
-      if (isHeartbeat) this.#sendBareBeat(to)
+      if (isHeartbeat) this.#sendEmptyHeartbeat(to)
       return
     }
     progress.noteSnapshot(now, this.#round)
@@ -149,7 +149,7 @@
   }
 
   // A heartbeat to one whose log ends before this one begins: it stands after no entry, so it is refused.
-  #sendBareBeat (to: ReplicaId): void {
+  #sendEmptyHeartbeat (to: ReplicaId): void {
     const { log, term } = this.#host
     this.#send(to, { type: 'append', term, prevIndex: log.lastIndex + 1, prevTerm: -1, entries: [], commit: 0, round: this.#round })
   }
@@ -157,10 +157,10 @@
   /** Takes a member's answer of this term. */
   noteReply (from: ReplicaId, message: Extract<RaftMessage, { type: 'appendReply' }>): void {
     const { log, now } = this.#host
-    const progress = this.#progressOf(from)
-    progress.noteHeard(now, message.round)
+    const progress = this.#getProgress(from)
+    progress.noteReply(now, message.round)
     if (message.ok) this.#noteMatch(from, progress, message.match)
-    else progress.noteLack(message.match, message.round)
+    else progress.noteMismatch(message.match, message.round)
     this.#answerReads()
     if (this.#isTransferring && progress.match === log.lastIndex) this.#sendTimeoutNow()
     if (progress.next <= log.lastIndex) this.#replicate(from, false)
@@ -168,7 +168,7 @@
 
   #noteMatch (from: ReplicaId, progress: MemberProgress, match: number): void {
     const { lastIndex } = this.#host.log
-    if (match > lastIndex) return this.#host.violate('log-matching', `${from} matches ${match} past ${lastIndex}`)
+    if (match > lastIndex) return this.#host.reportViolation('log-matching', `${from} matches ${match} past ${lastIndex}`)
     progress.noteMatch(match)
     this.advanceCommit()
   }
@@ -176,27 +176,27 @@
   /** Commits what a quorum has on disk, if it ends with an entry of this term. */
   advanceCommit (): void {
     const { id, log, term, commitIndex, syncedIndex } = this.#host
-    const agreed = findAgreed(log.members, one => one === id ? syncedIndex : this.#progressOf(one).match)
-    const newest = Math.min(agreed, log.lastIndex)
-    if (newest <= commitIndex || log.termAt(newest) !== term) return
-    this.#host.commitTo(newest)
+    const quorumIndex = findQuorumIndex(log.members, one => one === id ? syncedIndex : this.#getProgress(one).match)
+    const newCommit = Math.min(quorumIndex, log.lastIndex)
+    if (newCommit <= commitIndex || log.termAt(newCommit) !== term) return
+    this.#host.commitTo(newCommit)
     this.#answerReads()
-    if (!log.members.voters.includes(id) && this.#host.isSettled) this.#host.stepDown()
+    if (!log.members.voters.includes(id) && this.#host.hasCommittedMembers) this.#host.stepDown()
   }
 
   // Reads.
 
   read (read: number): void {
     const { commitIndex } = this.#host
-    if (commitIndex < this.#termStart) return this.#host.emit({ type: 'readFailed', read })
-    this.#beatNow()
+    if (commitIndex < this.#firstTermIndex) return this.#host.emit({ type: 'readFailed', read })
+    this.#sendHeartbeats()
     this.#reads.add({ read, round: this.#round, index: commitIndex })
     this.#answerReads()
   }
 
   #answerReads (): void {
-    const isAnswered = (round: number): boolean => this.#hasQuorum(id => this.#progressOf(id).round >= round)
-    for (const { read, index } of this.#reads.takeAnswered(isAnswered)) this.#host.emit({ type: 'readReady', read, index })
+    const isConfirmed = (round: number): boolean => this.#hasQuorum(id => this.#getProgress(id).round >= round)
+    for (const { read, index } of this.#reads.takeConfirmed(isConfirmed)) this.#host.emit({ type: 'readReady', read, index })
   }
 
   // Transfer of the lead. Proposals are turned away meanwhile; it lapses by itself.
@@ -210,30 +210,30 @@
 
   #sendTimeoutNow (): void {
     const { id: own, log, term } = this.#host
-    const heir = log.members.voters.find(id => id !== own && this.#progressOf(id).match === log.lastIndex)
-    if (heir !== undefined) this.#host.emit({ type: 'send', to: heir, message: { type: 'timeoutNow', term }, early: false })
+    const successor = log.members.voters.find(id => id !== own && this.#getProgress(id).match === log.lastIndex)
+    if (successor !== undefined) this.#host.emit({ type: 'send', to: successor, message: { type: 'timeoutNow', term }, early: false })
   }
 
   // Helpers.
 
-  get #others (): ReplicaId[] { return listOthers(this.#host.log.members, this.#host.id) }
+  get #peers (): ReplicaId[] { return listPeers(this.#host.log.members, this.#host.id) }
 
-  #beatNow (): void {
+  #sendHeartbeats (): void {
     this.#round += 1
-    for (const id of this.#others) this.#replicate(id, true)
+    for (const id of this.#peers) this.#replicate(id, true)
   }
 
   // This replica always counts.
-  #hasQuorum (counts: (id: ReplicaId) => boolean): boolean {
-    return hasQuorum(this.#host.log.members, id => id === this.#host.id || counts(id))
+  #hasQuorum (isCounted: (id: ReplicaId) => boolean): boolean {
+    return hasQuorum(this.#host.log.members, id => id === this.#host.id || isCounted(id))
   }
 
-  #progressOf (id: ReplicaId): MemberProgress {
-    const known = this.#progress.get(id)
-    if (known !== undefined) return known
-    const made = new MemberProgress(this.#host.log.lastIndex + 1, this.#host.now)
-    this.#progress.set(id, made)
-    return made
+  #getProgress (id: ReplicaId): MemberProgress {
+    const existing = this.#progress.get(id)
+    if (existing !== undefined) return existing
+    const created = new MemberProgress(this.#host.log.lastIndex + 1, this.#host.now)
+    this.#progress.set(id, created)
+    return created
   }
 
   // What a leader sends its members need not wait for its own disk.
@@ -242,7 +242,7 @@
   }
 }
 
-function describeContent (event: Proposal): EntryContent {
+function composeContent (event: Proposal): EntryContent {
   switch (event.type) {
     case 'propose': return { type: 'command', command: event.command }
     case 'changeMembers': return { type: 'members', members: event.members }
--- a/src/coordination/log/raft-node.ts
+++ b/src/coordination/log/raft-node.ts
@@ -18,7 +18,7 @@
   readonly id: ReplicaId
   #timing: RaftTiming
   #log: EntryList
-  #hard: HardState
+  #hardState: HardState
   #role: RaftRole = 'follower'
   #leader: ReplicaId | null = null
   #commit: number
@@ -27,7 +27,7 @@
   #now = 0
   #election: ElectionTimer
   #votes = new Set<ReplicaId>()
-  #preVoting = false
+  #isPreVoting = false
   #leadership: RaftLeader | null = null
   #effects: RaftEffect[] = []
 
@@ -36,7 +36,7 @@
     this.#timing = timing
     this.#election = new ElectionTimer(timing, random)
     this.#log = new EntryList(stored.snapshot, stored.entries)
-    this.#hard = stored.hard
+    this.#hardState = stored.hard
     this.#commit = this.#log.base
     this.#applied = this.#log.base
     this.#synced = this.#log.lastIndex
@@ -45,7 +45,7 @@
   }
 
   get role (): RaftRole { return this.#role }
-  get term (): number { return this.#hard.term }
+  get term (): number { return this.#hardState.term }
   get leader (): ReplicaId | null { return this.#leader }
   get commitIndex (): number { return this.#commit }
   get appliedIndex (): number { return this.#applied }
@@ -59,7 +59,7 @@
   get isSettled (): boolean { return this.#log.membersIndex <= this.#commit }
 
   /** True where all that was accepted before the present leader's term is applied here: the leader has committed an entry of its own. */
-  get isCurrent (): boolean { return this.#leader !== null && this.#log.termAt(this.#applied) === this.#hard.term }
+  get isCurrent (): boolean { return this.#leader !== null && this.#log.termAt(this.#applied) === this.#hardState.term }
 
   /** On the leader, the synced index of each replica that was heard from lately; empty elsewhere. */
   get matches (): ReadonlyMap<ReplicaId, number> { return this.#leadership?.matches ?? new Map() }
@@ -100,8 +100,8 @@
   }
 
   #tickLeader (leadership: RaftLeader): void {
-    if (leadership.isHeard) return leadership.beat()
-    this.#follow(this.#hard.term, null)
+    if (leadership.hasQuorumContact) return leadership.sendHeartbeatsIfDue()
+    this.#becomeFollower(this.#hardState.term, null)
   }
 
   #resetElection (): void { this.#election.reset(this.#now) }
@@ -111,14 +111,14 @@
   #campaign (pre: boolean, transfer: boolean): void {
     this.#resetElection()
     this.#votes = new Set([this.id])
-    this.#preVoting = pre
+    this.#isPreVoting = pre
     this.#leader = null
     this.#endLeadership()
     if (!pre) {
-      this.#saveHard({ term: this.#hard.term + 1, vote: this.id })
+      this.#saveHard({ term: this.#hardState.term + 1, vote: this.id })
       this.#setRole('candidate')
     }
-    const term = pre ? this.#hard.term + 1 : this.#hard.term
+    const term = pre ? this.#hardState.term + 1 : this.#hardState.term
     const message: RaftMessage = { type: 'vote', term, pre, lastIndex: this.#log.lastIndex, lastTerm: this.#log.lastTerm, transfer }
     for (const id of this.members.voters) {
       if (id !== this.id) this.#send(id, message)
@@ -128,64 +128,64 @@
 
   #countVotes (): void {
     if (!hasQuorum(this.members, id => this.#votes.has(id))) return
-    if (this.#preVoting) this.#campaign(false, false)
-    else this.#lead()
+    if (this.#isPreVoting) this.#campaign(false, false)
+    else this.#becomeLeader()
   }
 
   #handleVote (from: ReplicaId, message: MessageOf<'vote'>): void {
-    if ((this.#election.hasHeardLeader(this.#now) || this.#role === 'leader') && !message.transfer && message.term > this.#hard.term) {
-      return this.#send(from, { type: 'voteReply', term: this.#hard.term, pre: message.pre, granted: false })
+    if ((this.#election.hasRecentLeader(this.#now) || this.#role === 'leader') && !message.transfer && message.term > this.#hardState.term) {
+      return this.#send(from, { type: 'voteReply', term: this.#hardState.term, pre: message.pre, granted: false })
     }
-    if (!message.pre && message.term > this.#hard.term) this.#follow(message.term, null)
-    const free = message.pre
-      ? message.term > this.#hard.term
-      : message.term === this.#hard.term && (this.#hard.vote === null || this.#hard.vote === from)
-    const granted = free && !this.#log.isNewerThan(message.lastIndex, message.lastTerm)
+    if (!message.pre && message.term > this.#hardState.term) this.#becomeFollower(message.term, null)
+    const canVote = message.pre
+      ? message.term > this.#hardState.term
+      : message.term === this.#hardState.term && (this.#hardState.vote === null || this.#hardState.vote === from)
+    const granted = canVote && !this.#log.isMoreUpToDateThan(message.lastIndex, message.lastTerm)
     if (granted && !message.pre) {
       this.#saveHard({ term: message.term, vote: from })
       this.#resetElection()
     }
-    const term = message.pre && granted ? message.term : this.#hard.term
+    const term = message.pre && granted ? message.term : this.#hardState.term
     this.#send(from, { type: 'voteReply', term, pre: message.pre, granted })
   }
 
   #handleVoteReply (from: ReplicaId, message: MessageOf<'voteReply'>): void {
-    if (!message.granted && message.term > this.#hard.term) return this.#follow(message.term, null)
-    if (!message.granted || this.#role === 'leader' || message.pre !== this.#preVoting) return
-    const term = this.#preVoting ? this.#hard.term + 1 : this.#hard.term
+    if (!message.granted && message.term > this.#hardState.term) return this.#becomeFollower(message.term, null)
+    if (!message.granted || this.#role === 'leader' || message.pre !== this.#isPreVoting) return
+    const term = this.#isPreVoting ? this.#hardState.term + 1 : this.#hardState.term
     if (message.term !== term) return
-    if (!this.#preVoting && this.#role !== 'candidate') return
+    if (!this.#isPreVoting && this.#role !== 'candidate') return
     this.#votes.add(from)
     this.#countVotes()
   }
 
-  #lead (): void {
+  #becomeLeader (): void {
     this.#votes.clear()
     this.#leader = this.id
     this.#setRole('leader')
-    this.#leadership = new RaftLeader(this.#describeSelf(), this.#timing)
+    this.#leadership = new RaftLeader(this.#composeLeaderHost(), this.#timing)
     this.#leadership.start()
   }
 
-  #follow (term: number, leader: ReplicaId | null): void {
-    if (term > this.#hard.term) this.#saveHard({ term, vote: null })
-    const changed = this.#role !== 'follower' || this.#leader !== leader
+  #becomeFollower (term: number, leader: ReplicaId | null): void {
+    if (term > this.#hardState.term) this.#saveHard({ term, vote: null })
+    const hasChanged = this.#role !== 'follower' || this.#leader !== leader
     this.#leader = leader
     this.#votes.clear()
-    this.#preVoting = false
+    this.#isPreVoting = false
     this.#endLeadership()
     if (this.#role !== 'follower') this.#resetElection()
-    if (changed) this.#setRole('follower')
+    if (hasChanged) this.#setRole('follower')
   }
 
   #endLeadership (): void {
-    this.#leadership?.close()
+    this.#leadership?.endTerm()
     this.#leadership = null
   }
 
   #setRole (role: RaftRole): void {
     this.#role = role
-    this.#effects.push({ type: 'role', role, term: this.#hard.term, leader: this.#leader })
+    this.#effects.push({ type: 'role', role, term: this.#hardState.term, leader: this.#leader })
   }
 
   // What the leader does.
@@ -201,8 +201,8 @@
   }
 
   #handleAppendReply (from: ReplicaId, message: MessageOf<'appendReply'>): void {
-    if (message.term > this.#hard.term) return this.#follow(message.term, null)
-    if (message.term === this.#hard.term) this.#leadership?.noteReply(from, message)
+    if (message.term > this.#hardState.term) return this.#becomeFollower(message.term, null)
+    if (message.term === this.#hardState.term) this.#leadership?.noteReply(from, message)
   }
 
   #noteSynced (index: number, term: number): void {
@@ -214,7 +214,7 @@
   // Replication, follower's side.
 
   #handleAppend (from: ReplicaId, message: MessageOf<'append'>): void {
-    if (message.term < this.#hard.term) return this.#reply(from, false, 0, message.round)
+    if (message.term < this.#hardState.term) return this.#reply(from, false, 0, message.round)
     this.#acceptLeader(from, message.term)
     if (message.prevIndex < this.#log.base) return this.#reply(from, true, this.#commit, message.round)
     if (this.#log.termAt(message.prevIndex) !== message.prevTerm) return this.#refuseAppend(from, message)
@@ -230,10 +230,10 @@
   }
 
   #appendNew (entries: readonly LogEntry[]): void {
-    const added = this.#log.listFresh(entries)
+    const added = this.#log.listNewEntries(entries)
     if (added.length === 0) return
     if (added[0].index <= this.#commit) {
-      return this.#violate('committed-kept', `entry ${added[0].index} would replace a committed one`)
+      return this.#reportViolation('committed-kept', `entry ${added[0].index} would replace a committed one`)
     }
     this.#synced = Math.min(this.#synced, added[0].index - 1)
     this.#log.append(added)
@@ -241,7 +241,7 @@
   }
 
   #handleSnapshot (from: ReplicaId, message: MessageOf<'snapshot'>): void {
-    if (message.term < this.#hard.term) return this.#reply(from, false, 0, message.round)
+    if (message.term < this.#hardState.term) return this.#reply(from, false, 0, message.round)
     this.#acceptLeader(from, message.term)
     if (message.snapshot.index > this.#commit) this.#install(message.snapshot)
     this.#reply(from, true, Math.max(this.#commit, message.snapshot.index), message.round)
@@ -257,19 +257,19 @@
   }
 
   #acceptLeader (from: ReplicaId, term: number): void {
-    if (this.#role === 'leader' && term === this.#hard.term) {
-      return this.#violate('election-safety', `two leaders in term ${term}`)
+    if (this.#role === 'leader' && term === this.#hardState.term) {
+      return this.#reportViolation('election-safety', `two leaders in term ${term}`)
     }
-    if (term > this.#hard.term || this.#role !== 'follower' || this.#leader !== from) this.#follow(term, from)
+    if (term > this.#hardState.term || this.#role !== 'follower' || this.#leader !== from) this.#becomeFollower(term, from)
     this.#election.noteLeader(this.#now)
   }
 
   #reply (to: ReplicaId, ok: boolean, match: number, round: number): void {
-    this.#send(to, { type: 'appendReply', term: this.#hard.term, ok, match, round })
+    this.#send(to, { type: 'appendReply', term: this.#hardState.term, ok, match, round })
   }
 
   #handleTimeoutNow (message: MessageOf<'timeoutNow'>): void {
-    if (message.term === this.#hard.term && this.#isVoter(this.id)) this.#campaign(false, true)
+    if (message.term === this.#hardState.term && this.#isVoter(this.id)) this.#campaign(false, true)
   }
 
   // Snapshots of this replica's own state.
@@ -306,8 +306,8 @@
   }
 
   #saveHard (hard: HardState): void {
-    if (hard.term < this.#hard.term) this.#violate('term-rises', `${this.#hard.term} to ${hard.term}`)
-    this.#hard = hard
+    if (hard.term < this.#hardState.term) this.#reportViolation('term-rises', `${this.#hardState.term} to ${hard.term}`)
+    this.#hardState = hard
     this.#effects.push({ type: 'persist', hard, entries: [], snapshot: null })
   }
 
@@ -318,24 +318,24 @@
   }
 
   // What its leadership may see and do.
-  #describeSelf (): LeaderHost {
+  #composeLeaderHost (): LeaderHost {
     const node = this
     return {
       id: node.id,
       log: node.#log,
-      term: node.#hard.term,
+      term: node.#hardState.term,
       get now () { return node.#now },
       get commitIndex () { return node.#commit },
       get syncedIndex () { return node.#synced },
-      get isSettled () { return node.isSettled },
+      get hasCommittedMembers () { return node.isSettled },
       emit: effect => { node.#effects.push(effect) },
       commitTo: index => { node.#commit = index },
-      stepDown: () => node.#follow(node.#hard.term, null),
-      violate: (rule, detail) => node.#violate(rule, detail)
+      stepDown: () => node.#becomeFollower(node.#hardState.term, null),
+      reportViolation: (rule, detail) => node.#reportViolation(rule, detail)
     }
   }
 
-  #violate (rule: string, detail: string): void {
+  #reportViolation (rule: string, detail: string): void {
     this.#effects.push({ type: 'violation', rule, detail: `${this.id}: ${detail}` })
   }
 }
--- a/src/coordination/log/record-file.ts
+++ b/src/coordination/log/record-file.ts
@@ -14,10 +14,10 @@
   | { readonly type: 'entry', readonly entry: LogEntry }
 
 const headerBytes = 8
-const largestRecord = 64 * 2 ** 20
+const maxRecordBytes = 64 * 2 ** 20
 
 /** The file's contents as far as they can be trusted. */
-export interface ReadRecords {
+export interface DecodedRecords {
   readonly records: readonly LogRecord[]
   /** Bytes that hold whole records; what follows is a torn tail to cut off. */
   readonly length: number
@@ -48,14 +48,14 @@
  * or never written and so all zero) is left out. Any other record that fails
  * its checksum throws `DamagedLogError`.
  */
-export function decodeRecords (bytes: Buffer): ReadRecords {
+export function decodeRecords (bytes: Buffer): DecodedRecords {
   const records: LogRecord[] = []
   let at = 0
   while (at < bytes.length) {
     const record = readRecord(bytes, at)
     if (record === 'short') break
     if (record === 'bad') {
-      checkTorn(bytes, at)
+      assertTornTail(bytes, at)
       break
     }
     records.push(record.value)
@@ -64,35 +64,35 @@
   return { records, length: at }
 }
 
-type OneRecord = { readonly value: LogRecord, readonly end: number }
+type DecodedRecord = { readonly value: LogRecord, readonly end: number }
 
-function readRecord (bytes: Buffer, at: number): OneRecord | 'short' | 'bad' {
+function readRecord (bytes: Buffer, at: number): DecodedRecord | 'short' | 'bad' {
   if (at + headerBytes > bytes.length) return 'short'
   const length = bytes.readUInt32LE(at)
-  if (length === 0 || length > largestRecord) return 'bad'
+  if (length === 0 || length > maxRecordBytes) return 'bad'
   const end = at + headerBytes + length
-  if (end > bytes.length) return findMarkAfter(bytes, at) ? 'bad' : 'short'
+  if (end > bytes.length) return hasLaterMark(bytes, at) ? 'bad' : 'short'
   const body = bytes.subarray(at + headerBytes, end)
   if (crc32(body) !== bytes.readUInt32LE(at + 4)) return 'bad'
   return { value: decode(body) as LogRecord, end }
 }
 
 // A write that the disk never took leaves zeros to the end of the file.
-function checkTorn (bytes: Buffer, at: number): void {
+function assertTornTail (bytes: Buffer, at: number): void {
   const rest = bytes.subarray(at)
-  if (findMarkAfter(bytes, at)) throw new DamagedLogError(at, 'later batches follow it')
+  if (hasLaterMark(bytes, at)) throw new DamagedLogError(at, 'later batches follow it')
   const length = rest.readUInt32LE(0)
   const tail = length === 0 ? rest : rest.subarray(headerBytes)
-  if (length <= largestRecord && isZeroEnded(tail)) return
+  if (length <= maxRecordBytes && hasTrailingZero(tail)) return
   throw new DamagedLogError(at, 'checksum does not match')
 }
 
-function isZeroEnded (bytes: Buffer): boolean {
+function hasTrailingZero (bytes: Buffer): boolean {
   return bytes.length === 0 || bytes[bytes.length - 1] === 0
 }
 
 // Whether a later batch says that `at` had been synced before it.
-function findMarkAfter (bytes: Buffer, at: number): boolean {
+function hasLaterMark (bytes: Buffer, at: number): boolean {
   for (let next = at + 1; next + headerBytes <= bytes.length; next++) {
     const length = bytes.readUInt32LE(next)
     if (length < 4 || length > 64) continue
--- a/src/coordination/log/replica.ts
+++ b/src/coordination/log/replica.ts
@@ -17,7 +17,7 @@
   readonly id: ReplicaId
   readonly stored: StoredLog
   /** True where the log is so large that a snapshot is due, however few its entries. */
-  readonly isGrown: boolean
+  readonly isOversized: boolean
   persist (effects: readonly PersistEffect[]): Promise<void>
 }
 
@@ -52,14 +52,14 @@
 }
 
 /** How a proposal ended. `lost`: whether it will be applied is not known. */
-export type ProposalEnd =
+export type ProposalOutcome =
   | { readonly type: 'applied', readonly result: unknown }
   | { readonly type: 'rejected', readonly fault: ProposalFault }
   | { readonly type: 'lost' }
 
-interface Pending {
+interface AppendedProposal {
   readonly term: number
-  readonly resolve: (end: ProposalEnd) => void
+  readonly resolve: (end: ProposalOutcome) => void
 }
 
 type ReplicaInput =
@@ -69,9 +69,9 @@
 
 const inboxLimit = 20_000
 /** Events that wait for a sync before messages of others are dropped: a log bears their loss. */
-const mostWaiting = 4000
+const maxBacklogEvents = 4000
 /** A transfer of the lead is waited for at most so long, ms. */
-const transferMs = 1000
+const transferTimeoutMs = 1000
 const membersApplied = { type: 'members-changed' }
 
 export class Replica {
@@ -83,12 +83,12 @@
   #backlog: RaftEvent[] = []
   #syncing = false
   #stopped = false
-  #late: SendEffect[] = []
-  #proposals = new Map<number, (end: ProposalEnd) => void>()
-  #placed = new Map<number, Pending>()
+  #sendsAfterSync: SendEffect[] = []
+  #proposals = new Map<number, (end: ProposalOutcome) => void>()
+  #appended = new Map<number, AppendedProposal>()
   #reads = new Map<number, (ok: boolean) => void>()
-  #readsAt: { index: number, resolve: (ok: boolean) => void }[] = []
-  #counter = 0
+  #readsByIndex: { index: number, resolve: (ok: boolean) => void }[] = []
+  #lastRequest = 0
   #timer: NodeJS.Timeout
 
   constructor (store: ReplicaStore, host: ReplicaHost) {
@@ -98,9 +98,9 @@
     const stored = store.stored
     if (stored.snapshot !== null) host.machine.restore(stored.snapshot.state)
     this.#node = new RaftNode(store.id, stored, host.timing, () => host.random(), host.now())
-    this.#inbox.run(input => this.#take(input), () => this.#work())
-    const everyMs = Math.max(5, host.timing.heartbeatMs / 2)
-    this.#timer = setInterval(() => this.#post({ type: 'tick', at: host.now() }), everyMs)
+    this.#inbox.run(input => this.#handleInput(input), () => this.#processBacklog())
+    const tickMs = Math.max(5, host.timing.heartbeatMs / 2)
+    this.#timer = setInterval(() => this.#post({ type: 'tick', at: host.now() }), tickMs)
   }
 
   get node (): RaftNode { return this.#node }
@@ -113,22 +113,22 @@
   }
 
   /** Proposes a command; resolves once it's applied here, or can't be. */
-  propose (command: unknown): Promise<ProposalEnd> {
-    return this.#start(proposal => ({ type: 'propose', at: this.#host.now(), wall: this.#host.wall(), proposal, command }))
+  propose (command: unknown): Promise<ProposalOutcome> {
+    return this.#submit(proposal => ({ type: 'propose', at: this.#host.now(), wall: this.#host.wall(), proposal, command }))
   }
 
   /** Proposes other members, at most one voter away from the present ones. */
-  changeMembers (members: Members): Promise<ProposalEnd> {
-    return this.#start(proposal => ({ type: 'changeMembers', at: this.#host.now(), wall: this.#host.wall(), proposal, members }))
+  changeMembers (members: Members): Promise<ProposalOutcome> {
+    return this.#submit(proposal => ({ type: 'changeMembers', at: this.#host.now(), wall: this.#host.wall(), proposal, members }))
   }
 
   /** Resolves true once the machine's state is as new as this call; false where this replica can't say. */
   read (): Promise<boolean> {
     if (this.#stopped) return Promise.resolve(false)
     return new Promise(resolve => {
-      this.#counter += 1
-      this.#reads.set(this.#counter, resolve)
-      this.#post({ type: 'read', at: this.#host.now(), read: this.#counter })
+      this.#lastRequest += 1
+      this.#reads.set(this.#lastRequest, resolve)
+      this.#post({ type: 'read', at: this.#host.now(), read: this.#lastRequest })
     })
   }
 
@@ -136,7 +136,7 @@
   async transfer (): Promise<void> {
     if (!this.isLeader) return
     this.#post({ type: 'transfer', at: this.#host.now() })
-    await waitUntil(() => !this.isLeader, transferMs)
+    await waitUntil(() => !this.isLeader, transferTimeoutMs)
   }
 
   stop (): void {
@@ -144,15 +144,15 @@
     this.#stopped = true
     clearInterval(this.#timer)
     this.#inbox.close()
-    this.#giveUp()
+    this.#rejectPending()
   }
 
-  #start (make: (proposal: number) => RaftEvent): Promise<ProposalEnd> {
+  #submit (createEvent: (proposal: number) => RaftEvent): Promise<ProposalOutcome> {
     if (this.#stopped) return Promise.resolve({ type: 'rejected', fault: 'not-leader' })
     return new Promise(resolve => {
-      this.#counter += 1
-      this.#proposals.set(this.#counter, resolve)
-      this.#post(make(this.#counter))
+      this.#lastRequest += 1
+      this.#proposals.set(this.#lastRequest, resolve)
+      this.#post(createEvent(this.#lastRequest))
     })
   }
 
@@ -160,14 +160,14 @@
     this.#inbox.post({ type: 'event', event })
   }
 
-  #take (input: ReplicaInput): void {
+  #handleInput (input: ReplicaInput): void {
     switch (input.type) {
       case 'event':
-        this.#keep(input.event)
+        this.#enqueue(input.event)
         break
       case 'persisted':
         this.#syncing = false
-        this.#sendLate()
+        this.#finishSync()
         break
       case 'failed':
         this.stop()
@@ -177,21 +177,21 @@
   }
 
   // While a slow disk syncs, time and messages go on; neither may pile up.
-  #keep (event: RaftEvent): void {
+  #enqueue (event: RaftEvent): void {
     const last = this.#backlog[this.#backlog.length - 1]
     if (event.type === 'tick' && last?.type === 'tick') this.#backlog.pop()
-    if (event.type === 'receive' && this.#backlog.length >= mostWaiting) return
+    if (event.type === 'receive' && this.#backlog.length >= maxBacklogEvents) return
     this.#backlog.push(event)
   }
 
-  #sendLate (): void {
-    for (const { to, message } of this.#late) this.#host.send(to, message)
-    this.#late = []
+  #finishSync (): void {
+    for (const { to, message } of this.#sendsAfterSync) this.#host.send(to, message)
+    this.#sendsAfterSync = []
     const { lastIndex, lastTerm } = this.#node
     this.#backlog.unshift({ type: 'synced', at: this.#host.now(), index: lastIndex, term: lastTerm })
   }
 
-  #work (): void {
+  #processBacklog (): void {
     if (this.#syncing || this.#stopped) return
     const persists: PersistEffect[] = []
     const events = this.#backlog
@@ -199,8 +199,8 @@
     for (const event of events) this.#step(event, persists)
     this.#compact(persists)
     if (persists.length > 0) return this.#sync(persists)
-    for (const { to, message } of this.#late) this.#host.send(to, message)
-    this.#late = []
+    for (const { to, message } of this.#sendsAfterSync) this.#host.send(to, message)
+    this.#sendsAfterSync = []
   }
 
   #sync (persists: PersistEffect[]): void {
@@ -217,7 +217,7 @@
       else applied = this.#perform(effect) || applied
     }
     if (!applied) return
-    this.#answerReads()
+    this.#resolveReads()
     this.#host.noteApplied()
   }
 
@@ -227,7 +227,7 @@
       case 'apply': return this.#apply(effect.entry)
       case 'restore': return this.#restore(effect.snapshot)
       case 'accepted': return this.#noteAccepted(effect.proposal, effect.index, effect.term)
-      case 'rejected': return this.#endProposal(effect.proposal, { type: 'rejected', fault: effect.fault })
+      case 'rejected': return this.#resolveProposal(effect.proposal, { type: 'rejected', fault: effect.fault })
       case 'readReady': return this.#noteRead(effect.read, effect.index)
       case 'readFailed': return this.#noteRead(effect.read, null)
       case 'role': return this.#noteRole(effect)
@@ -239,26 +239,26 @@
 
   #send (effect: SendEffect): boolean {
     if (effect.early) this.#host.send(effect.to, effect.message)
-    else this.#late.push(effect)
+    else this.#sendsAfterSync.push(effect)
     return false
   }
 
   #apply (entry: LogEntry): boolean {
     const { content } = entry
     const result = content.type === 'command' ? this.#host.machine.apply(content.command, entry.time) : membersApplied
-    const pending = this.#placed.get(entry.index)
-    if (pending === undefined) return true
-    this.#placed.delete(entry.index)
-    pending.resolve(pending.term === entry.term ? { type: 'applied', result } : { type: 'lost' })
+    const proposal = this.#appended.get(entry.index)
+    if (proposal === undefined) return true
+    this.#appended.delete(entry.index)
+    proposal.resolve(proposal.term === entry.term ? { type: 'applied', result } : { type: 'lost' })
     return true
   }
 
   #restore (snapshot: Snapshot): boolean {
     this.#host.machine.restore(snapshot.state)
-    for (const [index, pending] of this.#placed) {
+    for (const [index, proposal] of this.#appended) {
       if (index > snapshot.index) continue
-      this.#placed.delete(index)
-      pending.resolve({ type: 'lost' })
+      this.#appended.delete(index)
+      proposal.resolve({ type: 'lost' })
     }
     return true
   }
@@ -267,13 +267,13 @@
     const resolve = this.#proposals.get(proposal)
     this.#proposals.delete(proposal)
     if (resolve === undefined) return false
-    this.#placed.get(index)?.resolve({ type: 'lost' })
-    this.#placed.set(index, { term, resolve })
+    this.#appended.get(index)?.resolve({ type: 'lost' })
+    this.#appended.set(index, { term, resolve })
     return false
   }
 
-  #endProposal (proposal: number, end: ProposalEnd): boolean {
-    this.#proposals.get(proposal)?.(end)
+  #resolveProposal (proposal: number, outcome: ProposalOutcome): boolean {
+    this.#proposals.get(proposal)?.(outcome)
     this.#proposals.delete(proposal)
     return false
   }
@@ -283,14 +283,14 @@
     this.#reads.delete(read)
     if (resolve === undefined) return false
     if (index === null) resolve(false)
-    else this.#readsAt.push({ index, resolve })
-    this.#answerReads()
+    else this.#readsByIndex.push({ index, resolve })
+    this.#resolveReads()
     return false
   }
 
-  #answerReads (): void {
+  #resolveReads (): void {
     const applied = this.#node.appliedIndex
-    this.#readsAt = this.#readsAt.filter(({ index, resolve }) => {
+    this.#readsByIndex = this.#readsByIndex.filter(({ index, resolve }) => {
       if (index > applied) return true
       resolve(true)
       return false
@@ -298,32 +298,32 @@
   }
 
   #noteRole (effect: Extract<RaftEffect, { type: 'role' }>): boolean {
-    if (effect.role === 'follower') this.#losePlaced()
+    if (effect.role === 'follower') this.#resolveAppendedAsLost()
     this.#host.noteRole(effect.role, effect.term, effect.leader)
     return false
   }
 
   // A replica that no longer leads can't say what becomes of its proposals.
-  #losePlaced (): void {
-    for (const pending of this.#placed.values()) pending.resolve({ type: 'lost' })
-    this.#placed.clear()
+  #resolveAppendedAsLost (): void {
+    for (const proposal of this.#appended.values()) proposal.resolve({ type: 'lost' })
+    this.#appended.clear()
   }
 
   #compact (persists: PersistEffect[]): void {
     const { node } = this
-    const isDue = node.compactable >= this.#host.snapshotEvery || (node.compactable > 0 && this.#store.isGrown)
+    const isDue = node.compactable >= this.#host.snapshotEvery || (node.compactable > 0 && this.#store.isOversized)
     if (!isDue) return
     const state = this.#host.machine.save()
     this.#step({ type: 'compact', at: this.#host.now(), index: node.appliedIndex, state }, persists)
   }
 
-  #giveUp (): void {
-    this.#losePlaced()
+  #rejectPending (): void {
+    this.#resolveAppendedAsLost()
     for (const resolve of this.#proposals.values()) resolve({ type: 'rejected', fault: 'not-leader' })
     this.#proposals.clear()
     for (const resolve of this.#reads.values()) resolve(false)
     this.#reads.clear()
-    for (const { resolve } of this.#readsAt) resolve(false)
-    this.#readsAt = []
+    for (const { resolve } of this.#readsByIndex) resolve(false)
+    this.#readsByIndex = []
   }
 }
--- a/src/coordination/members/member-news.ts
+++ b/src/coordination/members/member-news.ts
@@ -1,32 +1,32 @@
 import type { Member } from './member.js'
 
 /** Members in the news of one message: it stays within one datagram. */
-const newsPerMessage = 8
+const maxUpdatesPerMessage = 8
 
-interface News {
+interface QueuedUpdate {
   readonly member: Member
-  left: number
+  sendsLeft: number
 }
 
 /** News of members that goes along with messages: in turn, each a set number of times. */
-export class MemberNews {
-  #news = new Map<string, News>()
+export class UpdateQueue {
+  #updates = new Map<string, QueuedUpdate>()
 
   /** Puts news of a member in place of what was told of it before. */
-  spread (member: Member, times: number): void {
-    this.#news.set(member.id, { member, left: times })
+  enqueue (member: Member, sends: number): void {
+    this.#updates.set(member.id, { member, sendsLeft: sends })
   }
 
   /** The news for one message. */
-  take (): Member[] {
-    const news: Member[] = []
-    for (const [id, item] of [...this.#news]) {
-      if (news.length >= newsPerMessage) break
-      news.push(item.member)
-      item.left -= 1
-      this.#news.delete(id)
-      if (item.left > 0) this.#news.set(id, item)
+  dequeue (): Member[] {
+    const updates: Member[] = []
+    for (const [id, update] of [...this.#updates]) {
+      if (updates.length >= maxUpdatesPerMessage) break
+      updates.push(update.member)
+      update.sendsLeft -= 1
+      this.#updates.delete(id)
+      if (update.sendsLeft > 0) this.#updates.set(id, update)
     }
-    return news
+    return updates
   }
 }
--- a/src/coordination/members/member.ts
+++ b/src/coordination/members/member.ts
@@ -14,7 +14,7 @@
   readonly version: number
 }
 
-const rank: Readonly<Record<MemberState, number>> = { alive: 0, suspect: 1, leaving: 2, gone: 3 }
+const statePrecedence: Readonly<Record<MemberState, number>> = { alive: 0, suspect: 1, leaving: 2, gone: 3 }
 
 /** True where `next` is newer word of the same box than `known`. */
 export function isNewer (next: Member, known: Member): boolean {
@@ -24,5 +24,5 @@
   if (known.state === 'leaving') return next.state === 'gone'
   if (next.state === 'leaving' || next.state === 'gone') return true
   if (next.version !== known.version) return next.version > known.version
-  return rank[next.state] > rank[known.state]
+  return statePrecedence[next.state] > statePrecedence[known.state]
 }
--- a/src/coordination/members/membership.ts
+++ b/src/coordination/members/membership.ts
@@ -9,39 +9,39 @@
 import type { Member } from './member.js'
 import { MemberDigest } from './member-digest.js'
 import type { MemberAddress, MemberEffect, MemberEvent, MemberMessage } from './member-message.js'
-import { MemberNews } from './member-news.js'
+import { UpdateQueue } from './member-news.js'
 
 /** Times and counts of the protocol. */
 export interface MembershipTuning {
-  readonly periodMs: number
-  readonly ackMs: number
-  readonly suspectMs: number
+  readonly probePeriodMs: number
+  readonly ackTimeoutMs: number
+  readonly suspicionMs: number
   /** How long a box that is gone is remembered, so that old news can't bring it back. */
-  readonly rememberMs: number
-  readonly helpers: number
+  readonly goneRetentionMs: number
+  readonly indirectProbes: number
 }
 
 /** Tuning that finds a dead box within 3 to 5 s. */
 export const defaultMembershipTuning: MembershipTuning = {
-  periodMs: 500,
-  ackMs: 150,
-  suspectMs: 2000,
-  rememberMs: 600_000,
-  helpers: 3
+  probePeriodMs: 500,
+  ackTimeoutMs: 150,
+  suspicionMs: 2000,
+  goneRetentionMs: 600_000,
+  indirectProbes: 3
 }
 
 /** Boxes that a leaving one tells at once. */
-const toldOfLeaving = 8
+const maxLeaveNotifications = 8
 /** Members in one datagram of a whole state: it stays below what networks carry in one piece. */
-const membersPerState = 12
+const maxMembersPerDatagram = 12
 /** The whole state is asked for at most this often, ms. */
-const askEveryMs = 2000
+const stateRequestIntervalMs = 2000
 // Others ask for the whole state too, so what came with it is hardly news.
-const timesAfterState = 1
+const sendsAfterStateTransfer = 1
 /** A box that is gone is tried this often, ms. */
-const reviveEveryMs = 4000
+const gonePingIntervalMs = 4000
 /** A box counts as at most so unwell itself; it then waits twice as long before it gives others up. */
-const worstHealth = 8
+const maxHealthScore = 8
 
 interface Probe {
   readonly target: string
@@ -50,7 +50,7 @@
   indirect: boolean
 }
 
-interface Relay {
+interface RelayedPing {
   readonly to: MemberAddress
   readonly number: number
   readonly at: number
@@ -64,15 +64,15 @@
   #members = new Map<string, Member>()
   #suspectAt = new Map<string, number>()
   #goneAt = new Map<string, number>()
-  #order: string[] = []
+  #probeOrder: string[] = []
   #probe: Probe | null = null
-  #relays = new Map<number, Relay>()
-  #news = new MemberNews()
+  #relayedPings = new Map<number, RelayedPing>()
+  #updates = new UpdateQueue()
   #number = 0
-  #periodAt = 0
-  #askAt = 0
-  #reviveAt = 0
-  #health = 0
+  #nextPeriodAt = 0
+  #nextStateRequestAt = 0
+  #nextGonePingAt = 0
+  #healthScore = 0
   #digest = new MemberDigest()
   #now = 0
   #effects: MemberEffect[] = []
@@ -114,29 +114,29 @@
   }
 
   #tick (): void {
-    this.#checkProbe()
+    this.#probeIndirectly()
     this.#expire()
-    if (this.#now < this.#periodAt) return
-    this.#periodAt = this.#now + this.#tuning.periodMs
+    if (this.#now < this.#nextPeriodAt) return
+    this.#nextPeriodAt = this.#now + this.#tuning.probePeriodMs
     this.#failProbe()
     this.#startProbe()
-    this.#tryGone()
+    this.#pingGoneMember()
   }
 
   // Probing, in a random order that is drawn anew after each round.
 
   #startProbe (): void {
-    const target = this.#nextTarget()
+    const target = this.#pickTarget()
     if (target === undefined) return this.#pingSeed()
     this.#number += 1
     this.#probe = { target: target.id, number: this.#number, sentAt: this.#now, indirect: false }
     this.#sendPing(target, this.#number)
   }
 
-  #nextTarget (): Member | undefined {
+  #pickTarget (): Member | undefined {
     for (let tries = this.#members.size; tries >= 0; tries--) {
-      if (this.#order.length === 0) this.#order = this.#shuffle([...this.#members.keys()])
-      const member = this.#members.get(this.#order.pop() ?? '')
+      if (this.#probeOrder.length === 0) this.#probeOrder = this.#shuffle([...this.#members.keys()])
+      const member = this.#members.get(this.#probeOrder.pop() ?? '')
       if (member !== undefined && member.state !== 'gone') return member
     }
     return undefined
@@ -151,82 +151,82 @@
 
   // After a cut both sides think the other gone: now and then one of them is
   // asked, and a box that hears that it is thought gone comes back as a new one.
-  #tryGone (): void {
-    if (this.#now < this.#reviveAt || this.#goneAt.size === 0) return
-    this.#reviveAt = this.#now + reviveEveryMs
+  #pingGoneMember (): void {
+    if (this.#now < this.#nextGonePingAt || this.#goneAt.size === 0) return
+    this.#nextGonePingAt = this.#now + gonePingIntervalMs
     const gone = [...this.#goneAt.keys()]
     const member = this.#members.get(gone[Math.floor(this.#random() * gone.length)])
     if (member === undefined) return
     this.#number += 1
-    this.#spread(member)
+    this.#enqueueUpdate(member)
     this.#sendPing(member, this.#number)
   }
 
-  #checkProbe (): void {
+  #probeIndirectly (): void {
     const probe = this.#probe
-    if (probe === null || probe.indirect || this.#now - probe.sentAt < this.#tuning.ackMs) return
+    if (probe === null || probe.indirect || this.#now - probe.sentAt < this.#tuning.ackTimeoutMs) return
     probe.indirect = true
-    for (const helper of this.#drawHelpers(probe.target)) {
-      this.#send(helper, { type: 'probe', from: this.#self, number: probe.number, target: probe.target, news: this.#news.take() })
+    for (const relay of this.#pickRelays(probe.target)) {
+      this.#send(relay, { type: 'probe', from: this.#self, number: probe.number, target: probe.target, news: this.#updates.dequeue() })
     }
   }
 
-  #drawHelpers (target: string): Member[] {
+  #pickRelays (target: string): Member[] {
     const others = [...this.#members.values()].filter(member => member.id !== target && member.state === 'alive')
-    return this.#shuffle(others).slice(0, this.#tuning.helpers)
+    return this.#shuffle(others).slice(0, this.#tuning.indirectProbes)
   }
 
   #failProbe (): void {
     const probe = this.#probe
     this.#probe = null
     if (probe === null) return
-    this.#health = Math.min(worstHealth, this.#health + 1)
+    this.#healthScore = Math.min(maxHealthScore, this.#healthScore + 1)
     const member = this.#members.get(probe.target)
     if (member === undefined || member.state === 'gone') return
     if (member.state === 'leaving') this.#suspectAt.set(member.id, this.#suspectAt.get(member.id) ?? this.#now)
-    else if (member.state === 'alive') this.#learn({ ...member, state: 'suspect' })
+    else if (member.state === 'alive') this.#applyUpdate({ ...member, state: 'suspect' })
   }
 
   #expire (): void {
-    const waitMs = this.#tuning.suspectMs * (1 + this.#health / worstHealth)
+    const suspicionMs = this.#tuning.suspicionMs * (1 + this.#healthScore / maxHealthScore)
     for (const [id, since] of this.#suspectAt) {
       const member = this.#members.get(id)
-      if (this.#now - since < waitMs || member === undefined) continue
-      this.#learn({ ...member, state: 'gone' })
+      if (this.#now - since < suspicionMs || member === undefined) continue
+      this.#applyUpdate({ ...member, state: 'gone' })
     }
     for (const [id, since] of this.#goneAt) {
-      if (this.#now - since < this.#tuning.rememberMs) continue
+      if (this.#now - since < this.#tuning.goneRetentionMs) continue
       this.#goneAt.delete(id)
       this.#members.delete(id)
     }
-    for (const [number, relay] of this.#relays) {
-      if (this.#now - relay.at > this.#tuning.periodMs * 4) this.#relays.delete(number)
+    for (const [number, relay] of this.#relayedPings) {
+      if (this.#now - relay.at > this.#tuning.probePeriodMs * 4) this.#relayedPings.delete(number)
     }
   }
 
   // Messages.
 
   #receive (message: MemberMessage): void {
-    this.#learn(message.from)
-    const times = message.type === 'state' ? timesAfterState : this.#spreadTimes
-    if (message.type !== 'ask') for (const member of message.news) this.#learn(member, times)
+    this.#applyUpdate(message.from)
+    const sends = message.type === 'state' ? sendsAfterStateTransfer : this.#sendsPerUpdate
+    if (message.type !== 'ask') for (const member of message.news) this.#applyUpdate(member, sends)
     switch (message.type) {
       case 'ping':
-        this.#tellIfDoubted(message.from)
-        this.#send(message.from, { type: 'ack', from: this.#self, number: message.number, news: this.#news.take(), digest: this.#digest.compute(this.#self) })
-        return this.#compare(message.from, message.digest)
+        this.#notifyIfSuspected(message.from)
+        this.#send(message.from, { type: 'ack', from: this.#self, number: message.number, news: this.#updates.dequeue(), digest: this.#digest.compute(this.#self) })
+        return this.#compareDigest(message.from, message.digest)
       case 'ack':
         this.#noteAck(message.number)
-        this.#tellIfDoubted(message.from)
-        return this.#compare(message.from, message.digest)
-      case 'probe': return this.#relay(message)
-      case 'ask': return this.#tellAll(message.from)
+        this.#notifyIfSuspected(message.from)
+        return this.#compareDigest(message.from, message.digest)
+      case 'probe': return this.#relayPing(message)
+      case 'ask': return this.#sendFullState(message.from)
       case 'state':
     }
   }
 
   // A box that is heard from while it is doubted is told so, and can refute it.
-  #tellIfDoubted (from: Member): void {
+  #notifyIfSuspected (from: Member): void {
     const known = this.#members.get(from.id)
     if (known === undefined || known.incarnation !== from.incarnation) return
     if (known.state !== 'suspect' && known.state !== 'gone') return
@@ -236,88 +236,88 @@
   #noteAck (number: number): void {
     if (this.#probe?.number === number) {
       this.#probe = null
-      this.#health = Math.max(0, this.#health - 1)
+      this.#healthScore = Math.max(0, this.#healthScore - 1)
     }
-    const relay = this.#relays.get(number)
+    const relay = this.#relayedPings.get(number)
     if (relay === undefined) return
-    this.#relays.delete(number)
-    this.#send(relay.to, { type: 'ack', from: this.#self, number: relay.number, news: this.#news.take(), digest: this.#digest.compute(this.#self) })
+    this.#relayedPings.delete(number)
+    this.#send(relay.to, { type: 'ack', from: this.#self, number: relay.number, news: this.#updates.dequeue(), digest: this.#digest.compute(this.#self) })
   }
 
-  #relay (message: Extract<MemberMessage, { type: 'probe' }>): void {
+  #relayPing (message: Extract<MemberMessage, { type: 'probe' }>): void {
     const target = this.#members.get(message.target)
     if (target === undefined) return
     this.#number += 1
-    this.#relays.set(this.#number, { to: message.from, number: message.number, at: this.#now })
+    this.#relayedPings.set(this.#number, { to: message.from, number: message.number, at: this.#now })
     this.#sendPing(target, this.#number)
   }
 
   // Where the other knows something else, everything is asked for, now and then.
-  #compare (from: Member, digest: number): void {
-    if (digest === this.#digest.compute(this.#self) || this.#now < this.#askAt) return
-    this.#askAt = this.#now + askEveryMs
+  #compareDigest (from: Member, digest: number): void {
+    if (digest === this.#digest.compute(this.#self) || this.#now < this.#nextStateRequestAt) return
+    this.#nextStateRequestAt = this.#now + stateRequestIntervalMs
     this.#send(from, { type: 'ask', from: this.#self })
   }
 
-  #tellAll (to: Member): void {
+  #sendFullState (to: Member): void {
     const all = this.members
-    for (let i = 0; i < all.length; i += membersPerState) {
-      this.#send(to, { type: 'state', from: this.#self, news: all.slice(i, i + membersPerState) })
+    for (let i = 0; i < all.length; i += maxMembersPerDatagram) {
+      this.#send(to, { type: 'state', from: this.#self, news: all.slice(i, i + maxMembersPerDatagram) })
     }
   }
 
   // Learning and spreading.
 
-  #learn (next: Member, times = this.#spreadTimes): void {
-    if (next.id === this.#self.id) return this.#learnOfSelf(next)
+  #applyUpdate (next: Member, sends = this.#sendsPerUpdate): void {
+    if (next.id === this.#self.id) return this.#applyUpdateAboutSelf(next)
     const known = this.#members.get(next.id)
     if (known !== undefined && !isNewer(next, known)) return
     if (known === undefined && next.state === 'gone') return
     this.#digest.replace(known, next)
     this.#members.set(next.id, next)
-    this.#noteState(next)
-    this.#spread(next, times)
+    this.#trackState(next)
+    this.#enqueueUpdate(next, sends)
     const before = known?.incarnation === next.incarnation ? known.state : null
     if (before !== next.state || known === undefined) this.#effects.push({ type: 'changed', member: next, before })
   }
 
-  #noteState (member: Member): void {
+  #trackState (member: Member): void {
     this.#goneAt.delete(member.id)
     if (member.state === 'gone') this.#goneAt.set(member.id, this.#now)
     if (member.state === 'suspect') this.#suspectAt.set(member.id, this.#now)
     else this.#suspectAt.delete(member.id)
   }
 
-  #learnOfSelf (word: Member): void {
-    if (word.incarnation !== this.#self.incarnation || word.state === this.#self.state) return
+  #applyUpdateAboutSelf (update: Member): void {
+    if (update.incarnation !== this.#self.incarnation || update.state === this.#self.state) return
     if (this.#self.state === 'leaving') return
-    if (word.state !== 'suspect' && word.state !== 'gone') return
+    if (update.state !== 'suspect' && update.state !== 'gone') return
     // An older suspicion is refuted already; "gone" holds whatever the version.
-    if (word.state === 'suspect' && word.version < this.#self.version) return
+    if (update.state === 'suspect' && update.version < this.#self.version) return
     // "Gone" can't be refuted by a version; the box comes back as a new one.
-    const incarnation = word.state === 'gone' ? this.#self.incarnation + 1 : this.#self.incarnation
-    this.#self = { ...this.#self, incarnation, version: Math.max(this.#self.version, word.version) + 1 }
-    this.#health = Math.min(worstHealth, this.#health + 1)
-    this.#spread(this.#self)
+    const incarnation = update.state === 'gone' ? this.#self.incarnation + 1 : this.#self.incarnation
+    this.#self = { ...this.#self, incarnation, version: Math.max(this.#self.version, update.version) + 1 }
+    this.#healthScore = Math.min(maxHealthScore, this.#healthScore + 1)
+    this.#enqueueUpdate(this.#self)
   }
 
   #leave (): void {
     this.#self = { ...this.#self, state: 'leaving', version: this.#self.version + 1 }
-    this.#spread(this.#self)
-    for (const member of this.#shuffle([...this.#members.values()]).slice(0, toldOfLeaving)) {
+    this.#enqueueUpdate(this.#self)
+    for (const member of this.#shuffle([...this.#members.values()]).slice(0, maxLeaveNotifications)) {
       this.#number += 1
       this.#sendPing(member, this.#number)
     }
   }
 
-  get #spreadTimes (): number { return 3 * Math.ceil(Math.log2(this.#members.size + 2)) }
+  get #sendsPerUpdate (): number { return 3 * Math.ceil(Math.log2(this.#members.size + 2)) }
 
-  #spread (member: Member, times = this.#spreadTimes): void {
-    this.#news.spread(member, times)
+  #enqueueUpdate (member: Member, sends = this.#sendsPerUpdate): void {
+    this.#updates.enqueue(member, sends)
   }
 
   #sendPing (to: MemberAddress, number: number): void {
-    this.#send(to, { type: 'ping', from: this.#self, number, news: this.#news.take(), digest: this.#digest.compute(this.#self) })
+    this.#send(to, { type: 'ping', from: this.#self, number, news: this.#updates.dequeue(), digest: this.#digest.compute(this.#self) })
   }
 
   #send (to: MemberAddress, message: MemberMessage): void {
--- a/src/coordination/spread/document-pull.ts
+++ b/src/coordination/spread/document-pull.ts
@@ -35,39 +35,39 @@
   readonly why: PullReason
 }
 
-interface Asked<Holder> {
+interface PendingRequest<Holder> {
   readonly holder: Holder
-  readonly at: number
-  readonly patienceMs: number
+  readonly sentAt: number
+  readonly timeoutMs: number
 }
 
 export class DocumentPull<Holder> {
-  #patience: PullPatience
-  #named = new Map<Holder, number>()
-  #asked: Asked<Holder> | null = null
+  #timeouts: PullPatience
+  #advertised = new Map<Holder, number>()
+  #pending: PendingRequest<Holder> | null = null
   /** Holders that were asked in vain since a document last came. */
-  #vain = new Set<Holder>()
+  #failed = new Set<Holder>()
 
-  constructor (patience: PullPatience) {
-    this.#patience = patience
+  constructor (timeouts: PullPatience) {
+    this.#timeouts = timeouts
   }
 
   /** Holders that said which version they have. */
-  get namedCount (): number { return this.#named.size }
+  get namedCount (): number { return this.#advertised.size }
 
   /** Takes a holder's word of the newest version that it has. */
-  noteNamed (holder: Holder, version: number): void { this.#named.set(holder, version) }
+  noteNamed (holder: Holder, version: number): void { this.#advertised.set(holder, version) }
 
   /** Takes word that an answer came, whether or not it could be used. */
   noteAnswer (): void {
-    this.#asked = null
-    this.#vain.clear()
+    this.#pending = null
+    this.#failed.clear()
   }
 
   /** Forgets a holder whose link ended. */
   forget (holder: Holder): void {
-    this.#named.delete(holder)
-    this.#vain.delete(holder)
+    this.#advertised.delete(holder)
+    this.#failed.delete(holder)
   }
 
   /**
@@ -75,43 +75,43 @@
    * to be asked. What is given counts as asked. `draw`, from 0 up to 1, parts
    * holders that are alike.
    */
-  choose (held: number, at: number, draw: number, look: (holder: Holder) => HolderState): PullChoice<Holder> | null {
-    const why = this.#explain(at, look)
+  choose (held: number, at: number, random: number, getState: (holder: Holder) => HolderState): PullChoice<Holder> | null {
+    const why = this.#findReason(at, getState)
     if (why === null) return null
-    if (why !== 'newer' && this.#asked !== null) this.#vain.add(this.#asked.holder)
-    const able = [...this.#named].filter(([holder, version]) => version > held && look(holder).isHeard)
-    const holder = pickHolder(able, this.#vain, draw, look)
+    if (why !== 'newer' && this.#pending !== null) this.#failed.add(this.#pending.holder)
+    const candidates = [...this.#advertised].filter(([holder, version]) => version > held && getState(holder).isHeard)
+    const holder = pickHolder(candidates, this.#failed, random, getState)
     if (holder === null) return null
-    this.#asked = { holder, at, patienceMs: this.#findPatience(why) }
-    return { holder, version: this.#named.get(holder) ?? 0, why }
+    this.#pending = { holder, sentAt: at, timeoutMs: this.#computeTimeoutMs(why) }
+    return { holder, version: this.#advertised.get(holder) ?? 0, why }
   }
 
   // Null while the one that was asked is waited for.
-  #explain (at: number, look: (holder: Holder) => HolderState): PullReason | null {
-    if (this.#asked === null) return 'newer'
-    const { holder, at: askedAt, patienceMs } = this.#asked
-    if (!this.#named.has(holder)) return 'ended'
-    if (!look(holder).isHeard) return 'silent'
-    return at - askedAt >= patienceMs ? 'overdue' : null
+  #findReason (at: number, getState: (holder: Holder) => HolderState): PullReason | null {
+    if (this.#pending === null) return 'newer'
+    const { holder, sentAt: sentAt, timeoutMs: timeoutMs } = this.#pending
+    if (!this.#advertised.has(holder)) return 'ended'
+    if (!getState(holder).isHeard) return 'silent'
+    return at - sentAt >= timeoutMs ? 'overdue' : null
   }
 
-  #findPatience (why: PullReason): number {
-    const { firstMs, longestMs } = this.#patience
-    if (why !== 'overdue' || this.#asked === null) return firstMs
-    return Math.min(longestMs, this.#asked.patienceMs * 2)
+  #computeTimeoutMs (why: PullReason): number {
+    const { firstMs, longestMs } = this.#timeouts
+    if (why !== 'overdue' || this.#pending === null) return firstMs
+    return Math.min(longestMs, this.#pending.timeoutMs * 2)
   }
 }
 
 // The newest version first, then those not asked in vain, then the near ones, then by lot.
-function pickHolder<Holder> (able: readonly (readonly [Holder, number])[], vain: ReadonlySet<Holder>, draw: number, look: (holder: Holder) => HolderState): Holder | null {
-  const newest = Math.max(...able.map(([, version]) => version))
-  let holders = able.filter(([, version]) => version === newest).map(([holder]) => holder)
-  holders = pickThose(holders, holder => !vain.has(holder))
-  holders = pickThose(holders, holder => look(holder).isNear)
-  return holders.length === 0 ? null : holders[Math.floor(draw * holders.length)]
+function pickHolder<Holder> (candidates: readonly (readonly [Holder, number])[], failed: ReadonlySet<Holder>, random: number, getState: (holder: Holder) => HolderState): Holder | null {
+  const newest = Math.max(...candidates.map(([, version]) => version))
+  let holders = candidates.filter(([, version]) => version === newest).map(([holder]) => holder)
+  holders = preferMatching(holders, holder => !failed.has(holder))
+  holders = preferMatching(holders, holder => getState(holder).isNear)
+  return holders.length === 0 ? null : holders[Math.floor(random * holders.length)]
 }
 
-function pickThose<T> (all: T[], is: (one: T) => boolean): T[] {
-  const some = all.filter(is)
-  return some.length > 0 ? some : all
+function preferMatching<T> (all: T[], isPreferred: (one: T) => boolean): T[] {
+  const matching = all.filter(isPreferred)
+  return matching.length > 0 ? matching : all
 }
--- a/src/coordination/spread/text-patch.ts
+++ b/src/coordination/spread/text-patch.ts
@@ -22,19 +22,19 @@
 
 /** The steps that lead from the older text to the newer one. */
 export function compareTexts (older: string, newer: string): PatchStep[] {
-  const known = cutSegments(older)
-  const places = new Map(known.map(({ text }, place) => [text, place]))
+  const olderSegments = splitSegments(older)
+  const indexByText = new Map(olderSegments.map(({ text }, index) => [text, index]))
   const steps: PatchStep[] = []
-  let following = 0
-  for (const { text } of cutSegments(newer)) {
-    const place = known[following]?.text === text ? following : places.get(text)
-    if (place === undefined) {
-      addText(steps, text)
+  let nextIndex = 0
+  for (const { text } of splitSegments(newer)) {
+    const index = olderSegments[nextIndex]?.text === text ? nextIndex : indexByText.get(text)
+    if (index === undefined) {
+      appendAdd(steps, text)
       continue
     }
-    const { from } = known[place]
-    keepPart(steps, from, from + text.length)
-    following = place + 1
+    const { from } = olderSegments[index]
+    appendKeep(steps, from, from + text.length)
+    nextIndex = index + 1
   }
   return steps
 }
@@ -49,12 +49,12 @@
   }).join('')
 }
 
-function cutSegments (text: string): Segment[] {
+function splitSegments (text: string): Segment[] {
   const segments: Segment[] = []
   let from = 0
   while (from < text.length) {
-    const next = text.indexOf(objectStart, from + 1)
-    const to = next < 0 ? text.length : next
+    const nextStart = text.indexOf(objectStart, from + 1)
+    const to = nextStart < 0 ? text.length : nextStart
     segments.push({ text: text.slice(from, to), from })
     from = to
   }
@@ -62,13 +62,13 @@
 }
 
 // Parts that follow one another become one step.
-function keepPart (steps: PatchStep[], from: number, to: number): void {
+function appendKeep (steps: PatchStep[], from: number, to: number): void {
   const last = steps[steps.length - 1]
   if (last?.type === 'keep' && last.to === from) steps[steps.length - 1] = { type: 'keep', from: last.from, to }
   else steps.push({ type: 'keep', from, to })
 }
 
-function addText (steps: PatchStep[], text: string): void {
+function appendAdd (steps: PatchStep[], text: string): void {
   const last = steps[steps.length - 1]
   if (last?.type === 'add') steps[steps.length - 1] = { type: 'add', text: last.text + text }
   else steps.push({ type: 'add', text })
--- a/src/coordination/usage/usage-book.ts
+++ b/src/coordination/usage/usage-book.ts
@@ -19,43 +19,43 @@
 interface Source {
   through: number
   /** When the news of it came, on the rising clock of this box, ms. */
-  heardAt: number
+  updatedAt: number
   readonly windows: Map<UsageWindow, Map<string, number>>
   /** Windows that have changed since news was last taken; `isNews` also where `through` alone has. */
-  changed: Set<UsageWindow>
-  isNews: boolean
+  changedWindows: Set<UsageWindow>
+  hasChanges: boolean
 }
 
 /** A source without windows that was silent for so long is forgotten, ms: it ended, or has nothing to tell that could still be reported. */
-const forgetMs = 60_000
+const idleSourceMs = 60_000
 
 export class UsageBook {
   #sources = new Map<string, Source>()
 
   note ({ source: name, through, windows }: UsageTelling, at: number): void {
-    const source = this.#open(name, at)
-    source.heardAt = at
-    if (through > source.through) source.isNews = true
+    const source = this.#getSource(name, at)
+    source.updatedAt = at
+    if (through > source.through) source.hasChanges = true
     source.through = Math.max(source.through, through)
-    for (const [window, counts] of windows) this.#noteWindow(source, window, counts)
+    for (const [window, counts] of windows) this.#mergeWindow(source, window, counts)
   }
 
-  #open (name: string, at: number): Source {
+  #getSource (name: string, at: number): Source {
     const known = this.#sources.get(name)
     if (known !== undefined) return known
-    const source: Source = { through: 0, heardAt: at, windows: new Map(), changed: new Set(), isNews: true }
+    const source: Source = { through: 0, updatedAt: at, windows: new Map(), changedWindows: new Set(), hasChanges: true }
     this.#sources.set(name, source)
     return source
   }
 
-  #noteWindow (source: Source, window: UsageWindow, counts: UsageCounts): void {
+  #mergeWindow (source: Source, window: UsageWindow, counts: UsageCounts): void {
     const known = source.windows.get(window) ?? new Map<string, number>()
     source.windows.set(window, known)
     for (const [workspace, requests] of counts) {
       if (requests <= (known.get(workspace) ?? 0)) continue
       known.set(workspace, requests)
-      source.changed.add(window)
-      source.isNews = true
+      source.changedWindows.add(window)
+      source.hasChanges = true
     }
   }
 
@@ -70,27 +70,27 @@
 
   /** Sources that were heard since `since`, on the clock of `note`, and have not told all before true time `until`. */
   countBehind (until: number, since: number): number {
-    return [...this.#sources.values()].filter(({ through, heardAt }) => heardAt >= since && through < until).length
+    return [...this.#sources.values()].filter(({ through, updatedAt: heardAt }) => heardAt >= since && through < until).length
   }
 
   /** What is new since the last call, or with `all` everything, for another box. */
   takeNews (all: boolean): UsageTelling[] {
-    const told: UsageTelling[] = []
+    const updates: UsageTelling[] = []
     for (const [name, source] of this.#sources) {
-      if (!all && !source.isNews) continue
-      const windows = [...source.windows].filter(([window]) => all || source.changed.has(window))
-      told.push({ source: name, through: source.through, windows: windows.map(([window, counts]) => [window, [...counts]]) })
-      source.changed = new Set()
-      source.isNews = false
+      if (!all && !source.hasChanges) continue
+      const windows = [...source.windows].filter(([window]) => all || source.changedWindows.has(window))
+      updates.push({ source: name, through: source.through, windows: windows.map(([window, counts]) => [window, [...counts]]) })
+      source.changedWindows = new Set()
+      source.hasChanges = false
     }
-    return told
+    return updates
   }
 
   /** Drops windows before `first`, and sources that have none and were silent. */
   forget (first: UsageWindow, at: number): void {
-    for (const [name, { windows, heardAt }] of this.#sources) {
+    for (const [name, { windows, updatedAt: heardAt }] of this.#sources) {
       for (const window of windows.keys()) if (window < first) windows.delete(window)
-      if (windows.size === 0 && at - heardAt > forgetMs) this.#sources.delete(name)
+      if (windows.size === 0 && at - heardAt > idleSourceMs) this.#sources.delete(name)
     }
   }
 }
--- a/src/coordination/usage/usage-ledger.ts
+++ b/src/coordination/usage/usage-ledger.ts
@@ -34,7 +34,7 @@
 export type UsageLedgerState = readonly SettledWindow[]
 
 /** Windows that are kept: two minutes of windows of 5 s, for operators and for reports that wait for the other side. */
-const mostKept = 24
+const maxWindows = 24
 
 export class UsageLedger {
   #windows: SettledWindow[]
@@ -62,7 +62,7 @@
     if (known !== undefined) return { type: 'settled', settled: known }
     if (this.#windows.length > 0 && window < this.#windows[0].window) return { type: 'closed' }
     const settled: SettledWindow = { window, counts, isReported: false }
-    this.#windows = [...this.#windows, settled].sort((a, b) => a.window - b.window).slice(-mostKept)
+    this.#windows = [...this.#windows, settled].sort((a, b) => a.window - b.window).slice(-maxWindows)
     return { type: 'settled', settled }
   }
 
--- a/test/claim-table.test.ts
+++ b/test/claim-table.test.ts
@@ -4,7 +4,7 @@
 import { ClaimTable } from '../src/coordination/index.js'
 import type { ClaimCommand, ClaimKey, ClaimResult, StoredAnswer } from '../src/coordination/index.js'
 
-const bounds = { keepMs: 10_000, answerBytes: 200, oneAnswerBytes: 100 }
+const bounds = { retentionMs: 10_000, maxTotalAnswerBytes: 200, maxAnswerBytes: 100 }
 const key: ClaimKey = { workspace: 'w', service: 's', key: 'k' }
 const answer = (size = 10): StoredAnswer => ({ status: 200, contentType: 'text/plain', body: Buffer.alloc(size, 1) })
 const claim = (attempt: string, digest = 'd', of = key): ClaimCommand => ({ type: 'claim', key: of, digest, attempt, ttlMs: 1000 })
@@ -97,7 +97,7 @@
     let granted = new Set<string>()
     for (const [one, passed, snapshot] of steps) {
       now += passed
-      if (now > bounds.keepMs) return
+      if (now > bounds.retentionMs) return
       if (snapshot) table = new ClaimTable(bounds, table.save())
       const result = table.apply(one, now).type
       if (one.type === 'withdraw') granted = new Set([...granted].filter(name => name !== one.attempt))
--- a/test/leases.test.ts
+++ b/test/leases.test.ts
@@ -74,8 +74,8 @@
   // The first has started again meanwhile, and knows only what the log says.
   const again = new LeaseHolder('duty', 'a', timing, both(1600))
   again.observe(book.find('duty'), both(1650))
-  assert.equal(again.decide(both(1600 + timing.coolMs - 1), true), null)
-  assert.equal(again.decide(both(1600 + timing.coolMs), true)?.type, 'claim')
+  assert.equal(again.decide(both(1600 + timing.cooldownMs - 1), true), null)
+  assert.equal(again.decide(both(1600 + timing.cooldownMs), true)?.type, 'claim')
 })
 
 test('one that started again is not the holder that it was', () => {
