--- a/src/coordination/claims/claim-table.ts
+++ b/src/coordination/claims/claim-table.ts
@@ -1,17 +1,17 @@
 /**
- * The claims of calls that may not be repeated, as a state machine of the
- * replicated log. Time is the entry's agreed time, so every replica expires the
- * same claims at the same entry.
+ * Idempotency claims for calls that must not run twice, as a state machine on
+ * the replicated log. Time is taken from the log entry, so every replica expires
+ * the same claims at the same entry.
  */
 import type { AttemptId, ClaimCommand, ClaimKey, ClaimResult, ClaimState, StoredAnswer } from './claim-types.js'
 
-/** Bounds on what is kept. */
+/** Retention and size limits. */
 export interface ClaimBounds {
-  /** How long a finished claim and its answer are kept, ms. */
+  /** How long a finished claim and its stored answer are retained, ms. */
   readonly retentionMs: number
-  /** Bytes of stored answers; beyond it the oldest lose their bodies. */
+  /** Total size of the stored answer bodies; beyond it the oldest bodies are evicted. */
   readonly maxTotalAnswerBytes: number
-  /** Bytes of one answer; a larger one is not kept. */
+  /** Size of one answer body; a larger one is not stored. */
   readonly maxAnswerBytes: number
 }
 
@@ -25,7 +25,7 @@
   readonly withdrawnAt: number
 }
 
-/** The table as it stands in a snapshot. */
+/** The table as stored in a snapshot. */
 export interface ClaimTableState {
   readonly claims: readonly (readonly [string, string, ClaimState, number])[]
   readonly withdrawn: readonly (readonly [string, number])[]
@@ -37,20 +37,20 @@
   #bounds: ClaimBounds
   #claims = new Map<string, ClaimRecord>()
   #tombstones = new Map<AttemptId, Tombstone>()
-  /** Names of claims with a stored answer, oldest first. */
+  /** Names of the claims with a stored answer, oldest first. */
   #namesWithAnswer = new Set<string>()
   #answerBytes = 0
 
   constructor (bounds: ClaimBounds, state: ClaimTableState = emptyClaimTable) {
     this.#bounds = bounds
-    for (const [name, digest, claim, changedAt] of state.claims) this.#put(name, { digest, state: claim, changedAt: changedAt })
-    for (const [attempt, withdrawnAt] of state.withdrawn) this.#tombstones.set(attempt, { withdrawnAt: withdrawnAt })
+    for (const [name, digest, claim, changedAt] of state.claims) this.#put(name, { digest, state: claim, changedAt })
+    for (const [attempt, withdrawnAt] of state.withdrawn) this.#tombstones.set(attempt, { withdrawnAt })
   }
 
   get size (): number { return this.#claims.size }
   get answerBytes (): number { return this.#answerBytes }
 
-  /** Carries out one command at agreed time `now`. */
+  /** Applies one command at the log entry's time `now`. */
   apply (command: ClaimCommand, now: number): ClaimResult {
     this.#expire(now)
     switch (command.type) {
@@ -60,7 +60,7 @@
     }
   }
 
-  /** The table for a snapshot. */
+  /** Returns the state to store in a snapshot. */
   save (): ClaimTableState {
     return {
       claims: [...this.#claims].map(([name, record]) => [name, record.digest, record.state, record.changedAt]),
@@ -91,7 +91,7 @@
           this.#put(name, { digest: existing.digest, state: { type: 'unknown' }, changedAt: now })
           return { type: 'unknown' }
         }
-        // The same attempt asks again after losing the answer.
+        // The same attempt retries because the reply to its first claim was lost.
         if (state.attempt === attempt) return { type: 'granted' }
         return { type: 'in-progress', untilMs: state.until - now }
     }
@@ -120,7 +120,7 @@
     return { type: 'answered', answer }
   }
 
-  // The map's order is the order of the last change, so both loops stop early.
+  // Both maps are ordered by the time of the last change, so the loops can stop at the first record that is not expired.
   #expire (now: number): void {
     for (const [name, record] of this.#claims) {
       if (now - record.changedAt <= this.#bounds.retentionMs) break
--- a/src/coordination/index.ts
+++ b/src/coordination/index.ts
@@ -1,7 +1,7 @@
 /**
- * Coordination parts for embedding: a replicated log, a ledger of
- * configuration, claims of calls that may not be repeated, leases on duties with
- * fencing numbers, and usage that is counted once.
+ * Coordination components for embedding: a replicated log, a configuration
+ * ledger, idempotency claims, leases on duties with fencing tokens, usage
+ * accounting that counts each request once, and group membership.
  */
 export * from './log/index.js'
 export * from './claims/claim-types.js'
--- a/src/coordination/keeper-log.ts
+++ b/src/coordination/keeper-log.ts
@@ -1,6 +1,6 @@
 /**
- * A keeper's replica with its disk and the state that it drives: what every
- * program that keeps state is built around.
+ * Combines a keeper's replica, its log store and the state machine that the log
+ * drives. Every program that holds replicated state is built on it.
  */
 import { performance } from 'node:perf_hooks'
 import { KeeperState, defaultBounds } from './keeper-state.js'
@@ -8,10 +8,10 @@
 import { LogStore, Replica } from './log/index.js'
 import type { DiskPatience, Members, ProposalEnd, RaftMessage, RaftTiming, ReplicaId, Snapshot } from './log/index.js'
 
-/** What a keeper's log needs of its program. */
+/** Callbacks and settings that the embedding program provides. */
 export interface KeeperLogHost {
   readonly timing: RaftTiming
-  /** A snapshot is taken after so many entries. */
+  /** Number of log entries after which a snapshot is taken. */
   readonly snapshotEvery: number
   send (to: ReplicaId, message: RaftMessage): void
   noteRole (role: string, term: number, leader: ReplicaId | null): void
@@ -20,14 +20,14 @@
   noteDiskFault (error: Error): void
 }
 
-/** Where a log lies and whose it is. */
+/** Location and owner of a log. */
 export interface KeeperLogOptions {
   readonly folder: string
-  /** The keeper's name, the first part of its replica's id. */
+  /** The keeper's name, used as the first part of the replica id. */
   readonly name: string
-  /** The second part, for a disk that is used for the first time; random where it is left out. */
+  /** Second part of the replica id when the folder is created; random if omitted. */
   readonly firstPart?: string
-  /** How to bear a disk that refuses writes; a keeper without it ends at the first refusal. */
+  /** How to retry failed disk writes; without it the replica stops at the first failure. */
   readonly patience?: DiskPatience
 }
 
@@ -43,7 +43,7 @@
     this.#host = host
   }
 
-  /** Opens the disk; starts the replica where a log was formed there. Throws where the log is damaged. */
+  /** Opens the store, and starts the replica if the store already holds a log. Throws if the log is damaged. */
   static async open (options: KeeperLogOptions, host: KeeperLogHost): Promise<KeeperLog> {
     const log = new KeeperLog(await LogStore.open(options.folder, options.name, options.firstPart, options.patience), host)
     if (log.isFormed) log.startReplica()
@@ -53,16 +53,16 @@
   get id (): ReplicaId { return this.#store.id }
   get store (): LogStore { return this.#store }
   get state (): KeeperState { return this.#stateMachine }
-  /** Null until a log is formed, or joined. */
+  /** Null until the replica is started. */
   get replica (): Replica | null { return this.#replica }
   get isFormed (): boolean { return this.#store.stored.snapshot !== null }
   get isForming (): boolean { return this.#forming }
   get isLeader (): boolean { return this.#replica?.isLeader === true }
   get leader (): ReplicaId | null { return this.#replica?.leader ?? null }
-  /** True where a leader is known and what was accepted before its term is applied here. */
+  /** True if a leader is known and everything accepted before its term has been applied here. */
   get isCurrent (): boolean { return this.#replica?.node.isCurrent === true }
 
-  /** Begins a new log with these members; every one of them must begin the same. */
+  /** Bootstraps a new log with the given members. Every member must bootstrap with the same list. False if the replica has started or is not a voter. */
   async form (members: Members): Promise<boolean> {
     if (this.#replica !== null || this.#forming || !members.voters.includes(this.id)) return false
     this.#forming = true
@@ -73,7 +73,7 @@
     return true
   }
 
-  /** Starts the replica: on an empty disk it waits to be let into a log that others formed. */
+  /** Starts the replica. With an empty store it waits until an existing group adds it as a member. */
   startReplica (): void {
     if (this.#replica !== null) return
     const host = this.#host
@@ -105,7 +105,7 @@
     return this.#replica.propose(command)
   }
 
-  /** True once the state is as new as this call; false where this replica can't be sure. */
+  /** Linearizable read barrier: resolves to true once the local state includes everything committed before this call, to false if this replica can't confirm that. */
   read (): Promise<boolean> {
     return this.#replica === null ? Promise.resolve(false) : this.#replica.read()
   }
--- a/src/coordination/keeper-state.ts
+++ b/src/coordination/keeper-state.ts
@@ -1,7 +1,6 @@
 /**
- * All that keepers agree on: the configuration, the claims, the leases on duties,
- * the usage and the routing document, as one state machine that a replicated log
- * drives.
+ * The replicated state of the keepers: configuration, claims, leases on duties,
+ * usage and the routing document, combined into one state machine on the log.
  */
 import { ClaimTable } from './claims/claim-table.js'
 import type { ClaimBounds, ClaimTableState } from './claims/claim-table.js'
@@ -16,7 +15,7 @@
 import { UsageLedger } from './usage/usage-ledger.js'
 import type { UsageCommand, UsageLedgerState, UsageResult } from './usage/usage-ledger.js'
 
-/** Any command that keepers agree on. */
+/** A command in the keepers' replicated log, addressed to one part of the state. */
 export type KeeperCommand =
   | { readonly part: 'claims', readonly command: ClaimCommand }
   | { readonly part: 'config', readonly command: LedgerCommand }
@@ -24,29 +23,28 @@
   | { readonly part: 'usage', readonly command: UsageCommand }
   | { readonly part: 'routing', readonly command: DocumentCommand }
 
-/** Any answer. */
+/** Result of a command. */
 export type KeeperResult = ClaimResult | LedgerResult | LeaseResult | UsageResult | DocumentResult
 
-/** The bounds of each part. */
+/** Limits of the parts that have any. */
 export interface KeeperBounds {
   readonly claims: ClaimBounds
   readonly config: LedgerBounds
 }
 
-/** Bounds that suit the sizes of today. */
 export const defaultBounds: KeeperBounds = {
   claims: { retentionMs: 24 * 3_600_000, maxTotalAnswerBytes: 64 * 2 ** 20, maxAnswerBytes: 64 * 2 ** 10 },
   config: { maxRevisions: 1024, retentionMs: 24 * 3_600_000, maxResults: 100_000 }
 }
 
-/** The whole state in a snapshot. */
+/** The complete state as stored in a snapshot. */
 export interface KeeperSnapshot {
   readonly claims: ClaimTableState
   readonly config: LedgerState
-  /** Absent, as the next, in snapshots from before there were duties. */
+  /** `leases` and `usage` are absent in snapshots written by versions without duties. */
   readonly leases?: LeaseBookState
   readonly usage?: UsageLedgerState
-  /** Absent in snapshots from before there were routes. */
+  /** Absent in snapshots written by versions without a routing document. */
   readonly routing?: VersionedText | null
 }
 
@@ -65,7 +63,7 @@
     this.routing = new DocumentRegister(snapshot?.routing)
   }
 
-  /** Carries out a committed command at its agreed time. */
+  /** Applies a committed command at its log entry's time, ms since 1970. */
   apply (command: KeeperCommand, time: number): KeeperResult {
     switch (command.part) {
       case 'claims': return this.claims.apply(command.command, time)
--- a/src/coordination/leases/elapsed-clock.ts
+++ b/src/coordination/leases/elapsed-clock.ts
@@ -1,18 +1,18 @@
 /**
- * How much time has passed, for a box that may be suspended and whose time of
- * day may be set. Its steady clock stands still while some boxes are suspended;
- * the time of day goes on, but jumps. Of each stretch between two readings the
- * larger counts, so that a lease is never believed to last longer than it does:
- * a time of day that was set back takes nothing off, and a sleep after it is
- * counted all the same. Both faults within one stretch go unseen, so that it is
- * to be read often.
+ * Measures elapsed time on a box that may be suspended or have its wall clock
+ * set. The monotonic clock of some boxes stops during suspension; the wall clock
+ * continues, but can jump. Each interval between two readings counts as the
+ * larger of the two differences, so a lease is never taken to last longer than
+ * it does: setting the wall clock back subtracts nothing, and a later suspension
+ * still counts. A suspension and a backward step within the same interval can
+ * cancel out unnoticed, so the clock must be read often.
  */
 
-/** Both clocks of a box at one moment, ms. */
+/** Simultaneous readings of both clocks of a box, ms. */
 export interface ClockReading {
-  /** Rises only. */
+  /** Monotonic clock. */
   readonly steady: number
-  /** Time of day. */
+  /** Wall clock. */
   readonly wall: number
 }
 
@@ -24,7 +24,7 @@
     this.#previous = start
   }
 
-  /** The most that may have passed since the start, ms. */
+  /** Upper estimate of the time since construction, ms. */
   read (now: ClockReading): number {
     this.#elapsedMs += Math.max(0, now.steady - this.#previous.steady, now.wall - this.#previous.wall)
     this.#previous = now
--- a/src/coordination/leases/lease-book.ts
+++ b/src/coordination/leases/lease-book.ts
@@ -1,41 +1,41 @@
 /**
- * Leases on named duties, as a state machine of the replicated log. It tells no
- * time: whoever wants a lease that another holds watches its mark, which moves
- * with each renewal, and claims only after the mark has stood still for long
- * enough by its own clock. A claim names the mark that was watched, so one that
- * was overtaken by a renewal changes nothing.
+ * Leases on named duties, as a state machine on the replicated log. It uses no
+ * clock: a box that wants a lease held by another observes the lease's mark, a
+ * counter that each renewal increments, and claims only after the mark has not
+ * changed for long enough by its own clock. A claim is a compare-and-set on the
+ * observed mark, so a claim that a renewal precedes has no effect.
  */
 
-/** What is known of the lease on one duty. */
+/** State of the lease on one duty. */
 export interface LeaseState {
-  /** The number of the holder's calls: it rises with each claim, also where a box claims anew. */
+  /** Fencing token sent with the holder's calls. Each claim increments it, also one by the same box. */
   readonly fence: number
-  /** Null once the holder gave the lease back. */
+  /** Null after the holder released the lease. */
   readonly holder: string | null
-  /** Moves with each claim, renewal and release. */
+  /** Incremented by each claim, renewal and release. */
   readonly mark: number
-  /** Who held it last, the newest at the end, the holder included. */
+  /** The most recent holders including the current one, newest last. */
   readonly recent: readonly string[]
 }
 
-/** What is asked of the book. */
+/** Commands on leases. */
 export type LeaseCommand =
-  /** Takes the lease, if its mark is still `seen`; 0 where it was never held. */
+  /** Takes the lease if its mark still equals `seen`, which is 0 for a lease that was never held. */
   | { readonly type: 'claim', readonly duty: string, readonly holder: string, readonly seen: number }
   | { readonly type: 'renew', readonly duty: string, readonly holder: string, readonly fence: number }
-  /** Gives it back: none of the holder's calls may be under way any more. */
+  /** Releases the lease. None of the holder's calls may still be in flight. */
   | { readonly type: 'release', readonly duty: string, readonly holder: string, readonly fence: number }
 
-/** The answer to a command; `refused`: the lease is another's, or its mark has moved. */
+/** Result of a command. `refused`: another box holds the lease, or its mark has changed. */
 export type LeaseResult =
   | { readonly type: 'granted', readonly fence: number }
   | { readonly type: 'released' }
   | { readonly type: 'refused' }
 
-/** The book as it stands in a snapshot. */
+/** The leases as stored in a snapshot. */
 export type LeaseBookState = readonly (readonly [duty: string, state: LeaseState])[]
 
-/** Holders that are kept of each duty: enough for a stop of all boxes in turn within one lease's time. */
+/** Recent holders remembered per duty; covers a rolling stop of all boxes within one lease duration. */
 const maxRecentHolders = 16
 
 export class LeaseBook {
@@ -45,7 +45,7 @@
     this.#leases = new Map(state)
   }
 
-  /** The lease on a duty; undefined where it was never held. */
+  /** The lease on a duty; undefined if it was never held. */
   find (duty: string): LeaseState | undefined { return this.#leases.get(duty) }
 
   apply (command: LeaseCommand): LeaseResult {
--- a/src/coordination/leases/lease-holder.ts
+++ b/src/coordination/leases/lease-holder.ts
@@ -1,11 +1,12 @@
 /**
- * One box's side of the lease on a duty: when to claim and to renew, and
- * whether it may act now. Pure: it is told the time, and what the log says.
+ * One box's client side of the lease on a duty: decides when to claim and renew,
+ * and whether the box may act. Pure: callers pass in the time and the lease state
+ * from the log.
  *
- * A lease runs from the moment at which its renewal was asked for, not from its
- * answer, as others begin to wait no earlier than the log took it. The holder
- * believes whichever of its clocks says that more has passed; one that waits for
- * another's lease to run out believes the steady one alone, slowed by the drift
+ * A lease is valid from the time its renewal was requested, not from the reply,
+ * because other boxes start waiting no earlier than the log accepted the renewal.
+ * The holder measures with the clock that shows more elapsed time. A box waiting
+ * for another's lease to expire uses only the monotonic clock and adds the drift
  * that the timing allows for.
  */
 import { ElapsedClock } from './elapsed-clock.js'
@@ -13,13 +14,13 @@
 import type { LeaseCommand, LeaseResult, LeaseState } from './lease-book.js'
 import type { LeaseTiming } from './lease-timing.js'
 
-/** What the box was granted, and when it asked for it, on its elapsed clock, ms. */
+/** A granted lease; `requestedAt` is on the elapsed clock, ms. */
 interface Grant {
   readonly fence: number
   readonly requestedAt: number
 }
 
-/** A command that is under way. */
+/** A proposed command without a result yet. */
 interface PendingCommand {
   readonly command: LeaseCommand
   readonly requestedAt: number
@@ -31,14 +32,14 @@
   #timing: LeaseTiming
   #clock: ElapsedClock
   #state: LeaseState | undefined
-  /** When the mark was first seen where it is, on the steady clock, ms. */
+  /** When the current mark was first observed, on the monotonic clock, ms. */
   #markSeenAt: number
-  /** Since when another is known to have the lease after this box, on the steady clock, ms; null where none has. */
+  /** When this box first saw that another one took the lease over, on the monotonic clock, ms; null if none has. */
   #replacedAt: number | null
   #grant: Grant | null = null
   #pending: PendingCommand | null = null
 
-  /** `self`: the box, as calls name it; unique over all machines. `now`: the start of its process. */
+  /** `self`: the holder id sent with calls, unique across all machines. `now`: the time of process start. */
   constructor (duty: string, self: string, timing: LeaseTiming, now: ClockReading) {
     this.duty = duty
     this.self = self
@@ -48,10 +49,10 @@
     this.#replacedAt = now.steady
   }
 
-  /** The fence that was granted last in this process; null where there is none that may still hold. */
+  /** The fencing token granted last to this process; null if there is no grant that may still be valid. */
   get fence (): number | null { return this.#grant?.fence ?? null }
 
-  /** Takes the lease as the log has it here; undefined where it was never held. */
+  /** Updates the lease state from the local replica; undefined if the lease was never held. */
   observe (state: LeaseState | undefined, now: ClockReading): void {
     if (state?.mark === this.#state?.mark) return
     if (state?.fence !== this.#state?.fence) this.#updateFence(state, now)
@@ -65,7 +66,7 @@
     else this.#replacedAt ??= now.steady
   }
 
-  /** What to propose now; null for nothing. `mayClaim`: whether this box is to take the lease where nobody has it. */
+  /** The command to propose now, or null. `mayClaim`: whether this box should claim the lease when nobody holds it. */
   decide (now: ClockReading, mayClaim: boolean): LeaseCommand | null {
     const elapsedMs = this.#clock.read(now)
     if (this.#pending !== null) return null
@@ -90,14 +91,14 @@
     return monotonicMs - this.#markSeenAt >= this.#timing.waitMs
   }
 
-  // Another has had the lease since: in the time that the bound names, this box must not act again.
+  // After another box took the lease over, this box must not act again within the bound.
   #isInCooldown (monotonicMs: number): boolean {
     const recent = this.#state?.recent ?? []
     const wasReplaced = recent.includes(this.self) && recent.at(-1) !== this.self
     return wasReplaced && this.#replacedAt !== null && monotonicMs - this.#replacedAt < this.#timing.cooldownMs
   }
 
-  /** Takes the end of the command that was proposed; null where it isn't known whether the log took it. */
+  /** Records the result of the proposed command; null if it is unknown whether the log accepted it. */
   noteEnd (result: LeaseResult | null): void {
     const pending = this.#pending
     this.#pending = null
@@ -113,7 +114,7 @@
     }
   }
 
-  /** The fence for a call that takes up to `needMs`, ms; null where the lease may not last as long. To be asked right before each call is written. */
+  /** The fencing token for a call that takes up to `needMs`; null if the lease may expire earlier. Call it right before writing each call. */
   findFence (now: ClockReading, needMs: number): number | null {
     const grant = this.#grant
     const elapsedMs = this.#clock.read(now)
@@ -121,7 +122,7 @@
     return grant.fence
   }
 
-  /** The command that gives the lease back; null where there is nothing to give. From now on no call is allowed. */
+  /** The command that releases the lease, or null if it is not held. `findFence` returns null until the lease is granted again. */
   release (): LeaseCommand | null {
     const grant = this.#grant
     this.#grant = null
--- a/src/coordination/leases/lease-timing.ts
+++ b/src/coordination/leases/lease-timing.ts
@@ -1,29 +1,29 @@
-/** The times of a lease, all ms. */
+/** Durations of the lease protocol, ms. */
 export interface LeaseTiming {
-  /** From asking for a renewal, how long the holder may act on it. */
+  /** How long the holder may act, counted from the request of the last renewal. */
   readonly holdMs: number
-  /** Between renewals. */
+  /** Interval between renewals. */
   readonly renewMs: number
-  /** The longest that one call of the holder may take. */
+  /** Maximum duration of one call of the holder. */
   readonly callMs: number
-  /** How long a mark must have stood still before another may claim. */
+  /** How long the mark must be unchanged before another box may claim. */
   readonly waitMs: number
-  /** How long one that held the lease before leaves it to others once one of them has it. */
+  /** How long a former holder may not claim again after another box took over. */
   readonly cooldownMs: number
 }
 
-/** Part of the bound that a holder acts within: the rest is for calls that arrive late and for claims. */
+/** Fraction of the bound during which a holder may act; the rest allows for calls that arrive late and for the takeover. */
 const holdFraction = 0.8
-/** Part of that for one call, so that one more fits in between two renewals: an answer takes a few ms, and fifty times as long from a slow platform. */
+/** Fraction of `holdMs` for one call, so that one more call fits between two renewals. An answer takes a few ms, but up to fifty times as long from a slow platform. */
 const callFraction = 0.3
-/** Renewals in the time of a lease: one may be lost, and another one late. */
+/** Renewals per lease duration, so that one may be lost and another one late. */
 const renewalsPerLease = 5
-/** Clocks of boxes differ by less in their pace: crystals by 0.0002, virtual ones by a few in a hundred. */
+/** Upper bound on the relative clock drift between boxes: crystal oscillators drift by up to 0.0002, virtual clocks by a few percent. */
 const maxClockDrift = 0.05
-/** A call that was written at the last moment has arrived, or was called off, ms. */
+/** Time within which a call written at the last moment has arrived or been cancelled, ms. */
 const deliveryMarginMs = 250
 
-/** Works the times out from the bound within which holders may not come back, ms. */
+/** Derives the durations from the bound within which a former holder may not act again, ms. */
 export function planLeaseTiming (boundMs: number): LeaseTiming {
   const holdMs = boundMs * holdFraction
   return { holdMs, renewMs: holdMs / renewalsPerLease, callMs: holdMs * callFraction, waitMs: holdMs * (1 + maxClockDrift) + deliveryMarginMs, cooldownMs: boundMs * (1 + maxClockDrift) + deliveryMarginMs }
--- a/src/coordination/ledger/config-ledger.ts
+++ b/src/coordination/ledger/config-ledger.ts
@@ -1,18 +1,18 @@
 /**
- * Configuration as a state machine of the replicated log: plans, confirmations
- * by compare-and-set on the base revision, and the first answer to every
- * command, given again when the command is resent.
+ * Configuration as a state machine on the replicated log: plans, confirmations
+ * by compare-and-set on the base revision, and the result of every command, which
+ * is returned again when the command is resent.
  */
 import { applyChangesInPlace } from './document.js'
 import type { Change, CommandId, Document, LedgerCommand, LedgerResult, Plan, Revision } from './ledger-types.js'
 
-/** Bounds on what is kept beside the document. */
+/** Limits on what is retained besides the document. */
 export interface LedgerBounds {
-  /** Revisions whose changes are kept for boxes that catch up. */
+  /** Number of revisions whose changes are retained for boxes that catch up. */
   readonly maxRevisions: number
-  /** How long first answers and unconfirmed plans are kept, ms. */
+  /** How long command results and unconfirmed plans are retained, ms. */
   readonly retentionMs: number
-  /** First answers kept at most. */
+  /** Maximum number of retained command results. */
   readonly maxResults: number
 }
 
@@ -22,7 +22,7 @@
   readonly time: number
 }
 
-/** The ledger as it stands in a snapshot. */
+/** The ledger as stored in a snapshot. */
 export interface LedgerState {
   readonly document: Document
   readonly revision: number
@@ -37,9 +37,9 @@
 
 export class ConfigLedger {
   #bounds: LedgerBounds
-  /** This ledger's own sections, changed in place: a change costs what it touches. */
+  /** The working copy, changed in place so that the cost of a change depends on its size only. */
   #sections: Record<string, Record<string, unknown>>
-  /** What `document` gave last, until the next change. */
+  /** Cached value of `document`; null after a change. */
   #cachedDocument: Document | null
   #revision: number
   #recent: Revision[]
@@ -60,7 +60,7 @@
     this.#lastPlan = state.lastPlan
   }
 
-  /** The document in force. What is given never changes later. */
+  /** The current document. The returned object is never modified. */
   get document (): Document {
     this.#cachedDocument ??= copySections(this.#sections)
     return this.#cachedDocument
@@ -68,7 +68,7 @@
 
   get revision (): number { return this.#revision }
 
-  /** Carries out one command at agreed time `now`. */
+  /** Applies one command at the log entry's time `now`. */
   apply (command: LedgerCommand, now: number): LedgerResult {
     this.#evict(now)
     const key = formatCommandKey(command.id)
@@ -81,7 +81,7 @@
     return result
   }
 
-  /** The accepted revisions after `revision`; null where they are kept no more. */
+  /** The accepted revisions after `revision`; null if some of them are no longer retained. */
   findSince (revision: number): Revision[] | null {
     if (revision > this.#revision) return []
     const since = this.#recent.filter(one => one.revision > revision)
--- a/src/coordination/ledger/document-register.ts
+++ b/src/coordination/ledger/document-register.ts
@@ -1,22 +1,22 @@
 /**
- * A whole document under a version that is given from outside. The highest
- * version wins; an equal or lower one changes nothing, whatever it holds, so
- * that operators who race or send again can't undo each other.
+ * A document with an externally assigned version. The highest version wins; an
+ * equal or lower version is ignored whatever its contents, so concurrent or
+ * resent updates by operators can't undo each other.
  */
 
-/** A document as it was accepted, byte for byte. */
+/** A document exactly as accepted, byte for byte. */
 export interface VersionedText {
   readonly version: number
   readonly text: string
 }
 
-/** Puts a document in force. */
+/** Replaces the current document. */
 export interface DocumentCommand {
   readonly type: 'put'
   readonly document: VersionedText
 }
 
-/** `held`: a document with this or a higher version was in force already. */
+/** `held`: the register already holds this version or a higher one, given in `version`. */
 export interface DocumentResult {
   readonly type: 'taken' | 'held'
   readonly version: number
@@ -29,7 +29,7 @@
     this.#newest = newest
   }
 
-  /** The document in force; null before the first. */
+  /** The current document; null before the first. */
   get newest (): VersionedText | null { return this.#newest }
 
   apply ({ document }: DocumentCommand): DocumentResult {
--- a/src/coordination/ledger/document.ts
+++ b/src/coordination/ledger/document.ts
@@ -1,6 +1,6 @@
 import type { Change, Document } from './ledger-types.js'
 
-/** The document with the changes made. The given one stays as it is, and sections without a change are shared. */
+/** Returns the document with the changes applied. The input is not modified; unchanged sections are shared. */
 export function applyChanges (document: Document, changes: readonly Change[]): Document {
   const touched: Record<string, Record<string, unknown>> = {}
   for (const { section } of changes) touched[section] ??= { ...document[section] }
@@ -8,7 +8,7 @@
   return { ...document, ...touched }
 }
 
-/** Makes the changes in the given sections themselves. */
+/** Applies the changes to the given sections in place. */
 export function applyChangesInPlace (sections: Record<string, Record<string, unknown>>, changes: readonly Change[]): void {
   for (const { section, name, after } of changes) {
     const items = sections[section] ??= {}
@@ -17,7 +17,7 @@
   }
 }
 
-/** The changes that lead from one document to another, in order of name. */
+/** The changes that turn `from` into `to`, sorted by section and name. */
 export function diffDocuments (from: Document, to: Document): Change[] {
   const changes: Change[] = []
   const sections = new Set([...Object.keys(from), ...Object.keys(to)])
@@ -38,7 +38,7 @@
   return formatCanonical(a) === formatCanonical(b)
 }
 
-/** JSON with the keys of every object in order, for digests and comparison. */
+/** JSON with the keys of every object sorted, for digests and comparison. */
 export function formatCanonical (value: unknown): string {
   return JSON.stringify(value, (_key, member: unknown) => {
     if (member === null || typeof member !== 'object' || Array.isArray(member)) return member
--- a/src/coordination/ledger/ledger-types.ts
+++ b/src/coordination/ledger/ledger-types.ts
@@ -1,7 +1,7 @@
-/** Sections of named items: what operators configure. */
+/** A configuration document: sections of named items. */
 export type Document = Readonly<Record<string, Readonly<Record<string, unknown>>>>
 
-/** One item that a plan adds, changes or removes; null where it is absent. */
+/** An item that a plan adds, changes or removes; `before` or `after` is null where the item is absent. */
 export interface Change {
   readonly section: string
   readonly name: string
@@ -9,7 +9,7 @@
   readonly after: unknown
 }
 
-/** A revision that was accepted. */
+/** An accepted revision. */
 export interface Revision {
   readonly revision: number
   readonly changes: readonly Change[]
@@ -17,7 +17,7 @@
   readonly time: number
 }
 
-/** A plan that waits to be confirmed. */
+/** A plan awaiting confirmation. */
 export interface Plan {
   readonly number: number
   readonly base: number
@@ -26,7 +26,7 @@
   readonly time: number
 }
 
-/** Tells an operator's command apart from every other. */
+/** Identifies an operator's command, for deduplication of resends. */
 export interface CommandId {
   readonly operator: string
   readonly number: string
@@ -34,17 +34,17 @@
   readonly digest: string
 }
 
-/** What operators ask of the ledger. */
+/** Commands of operators. */
 export type LedgerCommand =
   | { readonly type: 'plan', readonly id: CommandId, readonly base: number, readonly changes: readonly Change[] }
   | { readonly type: 'confirm', readonly id: CommandId, readonly plan: number }
 
-/** The answer to a command. */
+/** Result of a command. */
 export type LedgerResult =
   | { readonly type: 'planned', readonly plan: number, readonly base: number, readonly changes: readonly Change[] }
   | { readonly type: 'accepted', readonly revision: number }
   | { readonly type: 'conflict', readonly base: number, readonly revision: number, readonly since: readonly Change[] }
   | { readonly type: 'unknown-plan', readonly plan: number }
   | { readonly type: 'already-confirmed', readonly plan: number, readonly revision: number }
-  /** The command's number was used by this operator with another body. */
+  /** The operator already used this command number with a different body. */
   | { readonly type: 'other-command' }
--- a/src/coordination/log/election-timer.ts
+++ b/src/coordination/log/election-timer.ts
@@ -1,12 +1,12 @@
 import type { RaftTiming } from './log-types.js'
 
 /**
- * Part of the usual time after which an election is tried by a replica that has heard no leader
- * since it started: where all lost power none will be heard, and where one leads its followers refuse.
+ * Fraction of the usual election timeout for a replica that has had no contact with a leader since it started:
+ * after a power loss of all replicas there is no leader to wait for, and if one exists its followers refuse the pre-vote.
  */
 const initialTimeoutFraction = 1 / 3
 
-/** When a replica tries an election: after a random time without a leader. Times in ms, on a clock that only rises. */
+/** Randomized election timeout. Times are monotonic, ms. */
 export class ElectionTimer {
   #timing: RaftTiming
   #random: () => number
@@ -20,16 +20,16 @@
 
   isDue (at: number): boolean { return at >= this.#dueAt }
 
-  /** True where a leader was heard so lately that it may still lead. */
+  /** True if there was contact with a leader within the election timeout. */
   hasRecentLeader (at: number): boolean { return at - this.#leaderSeenAt < this.#timing.electionMs }
 
-  /** Begins the wait anew. */
+  /** Restarts the timeout with a new random duration. */
   reset (at: number): void {
     const fraction = this.#leaderSeenAt === -Infinity ? initialTimeoutFraction : 1
     this.#dueAt = at + this.#timing.electionMs * fraction * (1 + this.#random())
   }
 
-  /** Takes word of a leader. */
+  /** Records a message from the leader. */
   noteLeader (at: number): void {
     this.#leaderSeenAt = at
     this.reset(at)
--- a/src/coordination/log/log-store.ts
+++ b/src/coordination/log/log-store.ts
@@ -1,7 +1,7 @@
 /**
- * A replica's log on disk, under one data folder:
- * `identity.json` (which replica this disk is), `snapshot` and `log.<n>`.
- * A new file is written beside the old one, synced, and renamed over it.
+ * A replica's log on disk, in one data folder: `identity.json` (the replica id),
+ * `snapshot` and `log.<n>`. Files are replaced atomically: a new file is written
+ * next to the old one, synced and renamed.
  */
 import { randomBytes } from 'node:crypto'
 import { open, readFile, readdir, rename, mkdir, rm } from 'node:fs/promises'
@@ -17,18 +17,20 @@
 
 type PersistEffect = Extract<RaftEffect, { type: 'persist' }>
 
-/** How to bear a disk that refuses to write: what is to be kept is tried again, and nothing is acknowledged meanwhile. */
+/** Policy for failed writes: a write is retried until it succeeds, and nothing is acknowledged until then. */
 export interface DiskRetryPolicy {
   readonly retryMs: number
+  /** Called at the first failure of a write. */
   noteFault (error: Error): void
+  /** Called when the failed write has succeeded. */
   noteWell (): void
 }
 
 const identityFile = 'identity.json'
 const snapshotFile = 'snapshot'
-/** A log of fewer bytes is never cut for its size: writing a snapshot costs two syncs more. */
+/** Smaller logs are never compacted because of their size: a snapshot costs two additional syncs. */
 const minOversizedBytes = 16 * 2 ** 20
-/** Beyond that it may hold so many times what its snapshot does, so that snapshots cost no more than a part of what is written. */
+/** Larger logs may grow to this multiple of the snapshot's size, so that snapshots are only a fraction of the bytes written. */
 const maxLogToSnapshotRatio = 2
 const initialHardState: HardState = { term: 0, vote: null }
 
@@ -56,9 +58,9 @@
   }
 
   /**
-   * Opens the folder, or makes it with a new identity for the keeper `name`,
-   * of which `firstPart` is the second half (random where it is left out).
-   * Throws `DamagedLogError` where acknowledged records can't be read.
+   * Opens the folder, or creates it with a new replica id made of the keeper's
+   * `name` and `firstPart` (random if omitted). Without `diskRetry` a failed
+   * write is thrown. Throws `DamagedLogError` if acknowledged records can't be read.
    */
   static async open (folder: string, name: string, firstPart?: string, diskRetry: DiskRetryPolicy | null = null): Promise<LogStore> {
     await mkdir(folder, { recursive: true })
@@ -78,15 +80,15 @@
     return new LogStore(folder, id, list, hard, file, generation, length, diskRetry)
   }
 
-  /** True where the log has grown far beyond its snapshot, in bytes. */
+  /** True if the log file is so much larger than the snapshot that it should be compacted. */
   get isOversized (): boolean { return this.#length > Math.max(minOversizedBytes, this.#snapshotBytes * maxLogToSnapshotRatio) }
 
-  /** Everything that is stored, for a replica that starts. */
+  /** The complete stored state, for starting a replica. */
   get stored (): StoredLog {
     return { hard: this.#hardState, snapshot: this.#entries.snapshot, entries: this.#entries.slice(this.#entries.base + 1, Infinity) }
   }
 
-  /** Writes the effects in order and syncs once. Whoever calls waits for it. */
+  /** Writes the effects in order and syncs once. Calls must not overlap. */
   async persist (effects: readonly PersistEffect[]): Promise<void> {
     const snapshot = effects.findLast(effect => effect.snapshot !== null)?.snapshot ?? null
     const buffers = [encodeRecord({ type: 'mark', synced: this.#length })]
@@ -95,7 +97,7 @@
     await this.#writeWithRetry(() => snapshot !== null ? this.#rewrite(snapshot) : this.#append(bytes))
   }
 
-  // A write that failed may have left a part of its bytes behind.
+  // Removes the partial data of a failed write before appending.
   async #append (bytes: Buffer): Promise<void> {
     const { size } = await this.#file.stat()
     if (size > this.#length) await this.#file.truncate(this.#length)
@@ -120,7 +122,7 @@
     }
   }
 
-  /** Closes the files; what could not be written by then is given up. */
+  /** Closes the files; a write that is still being retried is abandoned and throws. */
   async close (): Promise<void> {
     this.#closed = true
     await this.#file.close()
@@ -136,7 +138,7 @@
     if (effect.snapshot !== null) this.#entries.compact(effect.snapshot)
   }
 
-  // The snapshot is in place before the log that lacks its entries is.
+  // The snapshot must be durable before the new log file, which lacks the compacted entries.
   async #rewrite (snapshot: Snapshot): Promise<void> {
     const encoded = encodeSnapshot(snapshot)
     await writeAtomically(this.folder, snapshotFile, encoded)
@@ -164,7 +166,7 @@
         hard = record.hard
         break
       case 'entry':
-        // Entries of an older file that the snapshot holds already.
+        // The log file may be older than the snapshot and repeat entries that it covers.
         if (record.entry.index > list.base) list.append([record.entry])
         break
     }
@@ -195,7 +197,7 @@
   return Buffer.concat([header, body])
 }
 
-// The newest file wins: it was synced whole before its name was given.
+// The newest generation is complete, because a file is synced before it is renamed; older ones are removed.
 async function findGeneration (folder: string): Promise<number> {
   const names = await readdir(folder)
   let newest = 0
--- a/src/coordination/log/log-types.ts
+++ b/src/coordination/log/log-types.ts
@@ -1,35 +1,35 @@
-/** Values of the replicated log: entries, members, snapshots. */
+/** Data types of the replicated log: entries, members, snapshots. */
 
 declare const replicaBrand: unique symbol
 
 /**
- * A replica bound to its disk: a keeper's name and a random part that is made
- * when the disk is first used. An emptied disk makes another replica.
+ * Identifies a replica and its disk: the keeper's name, `#`, and a part that is
+ * chosen when the disk is first used. A keeper whose disk was erased becomes a
+ * different replica, because it no longer knows its votes.
  */
 export type ReplicaId = string & { readonly [replicaBrand]: true }
 
-/** The replicas of a log. Learners receive the log but don't vote. */
+/** The members of a Raft group. Learners receive the log but don't vote. */
 export interface Members {
   readonly voters: readonly ReplicaId[]
   readonly learners: readonly ReplicaId[]
 }
 
-/** What an entry holds. */
+/** Payload of a log entry. */
 export type EntryContent =
   | { readonly type: 'noop' }
   | { readonly type: 'command', readonly command: unknown }
   | { readonly type: 'members', readonly members: Members }
 
-/** One entry of the log. */
 export interface LogEntry {
   readonly index: number
   readonly term: number
-  /** Agreed time, ms since 1970, never falling along the log. */
+  /** Wall time assigned by the leader, ms since 1970; never decreases along the log. */
   readonly time: number
   readonly content: EntryContent
 }
 
-/** The state after an entry, in place of all entries up to it. */
+/** The state after the entry at `index`, replacing all entries up to it. */
 export interface Snapshot {
   readonly index: number
   readonly term: number
@@ -38,20 +38,20 @@
   readonly state: unknown
 }
 
-/** What a replica must remember to vote at most once a term. */
+/** Raft's persistent state, which ensures that a replica votes at most once per term. */
 export interface HardState {
   readonly term: number
   readonly vote: ReplicaId | null
 }
 
-/** All that a replica finds on its disk when it starts. */
+/** The stored state from which a replica starts. */
 export interface StoredLog {
   readonly hard: HardState
   readonly snapshot: Snapshot | null
   readonly entries: readonly LogEntry[]
 }
 
-/** Times of a replica, ms. */
+/** Raft timing parameters, ms. */
 export interface RaftTiming {
   readonly heartbeatMs: number
   readonly electionMs: number
--- a/src/coordination/log/member-plan.ts
+++ b/src/coordination/log/member-plan.ts
@@ -1,56 +1,57 @@
 /**
- * The next change of a log's members, where keepers look after themselves: who
- * has come joins, who has fallen silent gives way to a spare, and a keeper that
- * lost its disk is another replica. One step at a time; each step keeps a
- * quorum of those that can be reached.
+ * Plans automatic membership changes of a log: new keepers are added, silent
+ * voters are replaced by spare learners, and a keeper that lost its disk rejoins
+ * as a new replica. Changes are made one step at a time, and a step that removes
+ * a voter keeps a reachable quorum.
  */
 import type { Members, ReplicaId } from './log-types.js'
 
-/** What the leader knows of a keeper. */
+/** The leader's view of a keeper's replica. */
 export interface KeeperSight {
   readonly replica: ReplicaId
   readonly zone: string
-  /** Time since it was heard from, ms. */
+  /** Time since the last contact, ms. */
   readonly silentMs: number
-  /** The last entry that it has synced; 0 where that isn't known. */
+  /** Index of the last entry known to be synced there; 0 if unknown. */
   readonly match: number
 }
 
-/** What the members should come to. */
+/** The desired membership. */
 export interface MemberWish {
   readonly voters: number
-  /** The most voters of one zone. */
+  /** Maximum number of voters per zone. */
   readonly perZone: number
-  /** A voter that was silent for so long gives way to a spare, ms. */
+  /** A voter silent for this long is replaced by a spare, ms. */
   readonly replaceMs: number
-  /** A learner that was silent for so long is dropped, ms. */
+  /** A learner silent for this long is removed, ms. */
   readonly forgetMs: number
 }
 
-/** Where members stand. */
+/** The current membership and the state of the replicas. */
 export interface MemberPlanState {
   readonly members: Members
-  /** The leader, which plans. */
+  /** The leader, on which the planner runs. */
   readonly self: ReplicaId
   readonly commit: number
-  /** Every keeper that was ever heard of, the leader included. */
+  /** Every known replica, including the leader. */
   readonly sights: readonly KeeperSight[]
 }
 
-/** A learner so many entries behind counts as caught up. */
+/** A learner at most this many entries behind counts as caught up. */
 const caughtUpEntries = 64
-/** A keeper that was heard from within this time can be reached, ms. */
+/** A replica with contact within this time counts as reachable, ms. */
 const reachableMs = 1200
 
-/** The place of a replica: its id without the part that is made with its disk. */
+/** The keeper's name: the replica id without the part specific to its disk. */
 export function getReplicaHost (replica: ReplicaId): string {
   return replica.slice(0, replica.lastIndexOf('#'))
 }
 
-/** The next members on the way to the wish; null where nothing is to be changed now. */
+/** The members after the next step towards the target; null if no change is due. */
 export function planMembers (state: MemberPlanState, target: MemberWish): Members | null {
   const planner = new MemberPlanner(state, target)
-  return planner.replaceNewDisk() ?? planner.admit() ?? planner.promote() ?? planner.replaceSilent() ?? planner.balance() ?? planner.demoteSurplus() ?? planner.dropSilentLearners()
+  return planner.replaceNewDisk() ?? planner.admit() ?? planner.promote() ?? planner.replaceSilent() ?? planner.balance() ??
+    planner.demoteSurplus() ?? planner.dropSilentLearners()
 }
 
 class MemberPlanner {
@@ -67,7 +68,7 @@
   get #voters (): readonly ReplicaId[] { return this.#state.members.voters }
   get #learners (): readonly ReplicaId[] { return this.#state.members.learners }
 
-  /** A keeper with a new disk takes the place of its old replica, without a vote at first. */
+  /** Replaces a keeper's old replica by the one on its new disk, as a learner. */
   replaceNewDisk (): Members | null {
     for (const old of [...this.#voters, ...this.#learners]) {
       const replacement = this.#state.sights.find(sight => sight.replica !== old && getReplicaHost(sight.replica) === getReplicaHost(old) && sight.silentMs < reachableMs)
@@ -93,7 +94,7 @@
     return spare === undefined ? null : this.#withVoter(spare)
   }
 
-  // The spare joins before the silent one leaves.
+  // Promotes a spare first; `demoteSurplus` then demotes the silent voter.
   replaceSilent (): Members | null {
     if (this.#voters.length !== this.#target.voters) return null
     const silent = this.#findSilent()
@@ -126,7 +127,7 @@
     return { voters: [...this.#voters, spare], learners: this.#learners.filter(id => id !== spare) }
   }
 
-  // A learner that has all but the newest entries, in the zone with the fewest voters.
+  // A reachable, caught-up learner, preferably in the zone with the fewest voters.
   #findSpare (perZone: number): ReplicaId | undefined {
     const { commit } = this.#state
     const spares = this.#learners.filter(id => {
--- a/src/coordination/log/member-progress.ts
+++ b/src/coordination/log/member-progress.ts
@@ -1,18 +1,18 @@
-/** What a leader knows of a member: what it was sent, what it acknowledged, and when it may be sent the same again. */
+/** A leader's replication progress for one member: what was sent, what is acknowledged, and when to resend. */
 
-/** What a member did not acknowledge is sent again after this, ms: some round trips and a sync. */
+/** Initial resend timeout for unacknowledged entries, ms; allows for some round trips and a sync. */
 const initialResendMs = 500
-/** Each time in vain it takes twice as long, up to this, ms: what is large may still be on its way, and would then come twice. */
+/** The timeout doubles with each unsuccessful resend up to this, ms: a large message may still be in transit and would arrive twice. */
 const maxResendMs = 8000
 
 export class MemberProgress {
-  /** Index of the entry that it is sent next. */
+  /** Index of the next entry to send. */
   next: number
-  /** Index up to which it has acknowledged the log. */
+  /** Highest acknowledged index. */
   match = 0
-  /** The newest round that it has answered. */
+  /** The newest heartbeat round it has answered. */
   round = 0
-  /** When it was last heard from, ms. */
+  /** Time of its last reply, ms. */
   lastContactAt: number
   #sentAt = -Infinity
   #sentRound = -1
@@ -23,46 +23,46 @@
     this.lastContactAt = at
   }
 
-  /** True where nothing was sent lately, so that what is not acknowledged may be sent again. */
+  /** True if the resend timeout has passed since the last send. */
   mayResend (at: number): boolean { return at - this.#sentAt > this.#resendMs }
 
-  /** Goes back to the first entry that is not acknowledged, if some were sent in vain. */
+  /** Resets `next` to the first unacknowledged entry if a resend is due. */
   retry (at: number): void {
     if (this.next <= this.match + 1 || !this.mayResend(at)) return
     this.next = this.match + 1
     this.#backOff()
   }
 
-  /** Entries were sent. */
+  /** Records that `count` entries were sent. */
   noteEntries (count: number, at: number, round: number): void {
     if (count === 0) return
     this.next += count
     this.#noteSent(at, round)
   }
 
-  /** A snapshot was sent. */
+  /** Records that a snapshot was sent. */
   noteSnapshot (at: number, round: number): void {
     if (this.#sentAt > -Infinity) this.#backOff()
     this.#noteSent(at, round)
   }
 
-  /** It answered. */
+  /** Records a reply to the given round. */
   noteReply (at: number, round: number): void {
     this.lastContactAt = at
     this.round = Math.max(this.round, round)
   }
 
-  /** It has the log up to `match`. */
+  /** Records that the member has the log up to `match`. */
   noteMatch (match: number): void {
     if (match > this.match) this.#resendMs = initialResendMs
     this.match = Math.max(this.match, match)
     this.next = Math.max(this.next, this.match + 1)
   }
 
-  /** It lacks what comes after `hint`, or holds something else there. */
+  /** Records a log mismatch: entries after `hint` are missing or differ. */
   noteMismatch (hint: number, round: number): void {
     if (hint + 1 < this.next) this.next = Math.max(this.match, hint) + 1
-    // Links keep order: who answers what was sent later, without having acknowledged this, will not get it any more.
+    // Links preserve order, so a member that replies to a later round without acknowledging the last send has not received it.
     if (round > this.#sentRound) this.#resendMs = initialResendMs
   }
 
--- a/src/coordination/log/pending-reads.ts
+++ b/src/coordination/log/pending-reads.ts
@@ -1,9 +1,9 @@
-/** Reads that wait until a quorum has answered a heartbeat that was sent after they came. */
+/** Linearizable reads (Raft's read index) waiting for a quorum to answer a heartbeat that was sent after the read arrived. */
 
 interface PendingRead {
   readonly read: number
   readonly round: number
-  /** The log's committed index when the read came: the state must be as new. */
+  /** The commit index when the read arrived; the read may be served once it is applied. */
   readonly index: number
 }
 
@@ -14,7 +14,7 @@
     this.#reads.push(read)
   }
 
-  /** Takes out those whose round was answered. Rounds rise, so they go in the order in which they came. */
+  /** Removes and returns the reads whose round is confirmed. Rounds increase, so reads complete in order of arrival. */
   takeConfirmed (isConfirmed: (round: number) => boolean): readonly PendingRead[] {
     const firstUnconfirmed = this.#reads.findIndex(({ round }) => !isConfirmed(round))
     return this.#reads.splice(0, firstUnconfirmed < 0 ? this.#reads.length : firstUnconfirmed)
--- a/src/coordination/log/raft-event.ts
+++ b/src/coordination/log/raft-event.ts
@@ -1,7 +1,7 @@
 import type { HardState, LogEntry, Members, ReplicaId, Snapshot } from './log-types.js'
 import type { RaftMessage } from './raft-message.js'
 
-/** What can happen to a replica. `at` is a clock that only rises, ms; `wall` is ms since 1970. */
+/** Input events of a replica. `at` is monotonic time, ms; `wall` is wall-clock time, ms since 1970. */
 export type RaftEvent =
   | { readonly type: 'tick', readonly at: number }
   | { readonly type: 'receive', readonly at: number, readonly from: ReplicaId, readonly message: RaftMessage }
@@ -9,20 +9,21 @@
   | { readonly type: 'changeMembers', readonly at: number, readonly wall: number, readonly proposal: number, readonly members: Members }
   | { readonly type: 'read', readonly at: number, readonly read: number }
   | { readonly type: 'transfer', readonly at: number }
-  /** Everything up to this entry is synced on this replica's disk. */
+  /** Entries up to this one are durable on this replica's disk. */
   | { readonly type: 'synced', readonly at: number, readonly index: number, readonly term: number }
   | { readonly type: 'compact', readonly at: number, readonly index: number, readonly state: unknown }
 
-/** A command, or other members, that the log is to take in. */
+/** A proposal of a command or a membership change. */
 export type Proposal = Extract<RaftEvent, { type: 'propose' | 'changeMembers' }>
 
-/** Why a proposal was turned away before it entered the log. */
+/** Why a proposal was rejected before it was appended. */
 export type ProposalFault = 'not-leader' | 'change-in-progress' | 'not-one-change' | 'not-caught-up' | 'not-ready'
 
 /**
- * What a replica wants done. Effects of one step, or of several steps gathered,
- * are carried out so: `persist` in order and synced, then every `send` that is
- * not `early`, then a `synced` event. An `early` send need not wait.
+ * Output effects of a replica. The effects of one step, or of a batch of steps,
+ * are executed as follows: every `persist` in order, synced; then every `send`
+ * that is not `early`; then a `synced` event. An `early` send need not wait for
+ * the sync.
  */
 export type RaftEffect =
   | { readonly type: 'persist', readonly hard: HardState | null, readonly entries: readonly LogEntry[], readonly snapshot: Snapshot | null }
@@ -36,5 +37,4 @@
   | { readonly type: 'role', readonly role: RaftRole, readonly term: number, readonly leader: ReplicaId | null }
   | { readonly type: 'violation', readonly rule: string, readonly detail: string }
 
-/** What a replica is at present. */
 export type RaftRole = 'follower' | 'candidate' | 'leader'
--- a/src/coordination/log/raft-leader.ts
+++ b/src/coordination/log/raft-leader.ts
@@ -1,7 +1,7 @@
 /**
- * A replica's time as leader, from its election to the end of its term: what
- * each member is sent, what is agreed on, the reads that wait, and the transfer
- * of the lead. Pure, as the node that owns it; its round numbers hold for one term.
+ * The leader's part of the protocol for one term: replication to each member,
+ * commitment, pending reads and leadership transfer. Pure, like the node that
+ * owns it. Heartbeat round numbers are valid within the term only.
  */
 import type { EntryList } from './entry-list.js'
 import type { EntryContent, LogEntry, Members, RaftTiming, ReplicaId } from './log-types.js'
@@ -14,16 +14,16 @@
 const maxEntriesPerMessage = 256
 const maxInFlightEntries = 2048
 
-/** The node that leads, as its leadership sees it. */
+/** The parts of the owning node that the leader uses. */
 export interface LeaderHost {
   readonly id: ReplicaId
   readonly log: EntryList
   readonly term: number
   readonly now: number
   readonly commitIndex: number
-  /** Index up to which its own disk has the log. */
+  /** Highest index that is durable on this replica's disk. */
   readonly syncedIndex: number
-  /** True where the last change of members is committed. */
+  /** True if the last membership entry is committed. */
   readonly hasCommittedMembers: boolean
   emit (effect: RaftEffect): void
   commitTo (index: number): void
@@ -47,13 +47,13 @@
     this.#firstTermIndex = host.log.lastIndex + 1
   }
 
-  /** Begins the term: nothing of older terms is committed before an entry of this one is. */
+  /** Starts the term with a no-op entry: entries of older terms can only be committed together with an entry of this term. */
   start (): void {
     this.#append(this.#host.log.lastTime, { type: 'noop' })
     this.sendHeartbeatsIfDue()
   }
 
-  /** The acknowledged index of each member that was heard from lately; the own one is what is synced. */
+  /** The acknowledged index of each member with recent contact; for this replica the synced index. */
   get matches (): ReadonlyMap<ReplicaId, number> {
     const matches = new Map<ReplicaId, number>()
     for (const [id, progress] of this.#progress) {
@@ -63,7 +63,7 @@
     return matches
   }
 
-  /** False where no quorum was heard from for as long as an election takes: another may lead by now. */
+  /** Check-quorum: false if no quorum replied within the election timeout, so that another leader may have been elected. */
   get hasQuorumContact (): boolean {
     const { now } = this.#host
     return this.#hasQuorum(id => now - this.#getProgress(id).lastContactAt < this.#timing.electionMs)
@@ -77,7 +77,7 @@
     this.#sendHeartbeats()
   }
 
-  /** Ends the term here: the reads that wait can't be answered. */
+  /** Ends the term on this replica and fails the pending reads. */
   endTerm (): void {
     for (const { read } of this.#reads.takeAll()) this.#host.emit({ type: 'readFailed', read })
   }
@@ -148,13 +148,13 @@
     this.#send(to, { type: 'snapshot', term, snapshot, round: this.#round })
   }
 
-  // A heartbeat to one whose log ends before this one begins: it stands after no entry, so it is refused.
+  // Heartbeat for a member that needs a snapshot. Its prevIndex matches no entry, so the member rejects it, but the reply confirms contact.
   #sendEmptyHeartbeat (to: ReplicaId): void {
     const { log, term } = this.#host
     this.#send(to, { type: 'append', term, prevIndex: log.lastIndex + 1, prevTerm: -1, entries: [], commit: 0, round: this.#round })
   }
 
-  /** Takes a member's answer of this term. */
+  /** Handles a member's append reply of this term. */
   noteReply (from: ReplicaId, message: Extract<RaftMessage, { type: 'appendReply' }>): void {
     const { log, now } = this.#host
     const progress = this.#getProgress(from)
@@ -168,12 +168,12 @@
 
   #noteMatch (from: ReplicaId, progress: MemberProgress, match: number): void {
     const { lastIndex } = this.#host.log
-    if (match > lastIndex) return this.#host.reportViolation('log-matching', `${from} matches ${match} past ${lastIndex}`)
+    if (match > lastIndex) return this.#host.reportViolation('log-matching', `${from} acknowledged index ${match} beyond the last index ${lastIndex}`)
     progress.noteMatch(match)
     this.advanceCommit()
   }
 
-  /** Commits what a quorum has on disk, if it ends with an entry of this term. */
+  /** Commits up to the highest index that a quorum has on disk, if that entry is of this term. */
   advanceCommit (): void {
     const { id, log, term, commitIndex, syncedIndex } = this.#host
     const quorumIndex = findQuorumIndex(log.members, one => one === id ? syncedIndex : this.#getProgress(one).match)
@@ -199,7 +199,7 @@
     for (const { read, index } of this.#reads.takeConfirmed(isConfirmed)) this.#host.emit({ type: 'readReady', read, index })
   }
 
-  // Transfer of the lead. Proposals are turned away meanwhile; it lapses by itself.
+  // Leadership transfer. Proposals are rejected until it completes or the election timeout passes.
 
   get #isTransferring (): boolean { return this.#host.now < this.#transferUntil }
 
@@ -223,7 +223,7 @@
     for (const id of this.#peers) this.#replicate(id, true)
   }
 
-  // This replica always counts.
+  // This replica always counts towards the quorum.
   #hasQuorum (isCounted: (id: ReplicaId) => boolean): boolean {
     return hasQuorum(this.#host.log.members, id => id === this.#host.id || isCounted(id))
   }
@@ -236,7 +236,7 @@
     return created
   }
 
-  // What a leader sends its members need not wait for its own disk.
+  // A leader may send entries before they are durable on its own disk.
   #send (to: ReplicaId, message: RaftMessage): void {
     this.#host.emit({ type: 'send', to, message, early: true })
   }
--- a/src/coordination/log/raft-message.ts
+++ b/src/coordination/log/raft-message.ts
@@ -1,6 +1,6 @@
 import type { LogEntry, Snapshot } from './log-types.js'
 
-/** Messages between replicas. */
+/** Messages between replicas. `pre` marks a pre-vote; `transfer` marks a vote requested by a leadership transfer; `round` is the leader's heartbeat round. */
 export type RaftMessage =
   | { readonly type: 'vote', readonly term: number, readonly pre: boolean, readonly lastIndex: number, readonly lastTerm: number, readonly transfer: boolean }
   | { readonly type: 'voteReply', readonly term: number, readonly pre: boolean, readonly granted: boolean }
--- a/src/coordination/log/raft-node.ts
+++ b/src/coordination/log/raft-node.ts
@@ -1,7 +1,7 @@
 /**
- * One replica of a replicated log, after Raft (Ongaro, 2014) with pre-vote,
- * check-quorum, learners, single-server changes of members, leader transfer and
- * read index. Pure: events in, effects out; it has no clock, disk or wire.
+ * One replica of a replicated log, implementing Raft (Ongaro, 2014) with pre-vote,
+ * check-quorum, learners, single-server membership changes, leadership transfer
+ * and read index. Pure: events in, effects out; no clock, disk or network access.
  */
 import { ElectionTimer } from './election-timer.js'
 import { EntryList } from './entry-list.js'
@@ -52,22 +52,22 @@
   get lastIndex (): number { return this.#log.lastIndex }
   get lastTerm (): number { return this.#log.lastTerm }
   get members (): Members { return this.#log.members }
-  /** Entries that a snapshot taken now would replace. */
+  /** Number of entries that a snapshot taken now would replace. */
   get compactable (): number { return this.#applied - this.#log.base }
 
-  /** True where the leader's last change of members is committed. */
+  /** True if the last membership entry is committed. */
   get isSettled (): boolean { return this.#log.membersIndex <= this.#commit }
 
-  /** True where all that was accepted before the present leader's term is applied here: the leader has committed an entry of its own. */
+  /** True if everything accepted before the current leader's term is applied here, i.e. an entry of the leader's own term is. */
   get isCurrent (): boolean { return this.#leader !== null && this.#log.termAt(this.#applied) === this.#hardState.term }
 
-  /** On the leader, the synced index of each replica that was heard from lately; empty elsewhere. */
+  /** On the leader, the synced index of each replica with recent contact; empty on other replicas. */
   get matches (): ReadonlyMap<ReplicaId, number> { return this.#leadership?.matches ?? new Map() }
 
-  /** The term of a held entry, for checks from outside. */
+  /** The term of the entry at `index`; undefined if the log doesn't hold it. For external checks. */
   termAt (index: number): number | undefined { return this.#log.termAt(index) }
 
-  /** Takes one event and returns what is to be done. */
+  /** Processes one event and returns the resulting effects. */
   step (event: RaftEvent): RaftEffect[] {
     this.#effects = []
     this.#now = Math.max(this.#now, event.at)
@@ -90,7 +90,7 @@
     }
   }
 
-  // Time.
+  // Timers.
 
   #tick (): void {
     if (this.#leadership !== null) return this.#tickLeader(this.#leadership)
@@ -188,7 +188,7 @@
     this.#effects.push({ type: 'role', role, term: this.#hardState.term, leader: this.#leader })
   }
 
-  // What the leader does.
+  // Requests and replies that the leader handles.
 
   #propose (event: Proposal): void {
     if (this.#leadership !== null) return this.#leadership.propose(event)
@@ -211,7 +211,7 @@
     this.#leadership?.advanceCommit()
   }
 
-  // Replication, follower's side.
+  // Replication on the follower.
 
   #handleAppend (from: ReplicaId, message: MessageOf<'append'>): void {
     if (message.term < this.#hardState.term) return this.#reply(from, false, 0, message.round)
@@ -233,7 +233,7 @@
     const added = this.#log.listNewEntries(entries)
     if (added.length === 0) return
     if (added[0].index <= this.#commit) {
-      return this.#reportViolation('committed-kept', `entry ${added[0].index} would replace a committed one`)
+      return this.#reportViolation('committed-kept', `entry ${added[0].index} would overwrite a committed entry`)
     }
     this.#synced = Math.min(this.#synced, added[0].index - 1)
     this.#log.append(added)
@@ -272,7 +272,7 @@
     if (message.term === this.#hardState.term && this.#isVoter(this.id)) this.#campaign(false, true)
   }
 
-  // Snapshots of this replica's own state.
+  // Local snapshots.
 
   #compact (index: number, state: unknown): void {
     if (index > this.#applied) return
@@ -306,7 +306,7 @@
   }
 
   #saveHard (hard: HardState): void {
-    if (hard.term < this.#hardState.term) this.#reportViolation('term-rises', `${this.#hardState.term} to ${hard.term}`)
+    if (hard.term < this.#hardState.term) this.#reportViolation('term-rises', `term decreases from ${this.#hardState.term} to ${hard.term}`)
     this.#hardState = hard
     this.#effects.push({ type: 'persist', hard, entries: [], snapshot: null })
   }
@@ -317,7 +317,7 @@
     this.#effects.push({ type: 'send', to, message, early: false })
   }
 
-  // What its leadership may see and do.
+  // The part of this node that the leader object may access.
   #composeLeaderHost (): LeaderHost {
     const node = this
     return {
--- a/src/coordination/log/record-file.ts
+++ b/src/coordination/log/record-file.ts
@@ -1,13 +1,13 @@
 /**
  * Checksummed records in one file, appended in batches and synced. Each batch
- * begins with a mark of the length that was synced before it, so that a reader
- * can tell a torn last batch from damage to what was acknowledged.
+ * starts with a mark that holds the file length synced before it, so that a
+ * reader can distinguish a torn last batch from damage to acknowledged records.
  */
 import { crc32 } from 'node:zlib'
 import { decode, encode } from 'cbor-x'
 import type { LogEntry, HardState } from './log-types.js'
 
-/** What a record holds. */
+/** Contents of a record. `mark` starts a batch. */
 export type LogRecord =
   | { readonly type: 'mark', readonly synced: number }
   | { readonly type: 'hard', readonly hard: HardState }
@@ -16,14 +16,14 @@
 const headerBytes = 8
 const maxRecordBytes = 64 * 2 ** 20
 
-/** The file's contents as far as they can be trusted. */
+/** The valid part of a file. */
 export interface DecodedRecords {
   readonly records: readonly LogRecord[]
-  /** Bytes that hold whole records; what follows is a torn tail to cut off. */
+  /** Bytes of complete records; the rest is a torn tail to truncate. */
   readonly length: number
 }
 
-/** Damage that can't be a torn last write. The replica must not vote on it. */
+/** Damage that can't be explained by a torn last write. The replica must not vote with such a log. */
 export class DamagedLogError extends Error {
   readonly offset: number
 
@@ -34,7 +34,7 @@
   }
 }
 
-/** Encodes one record with its length and checksum. */
+/** Encodes one record, prefixed with its length and CRC-32 (both 32 bits, little-endian). */
 export function encodeRecord (record: LogRecord): Buffer {
   const body = encode(record)
   const header = Buffer.allocUnsafe(headerBytes)
@@ -44,9 +44,9 @@
 }
 
 /**
- * Decodes the records of a file. A tail that was never acknowledged (cut short,
- * or never written and so all zero) is left out. Any other record that fails
- * its checksum throws `DamagedLogError`.
+ * Decodes the records of a file. A torn tail that was never acknowledged (cut
+ * short, or never written and therefore zero) is ignored. Any other record that
+ * fails its checksum throws `DamagedLogError`.
  */
 export function decodeRecords (bytes: Buffer): DecodedRecords {
   const records: LogRecord[] = []
@@ -77,10 +77,10 @@
   return { value: decode(body) as LogRecord, end }
 }
 
-// A write that the disk never took leaves zeros to the end of the file.
+// A write that never reached the disk leaves zeros up to the end of the file.
 function assertTornTail (bytes: Buffer, at: number): void {
   const rest = bytes.subarray(at)
-  if (hasLaterMark(bytes, at)) throw new DamagedLogError(at, 'later batches follow it')
+  if (hasLaterMark(bytes, at)) throw new DamagedLogError(at, 'a later batch confirms that it was synced')
   const length = rest.readUInt32LE(0)
   const tail = length === 0 ? rest : rest.subarray(headerBytes)
   if (length <= maxRecordBytes && hasTrailingZero(tail)) return
@@ -91,7 +91,7 @@
   return bytes.length === 0 || bytes[bytes.length - 1] === 0
 }
 
-// Whether a later batch says that `at` had been synced before it.
+// True if a later batch has a mark showing that offset `at` was synced before that batch.
 function hasLaterMark (bytes: Buffer, at: number): boolean {
   for (let next = at + 1; next + headerBytes <= bytes.length; next++) {
     const length = bytes.readUInt32LE(next)
--- a/src/coordination/log/replica.ts
+++ b/src/coordination/log/replica.ts
@@ -1,7 +1,7 @@
 /**
- * The driver of one replica: a task that feeds events to the pure node, writes
- * what it wants kept, and sends what it wants sent. While a sync runs, events
- * gather; they share the next sync, so one sync serves many proposals.
+ * Drives one replica: feeds events to the pure Raft node and executes its
+ * effects, i.e. writes to the store and sends messages. Events that arrive while
+ * a sync runs are batched and share the next sync (group commit).
  */
 import { Inbox, waitUntil } from '../../runtime/index.js'
 import type { LogEntry, Members, RaftTiming, ReplicaId, Snapshot, StoredLog } from './log-types.js'
@@ -12,46 +12,46 @@
 type PersistEffect = Extract<RaftEffect, { type: 'persist' }>
 type SendEffect = Extract<RaftEffect, { type: 'send' }>
 
-/** Where a replica keeps its log. `LogStore` is one; tests bring fakes. */
+/** Stable storage of a replica. Implemented by `LogStore`, and by fakes in tests. */
 export interface ReplicaStore {
   readonly id: ReplicaId
   readonly stored: StoredLog
-  /** True where the log is so large that a snapshot is due, however few its entries. */
+  /** True if the log is so large in bytes that a snapshot is due regardless of the number of entries. */
   readonly isOversized: boolean
   persist (effects: readonly PersistEffect[]): Promise<void>
 }
 
-/** The state machine that a log drives. */
+/** The state machine that the log drives. */
 export interface ReplicatedMachine {
-  /** Carries out a committed command at its agreed time, ms since 1970. */
+  /** Applies a committed command at its log entry's time, ms since 1970. */
   apply (command: unknown, time: number): unknown
-  /** The whole state, for a snapshot. */
+  /** Returns the complete state for a snapshot. */
   save (): unknown
-  /** Takes the state of a snapshot in place of its own. */
+  /** Replaces the state by that of a snapshot. */
   restore (state: unknown): void
 }
 
-/** What a replica needs of its surroundings. */
+/** The environment of a replica. */
 export interface ReplicaHost {
   readonly machine: ReplicatedMachine
   readonly timing: RaftTiming
-  /** A snapshot is taken after so many entries, or once the store calls its log grown. */
+  /** Number of entries after which a snapshot is taken; one is also taken when the store is oversized. */
   readonly snapshotEvery: number
   send (to: ReplicaId, message: RaftMessage): void
-  /** A clock that only rises, ms. */
+  /** Monotonic clock, ms. */
   now (): number
-  /** Wall time, ms since 1970. */
+  /** Wall clock, ms since 1970. */
   wall (): number
   random (): number
   noteRole (role: string, term: number, leader: ReplicaId | null): void
   noteViolation (rule: string, detail: string): void
-  /** Called after every run of applied entries. */
+  /** Called after each batch of applied entries. */
   noteApplied (): void
-  /** The disk failed: the replica has stopped and must not go on. */
+  /** Called when a disk write failed. The replica has stopped and must not be used further. */
   noteDiskFault (error: Error): void
 }
 
-/** How a proposal ended. `lost`: whether it will be applied is not known. */
+/** Outcome of a proposal. `lost`: it is unknown whether it will be applied. */
 export type ProposalOutcome =
   | { readonly type: 'applied', readonly result: unknown }
   | { readonly type: 'rejected', readonly fault: ProposalFault }
@@ -68,9 +68,9 @@
   | { readonly type: 'failed', readonly error: Error }
 
 const inboxLimit = 20_000
-/** Events that wait for a sync before messages of others are dropped: a log bears their loss. */
+/** Backlog length above which incoming messages are dropped; Raft tolerates message loss. */
 const maxBacklogEvents = 4000
-/** A transfer of the lead is waited for at most so long, ms. */
+/** Maximum time to wait for a leadership transfer, ms. */
 const transferTimeoutMs = 1000
 const membersApplied = { type: 'members-changed' }
 
@@ -112,17 +112,17 @@
     this.#post({ type: 'receive', at: this.#host.now(), from, message })
   }
 
-  /** Proposes a command; resolves once it's applied here, or can't be. */
+  /** Proposes a command; resolves once it is applied here, is rejected, or its outcome can't be determined. */
   propose (command: unknown): Promise<ProposalOutcome> {
     return this.#submit(proposal => ({ type: 'propose', at: this.#host.now(), wall: this.#host.wall(), proposal, command }))
   }
 
-  /** Proposes other members, at most one voter away from the present ones. */
+  /** Proposes a membership change, which may add or remove at most one voter. */
   changeMembers (members: Members): Promise<ProposalOutcome> {
     return this.#submit(proposal => ({ type: 'changeMembers', at: this.#host.now(), wall: this.#host.wall(), proposal, members }))
   }
 
-  /** Resolves true once the machine's state is as new as this call; false where this replica can't say. */
+  /** Linearizable read barrier: resolves to true once the state includes everything committed before this call, to false if this replica can't confirm that. */
   read (): Promise<boolean> {
     if (this.#stopped) return Promise.resolve(false)
     return new Promise(resolve => {
@@ -132,7 +132,7 @@
     })
   }
 
-  /** Hands the lead to a follower that has the whole log, if this replica leads; resolves once another may lead, or after a while without one. */
+  /** Transfers leadership to a follower with the complete log, if this replica leads; resolves once it has stepped down or `transferTimeoutMs` has passed. */
   async transfer (): Promise<void> {
     if (!this.isLeader) return
     this.#post({ type: 'transfer', at: this.#host.now() })
@@ -176,7 +176,7 @@
     }
   }
 
-  // While a slow disk syncs, time and messages go on; neither may pile up.
+  // Bounds the backlog during a slow sync: consecutive ticks are merged and excess messages dropped.
   #enqueue (event: RaftEvent): void {
     const last = this.#backlog[this.#backlog.length - 1]
     if (event.type === 'tick' && last?.type === 'tick') this.#backlog.pop()
@@ -303,7 +303,7 @@
     return false
   }
 
-  // A replica that no longer leads can't say what becomes of its proposals.
+  // A replica that is no longer leader can't determine the outcome of its appended proposals.
   #resolveAppendedAsLost (): void {
     for (const proposal of this.#appended.values()) proposal.resolve({ type: 'lost' })
     this.#appended.clear()
--- a/src/coordination/members/member-digest.ts
+++ b/src/coordination/members/member-digest.ts
@@ -1,13 +1,13 @@
 import type { Member } from './member.js'
 
-/** A sum over the present members, kept up to date: it doesn't depend on their order, and its cost doesn't grow with their number. */
+/** Order-independent digest of the present members, updated incrementally, so its cost doesn't grow with the number of members. */
 export class MemberDigest {
   #sum = 0
 
-  /** The sum with this box itself. */
+  /** The digest including this box. */
   compute (self: Member): number { return (this.#sum + digestMember(self)) >>> 0 }
 
-  /** Puts what is known of a member now in place of what was known before. */
+  /** Replaces a member's previous record, if any, with the new one. */
   replace (before: Member | undefined, next: Member): void {
     if (before !== undefined) this.#add(before, -1)
     this.#add(next, 1)
@@ -19,7 +19,7 @@
   }
 }
 
-// FNV-1a.
+// FNV-1a, 32 bits.
 function digestMember (member: Member): number {
   const text = `${member.id} ${member.incarnation} ${member.version} ${member.state}`
   let hash = 2166136261
--- a/src/coordination/members/member-news.ts
+++ b/src/coordination/members/member-news.ts
@@ -1,6 +1,6 @@
 import type { Member } from './member.js'
 
-/** Members in the news of one message: it stays within one datagram. */
+/** Updates per message; keeps a message within one datagram. */
 const maxUpdatesPerMessage = 8
 
 interface QueuedUpdate {
@@ -8,16 +8,16 @@
   sendsLeft: number
 }
 
-/** News of members that goes along with messages: in turn, each a set number of times. */
+/** Member updates that are piggybacked on messages, in round-robin order, each a given number of times. */
 export class UpdateQueue {
   #updates = new Map<string, QueuedUpdate>()
 
-  /** Puts news of a member in place of what was told of it before. */
+  /** Queues an update, replacing any earlier one for the same member. */
   enqueue (member: Member, sends: number): void {
     this.#updates.set(member.id, { member, sendsLeft: sends })
   }
 
-  /** The news for one message. */
+  /** The updates for one message. */
   dequeue (): Member[] {
     const updates: Member[] = []
     for (const [id, update] of [...this.#updates]) {
--- a/src/coordination/members/membership.ts
+++ b/src/coordination/members/membership.ts
@@ -1,9 +1,9 @@
 /**
- * Who is there: SWIM (Das et al., 2002) with incarnations, indirect probes, and
- * a local health that slows a box's own suspicions while it is itself slow
- * (Lifeguard, Dadgar et al., 2017). Each box probes one other a period, so the
- * traffic of a box doesn't grow with their number. Pure: datagrams and ticks
- * in, datagrams and changes out.
+ * Group membership and failure detection: SWIM (Das et al., 2002) with
+ * incarnations, indirect probes, and a local health score that extends the
+ * suspicion time while this box itself is slow (Lifeguard, Dadgar et al., 2017).
+ * Each box probes one other per period, so the traffic per box doesn't grow with
+ * the group. Pure: datagrams and ticks in, datagrams and changes out.
  */
 import { isNewer } from './member.js'
 import type { Member } from './member.js'
@@ -11,17 +11,17 @@
 import type { MemberAddress, MemberEffect, MemberEvent, MemberMessage } from './member-message.js'
 import { UpdateQueue } from './member-news.js'
 
-/** Times and counts of the protocol. */
+/** Protocol parameters. */
 export interface MembershipTuning {
   readonly probePeriodMs: number
   readonly ackTimeoutMs: number
   readonly suspicionMs: number
-  /** How long a box that is gone is remembered, so that old news can't bring it back. */
+  /** How long the record of a box that is gone is retained, so that stale updates can't re-add it. */
   readonly goneRetentionMs: number
   readonly indirectProbes: number
 }
 
-/** Tuning that finds a dead box within 3 to 5 s. */
+/** Detects a failed box within 3 to 5 s. */
 export const defaultMembershipTuning: MembershipTuning = {
   probePeriodMs: 500,
   ackTimeoutMs: 150,
@@ -30,17 +30,17 @@
   indirectProbes: 3
 }
 
-/** Boxes that a leaving one tells at once. */
+/** Number of boxes that a leaving box notifies directly. */
 const maxLeaveNotifications = 8
-/** Members in one datagram of a whole state: it stays below what networks carry in one piece. */
+/** Members per `state` datagram; keeps it below the usual network MTU. */
 const maxMembersPerDatagram = 12
-/** The whole state is asked for at most this often, ms. */
+/** Minimum interval between requests for the full state, ms. */
 const stateRequestIntervalMs = 2000
-// Others ask for the whole state too, so what came with it is hardly news.
+// Updates from a full state are sent on only once: other boxes request the full state too, so most have them already.
 const sendsAfterStateTransfer = 1
-/** A box that is gone is tried this often, ms. */
+/** Interval between pings to boxes that are gone, ms. */
 const gonePingIntervalMs = 4000
-/** A box counts as at most so unwell itself; it then waits twice as long before it gives others up. */
+/** Upper bound of the local health score (0 is healthy); at the bound the suspicion time is doubled. */
 const maxHealthScore = 8
 
 interface Probe {
@@ -86,16 +86,16 @@
 
   get self (): Member { return this.#self }
 
-  /** Every known box, this one first, those that are gone left out. */
+  /** All members except those that are gone, this box first. */
   get members (): Member[] {
     const present = [...this.#members.values()].filter(member => member.state !== 'gone')
     return [this.#self, ...present]
   }
 
-  /** Every box that is remembered, this one first, those that are gone with them. */
+  /** All known members including those that are gone, this box first. */
   get remembered (): Member[] { return [this.#self, ...this.#members.values()] }
 
-  /** Takes one event and returns what is to be done. */
+  /** Processes one event and returns the resulting effects. */
   step (event: MemberEvent): MemberEffect[] {
     this.#effects = []
     this.#now = Math.max(this.#now, event.at)
@@ -123,7 +123,7 @@
     this.#pingGoneMember()
   }
 
-  // Probing, in a random order that is drawn anew after each round.
+  // Probing, in a random order that is reshuffled after each round.
 
   #startProbe (): void {
     const target = this.#pickTarget()
@@ -149,8 +149,8 @@
     this.#sendPing(seed, this.#number)
   }
 
-  // After a cut both sides think the other gone: now and then one of them is
-  // asked, and a box that hears that it is thought gone comes back as a new one.
+  // After a network partition each side considers the other gone. Pinging such a
+  // box from time to time tells it so, and it rejoins with a new incarnation.
   #pingGoneMember (): void {
     if (this.#now < this.#nextGonePingAt || this.#goneAt.size === 0) return
     this.#nextGonePingAt = this.#now + gonePingIntervalMs
@@ -225,7 +225,7 @@
     }
   }
 
-  // A box that is heard from while it is doubted is told so, and can refute it.
+  // Tells a box that sends messages while it is suspected or gone, so that it can refute that.
   #notifyIfSuspected (from: Member): void {
     const known = this.#members.get(from.id)
     if (known === undefined || known.incarnation !== from.incarnation) return
@@ -252,7 +252,7 @@
     this.#sendPing(target, this.#number)
   }
 
-  // Where the other knows something else, everything is asked for, now and then.
+  // Requests the full state if the digests differ, at a limited rate.
   #compareDigest (from: Member, digest: number): void {
     if (digest === this.#digest.compute(this.#self) || this.#now < this.#nextStateRequestAt) return
     this.#nextStateRequestAt = this.#now + stateRequestIntervalMs
@@ -266,7 +266,7 @@
     }
   }
 
-  // Learning and spreading.
+  // Merging and spreading updates.
 
   #applyUpdate (next: Member, sends = this.#sendsPerUpdate): void {
     if (next.id === this.#self.id) return this.#applyUpdateAboutSelf(next)
@@ -292,9 +292,9 @@
     if (update.incarnation !== this.#self.incarnation || update.state === this.#self.state) return
     if (this.#self.state === 'leaving') return
     if (update.state !== 'suspect' && update.state !== 'gone') return
-    // An older suspicion is refuted already; "gone" holds whatever the version.
+    // A suspicion of an older version is already refuted; "gone" applies to any version.
     if (update.state === 'suspect' && update.version < this.#self.version) return
-    // "Gone" can't be refuted by a version; the box comes back as a new one.
+    // "Gone" can't be refuted by a higher version, so the box rejoins with a new incarnation.
     const incarnation = update.state === 'gone' ? this.#self.incarnation + 1 : this.#self.incarnation
     this.#self = { ...this.#self, incarnation, version: Math.max(this.#self.version, update.version) + 1 }
     this.#healthScore = Math.min(maxHealthScore, this.#healthScore + 1)
--- a/src/coordination/spread/document-pull.ts
+++ b/src/coordination/spread/document-pull.ts
@@ -1,36 +1,35 @@
 /**
- * Decides from whom a box asks for the newest document, and when. One copy at a
- * time is on its way: a document comes over the link that also carries the
- * traffic, so a second copy, asked for because the first takes long, would make
- * both late. Another holder is asked only where the first can't answer any more
- * (its link ended, or fell silent) or has not for long, each time longer.
- * Versions that are named meanwhile wait: whoever is asked sends the newest that
- * it has.
+ * Decides from which holder a box requests the newest document, and when. Only
+ * one request is in flight: a document shares its link with other traffic, so
+ * requesting a second copy because the first is slow would delay both. Another
+ * holder is asked only if the first can no longer answer (its link closed or went
+ * silent) or has not answered within a timeout, which doubles each time. Versions
+ * advertised meanwhile wait, because a holder always sends its newest version.
  */
 
-/** How long a holder that was asked is waited for while its link lives, ms. */
+/** Request timeouts while the holder's link is responsive, ms. */
 export interface PullPatience {
-  /** The first one. */
+  /** Timeout of the first request. */
   readonly firstMs: number
-  /** It doubles with each holder that was waited for in vain, up to this. */
+  /** Upper bound; the timeout doubles with each request that times out. */
   readonly longestMs: number
 }
 
-/** A holder of a document, as its asker sees it now. */
+/** Current state of a holder as seen by the requesting box. */
 export interface HolderState {
-  /** Something came from it just now, so that what it sends still comes. */
+  /** True if data arrived from it recently, so that its answer can be expected. */
   readonly isHeard: boolean
-  /** It is cheaper to ask than the others. */
+  /** True if it is cheaper to reach than other holders. */
   readonly isNear: boolean
 }
 
-/** Why somebody is asked: a newer document is there, or the one that was asked last is out of reach or late. */
+/** Reason for a request: a newer document is available, or the previous request failed because its link ended, its link is silent, or it timed out. */
 export type PullReason = 'newer' | 'ended' | 'silent' | 'overdue'
 
-/** Whom to ask. */
+/** The holder to send a request to. */
 export interface PullChoice<Holder> {
   readonly holder: Holder
-  /** What it named last: it sends this version or a newer one. */
+  /** The version it advertised last; it will send this version or a newer one. */
   readonly version: number
   readonly why: PullReason
 }
@@ -45,35 +44,35 @@
   #timeouts: PullPatience
   #advertised = new Map<Holder, number>()
   #pending: PendingRequest<Holder> | null = null
-  /** Holders that were asked in vain since a document last came. */
+  /** Holders whose request failed since the last answer. */
   #failed = new Set<Holder>()
 
   constructor (timeouts: PullPatience) {
     this.#timeouts = timeouts
   }
 
-  /** Holders that said which version they have. */
+  /** Number of holders that have advertised a version. */
   get namedCount (): number { return this.#advertised.size }
 
-  /** Takes a holder's word of the newest version that it has. */
+  /** Records the newest version that a holder advertises. */
   noteNamed (holder: Holder, version: number): void { this.#advertised.set(holder, version) }
 
-  /** Takes word that an answer came, whether or not it could be used. */
+  /** Records that an answer arrived, whether or not it was usable. */
   noteAnswer (): void {
     this.#pending = null
     this.#failed.clear()
   }
 
-  /** Forgets a holder whose link ended. */
+  /** Removes a holder whose link closed. */
   forget (holder: Holder): void {
     this.#advertised.delete(holder)
     this.#failed.delete(holder)
   }
 
   /**
-   * Whom to ask now, for a box that has the version `held`; null where nobody is
-   * to be asked. What is given counts as asked. `draw`, from 0 up to 1, parts
-   * holders that are alike.
+   * Chooses the holder to ask now for a version above `held`, and records the
+   * request as sent; null if no request is due. `random`, in [0, 1), breaks ties
+   * between equally suitable holders.
    */
   choose (held: number, at: number, random: number, getState: (holder: Holder) => HolderState): PullChoice<Holder> | null {
     const why = this.#findReason(at, getState)
@@ -86,10 +85,10 @@
     return { holder, version: this.#advertised.get(holder) ?? 0, why }
   }
 
-  // Null while the one that was asked is waited for.
+  // Null while the pending request may still be answered.
   #findReason (at: number, getState: (holder: Holder) => HolderState): PullReason | null {
     if (this.#pending === null) return 'newer'
-    const { holder, sentAt: sentAt, timeoutMs: timeoutMs } = this.#pending
+    const { holder, sentAt, timeoutMs } = this.#pending
     if (!this.#advertised.has(holder)) return 'ended'
     if (!getState(holder).isHeard) return 'silent'
     return at - sentAt >= timeoutMs ? 'overdue' : null
@@ -102,7 +101,7 @@
   }
 }
 
-// The newest version first, then those not asked in vain, then the near ones, then by lot.
+// Prefers the newest version, then holders without a failed request, then near ones, and breaks ties at random.
 function pickHolder<Holder> (candidates: readonly (readonly [Holder, number])[], failed: ReadonlySet<Holder>, random: number, getState: (holder: Holder) => HolderState): Holder | null {
   const newest = Math.max(...candidates.map(([, version]) => version))
   let holders = candidates.filter(([, version]) => version === newest).map(([holder]) => holder)
--- a/src/coordination/spread/text-patch.ts
+++ b/src/coordination/spread/text-patch.ts
@@ -1,18 +1,18 @@
 /**
- * A newer text told as what changed since an older one, so that a change to a
- * large document costs what it changed and not what the document weighs. Texts
- * are cut where objects of JSON begin: an object that stayed as it was is kept,
- * wherever it stands now. Any two texts will do, though one without objects is
- * told whole.
+ * Encodes a text as a patch against an older one, so that the cost of sending a
+ * change depends on the change and not on the document size. Texts are split at
+ * the start of JSON objects; an unchanged object is copied from the older text
+ * even if it has moved. Works for any two texts, but a changed text without
+ * objects is sent in full.
  */
 
-/** One step in making the newer text, front to back. */
+/** One step in building the newer text from start to end. */
 export type PatchStep =
-  /** A part of the older text, by its places in it; the part ends before `to`. */
+  /** Copies the characters [from, to) of the older text. */
   | { readonly type: 'keep', readonly from: number, readonly to: number }
   | { readonly type: 'add', readonly text: string }
 
-/** A part of a text, and where it stands there. */
+/** A part of a text and its offset. */
 interface Segment {
   readonly text: string
   readonly from: number
@@ -20,7 +20,7 @@
 
 const objectStart = '{'
 
-/** The steps that lead from the older text to the newer one. */
+/** The steps that turn the older text into the newer one. */
 export function compareTexts (older: string, newer: string): PatchStep[] {
   const olderSegments = splitSegments(older)
   const indexByText = new Map(olderSegments.map(({ text }, index) => [text, index]))
@@ -39,12 +39,12 @@
   return steps
 }
 
-/** Makes the newer text. Throws `RangeError` where a step names a part that the older text hasn't. */
+/** Builds the newer text. Throws `RangeError` if a step refers to a range outside the older text. */
 export function applySteps (older: string, steps: readonly PatchStep[]): string {
   return steps.map(step => {
     if (step.type === 'add') return step.text
     const { from, to } = step
-    if (!(from >= 0 && from <= to && to <= older.length)) throw new RangeError(`a text of ${older.length} characters has no part from ${from} to ${to}`)
+    if (!(from >= 0 && from <= to && to <= older.length)) throw new RangeError(`patch range ${from} to ${to} is outside the text of ${older.length} characters`)
     return older.slice(from, to)
   }).join('')
 }
@@ -61,7 +61,7 @@
   return segments
 }
 
-// Parts that follow one another become one step.
+// Merges adjacent ranges into one step.
 function appendKeep (steps: PatchStep[], from: number, to: number): void {
   const last = steps[steps.length - 1]
   if (last?.type === 'keep' && last.to === from) steps[steps.length - 1] = { type: 'keep', from: last.from, to }
--- a/src/coordination/usage/usage-book.ts
+++ b/src/coordination/usage/usage-book.ts
@@ -1,32 +1,31 @@
 /**
- * What boxes told of the requests that began there, before it is settled. Each
- * start of a box is a source of its own, and its counts of a window only rise:
- * a telling may come twice, late, out of order or by way of several boxes, and
- * counts once.
+ * Aggregates the request counts that boxes report, until they are settled. Each
+ * process start of a box is a separate source, and its counts per window only
+ * grow. Updates are merged by maximum, so one that is duplicated, delayed,
+ * reordered or relayed by several boxes counts once.
  */
 import type { UsageCounts, UsageWindow } from './usage-ledger.js'
 
-/** What one start of a box tells: some of its windows, each whole. */
+/** An update from one source: the full counts of some of its windows. */
 export interface UsageTelling {
-  /** The box's start, unique over all boxes and starts. */
+  /** Identifies a process start of a box, unique over all boxes and starts. */
   readonly source: string
-  /** All that began before this true time is told, ms since 1970. */
+  /** All requests that began before this time are reported; corrected wall-clock time, ms since 1970. */
   readonly through: number
   readonly windows: readonly (readonly [window: UsageWindow, counts: UsageCounts])[]
 }
 
-/** What is known of a source. */
 interface Source {
   through: number
-  /** When the news of it came, on the rising clock of this box, ms. */
+  /** Time of its last update, on this box's monotonic clock, ms. */
   updatedAt: number
   readonly windows: Map<UsageWindow, Map<string, number>>
-  /** Windows that have changed since news was last taken; `isNews` also where `through` alone has. */
+  /** Windows changed since the last `takeNews`. `hasChanges` is also true if only `through` changed. */
   changedWindows: Set<UsageWindow>
   hasChanges: boolean
 }
 
-/** A source without windows that was silent for so long is forgotten, ms: it ended, or has nothing to tell that could still be reported. */
+/** Sources without windows are dropped after this time without an update, ms: they have stopped, or have nothing that could still be reported. */
 const idleSourceMs = 60_000
 
 export class UsageBook {
@@ -59,7 +58,7 @@
     }
   }
 
-  /** All that began in a window, as far as it is told, by workspace in order of names. */
+  /** The requests reported so far for a window, by workspace in order of name. */
   sum (window: UsageWindow): UsageCounts {
     const sum = new Map<string, number>()
     for (const { windows } of this.#sources.values()) {
@@ -68,12 +67,12 @@
     return [...sum].sort(([a], [b]) => a < b ? -1 : 1)
   }
 
-  /** Sources that were heard since `since`, on the clock of `note`, and have not told all before true time `until`. */
+  /** Number of sources that sent an update since `since` (on the clock of `note`) but have not reported everything before `until` (corrected wall-clock time). */
   countBehind (until: number, since: number): number {
     return [...this.#sources.values()].filter(({ through, updatedAt: heardAt }) => heardAt >= since && through < until).length
   }
 
-  /** What is new since the last call, or with `all` everything, for another box. */
+  /** Updates to relay to another box: the changes since the last call, or everything if `all` is true. */
   takeNews (all: boolean): UsageTelling[] {
     const updates: UsageTelling[] = []
     for (const [name, source] of this.#sources) {
@@ -86,7 +85,7 @@
     return updates
   }
 
-  /** Drops windows before `first`, and sources that have none and were silent. */
+  /** Drops windows before `first`, and idle sources without windows. */
   forget (first: UsageWindow, at: number): void {
     for (const [name, { windows, updatedAt: heardAt }] of this.#sources) {
       for (const window of windows.keys()) if (window < first) windows.delete(window)
--- a/src/coordination/usage/usage-ledger.ts
+++ b/src/coordination/usage/usage-ledger.ts
@@ -1,39 +1,39 @@
 /**
- * What ran in each window of time, as it was settled: a state machine of the
- * replicated log. The first counts that are settled for a window are its counts
- * for good, whoever reports them and however often.
+ * Settled request counts per time window, as a state machine on the replicated
+ * log. The first counts settled for a window are final, whichever box reports
+ * them to the platform and however often.
  */
 
-/** A window's number: it begins so many windows after 1970 in true time. */
+/** Sequence number of a window: the number of windows between 1970 and its start, in corrected wall-clock time. */
 export type UsageWindow = number
 
-/** Requests that began, by workspace. */
+/** Number of requests that began, by workspace. */
 export type UsageCounts = readonly (readonly [workspace: string, requests: number])[]
 
-/** A window whose counts stand. */
+/** A window with its final counts. */
 export interface SettledWindow {
   readonly window: UsageWindow
   readonly counts: UsageCounts
-  /** True once the other side said that it has it. */
+  /** True once the platform has confirmed the report, or reporting was given up. */
   readonly isReported: boolean
 }
 
-/** What is asked of the ledger. */
+/** Commands on usage. */
 export type UsageCommand =
   | { readonly type: 'settle', readonly window: UsageWindow, readonly counts: UsageCounts }
-  /** The other side has taken the window, or it is given up. */
+  /** Marks a window as accepted by the platform, or as given up. */
   | { readonly type: 'note-reported', readonly window: UsageWindow }
 
-/** The answer; `closed`: the window is older than all that are kept. */
+/** Result of a command. `closed`: the window is older than all retained ones. */
 export type UsageResult =
   | { readonly type: 'settled', readonly settled: SettledWindow }
   | { readonly type: 'reported' }
   | { readonly type: 'closed' }
 
-/** The ledger as it stands in a snapshot, the oldest window first. */
+/** The ledger as stored in a snapshot, oldest window first. */
 export type UsageLedgerState = readonly SettledWindow[]
 
-/** Windows that are kept: two minutes of windows of 5 s, for operators and for reports that wait for the other side. */
+/** Number of retained windows, 2 minutes of 5 s windows, for operators and for reports that the platform has not accepted yet. */
 const maxWindows = 24
 
 export class UsageLedger {
@@ -43,9 +43,9 @@
     this.#windows = [...state]
   }
 
-  /** The windows that are kept, the oldest first. */
+  /** The retained windows, oldest first. */
   get windows (): readonly SettledWindow[] { return this.#windows }
-  /** The newest window that is settled; null before the first. */
+  /** The newest settled window; null before the first. */
   get newest (): UsageWindow | null { return this.#windows.at(-1)?.window ?? null }
 
   apply (command: UsageCommand): UsageResult {
