--- a/src/coordination/index.ts
+++ b/src/coordination/index.ts
@@ -31,7 +31,7 @@
 export { KeeperState, defaultBounds } from './keeper-state.js'
 export type { KeeperBounds, KeeperCommand, KeeperResult, KeeperSnapshot } from './keeper-state.js'
 export { KeeperLog } from './keeper-log.js'
-export type { KeeperLogHost, KeeperLogOptions as KeeperLogPlace } from './keeper-log.js'
+export type { KeeperLogHost, KeeperLogOptions } from './keeper-log.js'
 export { isNewer } from './members/member.js'
 export type { Member, MemberState } from './members/member.js'
 export type { MemberAddress, MemberEffect, MemberEvent, MemberMessage } from './members/member-message.js'
--- a/src/coordination/keeper-log.ts
+++ b/src/coordination/keeper-log.ts
@@ -6,7 +6,7 @@
 import { KeeperState, defaultBounds } from './keeper-state.js'
 import type { KeeperCommand, KeeperSnapshot } from './keeper-state.js'
 import { LogStore, Replica } from './log/index.js'
-import type { DiskPatience, Members, ProposalEnd, RaftMessage, RaftTiming, ReplicaId, Snapshot } from './log/index.js'
+import type { DiskRetryPolicy, Members, ProposalOutcome, RaftMessage, RaftTiming, ReplicaId, Snapshot } from './log/index.js'
 
 /** Callbacks and settings that the embedding program provides. */
 export interface KeeperLogHost {
@@ -28,7 +28,7 @@
   /** Second part of the replica id when the folder is created; random if omitted. */
   readonly firstPart?: string
   /** How to retry failed disk writes; without it the replica stops at the first failure. */
-  readonly patience?: DiskPatience
+  readonly patience?: DiskRetryPolicy
 }
 
 export class KeeperLog {
@@ -36,7 +36,7 @@
   #host: KeeperLogHost
   #stateMachine = new KeeperState(defaultBounds, null)
   #replica: Replica | null = null
-  #forming = false
+  #isForming = false
 
   private constructor (store: LogStore, host: KeeperLogHost) {
     this.#store = store
@@ -56,7 +56,7 @@
   /** Null until the replica is started. */
   get replica (): Replica | null { return this.#replica }
   get isFormed (): boolean { return this.#store.stored.snapshot !== null }
-  get isForming (): boolean { return this.#forming }
+  get isForming (): boolean { return this.#isForming }
   get isLeader (): boolean { return this.#replica?.isLeader === true }
   get leader (): ReplicaId | null { return this.#replica?.leader ?? null }
   /** True if a leader is known and everything accepted before its term has been applied here. */
@@ -64,11 +64,11 @@
 
   /** Bootstraps a new log with the given members. Every member must bootstrap with the same list. False if the replica has started or is not a voter. */
   async form (members: Members): Promise<boolean> {
-    if (this.#replica !== null || this.#forming || !members.voters.includes(this.id)) return false
-    this.#forming = true
+    if (this.#replica !== null || this.#isForming || !members.voters.includes(this.id)) return false
+    this.#isForming = true
     const snapshot: Snapshot = { index: 1, term: 1, time: 0, members, state: null }
     await this.#store.persist([{ type: 'persist', hard: { term: 1, vote: null }, entries: [], snapshot }])
-    this.#forming = false
+    this.#isForming = false
     this.startReplica()
     return true
   }
@@ -100,7 +100,7 @@
     if (to === this.id) this.#replica?.receive(from, message)
   }
 
-  propose (command: KeeperCommand): Promise<ProposalEnd> {
+  propose (command: KeeperCommand): Promise<ProposalOutcome> {
     if (this.#replica === null) return Promise.resolve({ type: 'rejected', fault: 'not-leader' })
     return this.#replica.propose(command)
   }
--- a/src/coordination/ledger/config-ledger.ts
+++ b/src/coordination/ledger/config-ledger.ts
@@ -42,7 +42,7 @@
   /** Cached value of `document`; null after a change. */
   #cachedDocument: Document | null
   #revision: number
-  #recent: Revision[]
+  #recentRevisions: Revision[]
   #plans: Map<number, Plan>
   #confirmed: Map<number, number>
   #results: Map<string, RecordedResult>
@@ -53,7 +53,7 @@
     this.#sections = copySections(state.document)
     this.#cachedDocument = null
     this.#revision = state.revision
-    this.#recent = [...state.recent]
+    this.#recentRevisions = [...state.recent]
     this.#plans = new Map(state.plans.map(plan => [plan.number, plan]))
     this.#confirmed = new Map(state.confirmed)
     this.#results = new Map(state.answers)
@@ -84,7 +84,7 @@
   /** The accepted revisions after `revision`; null if some of them are no longer retained. */
   findSince (revision: number): Revision[] | null {
     if (revision > this.#revision) return []
-    const since = this.#recent.filter(one => one.revision > revision)
+    const since = this.#recentRevisions.filter(one => one.revision > revision)
     return since.length === this.#revision - revision ? since : null
   }
 
@@ -92,7 +92,7 @@
     return {
       document: this.document,
       revision: this.#revision,
-      recent: [...this.#recent],
+      recent: [...this.#recentRevisions],
       plans: [...this.#plans.values()],
       confirmed: [...this.#confirmed],
       answers: [...this.#results],
@@ -129,14 +129,14 @@
     applyChangesInPlace(this.#sections, plan.changes)
     this.#cachedDocument = null
     this.#revision += 1
-    this.#recent.push({ revision: this.#revision, changes: plan.changes, operator, time: now })
-    if (this.#recent.length > this.#bounds.maxRevisions) this.#recent.shift()
+    this.#recentRevisions.push({ revision: this.#revision, changes: plan.changes, operator, time: now })
+    if (this.#recentRevisions.length > this.#bounds.maxRevisions) this.#recentRevisions.shift()
     this.#plans.delete(plan.number)
     this.#confirmed.set(plan.number, this.#revision)
   }
 
   #conflict (base: number): LedgerResult {
-    const since = this.findSince(base) ?? this.#recent
+    const since = this.findSince(base) ?? this.#recentRevisions
     return { type: 'conflict', base, revision: this.#revision, since: since.flatMap(one => one.changes) }
   }
 
--- a/src/coordination/log/log-store.ts
+++ b/src/coordination/log/log-store.ts
@@ -44,7 +44,7 @@
   #length: number
   #snapshotBytes = 0
   #diskRetry: DiskRetryPolicy | null
-  #closed = false
+  #isClosed = false
 
   private constructor (folder: string, id: ReplicaId, list: EntryList, hard: HardState, file: FileHandle, generation: number, length: number, diskRetry: DiskRetryPolicy | null) {
     this.folder = folder
@@ -115,7 +115,7 @@
         if (hasFailed) diskRetry.noteWell()
         return
       } catch (error) {
-        if (this.#closed) throw error
+        if (this.#isClosed) throw error
         if (!hasFailed) diskRetry.noteFault(error as Error)
         await new Promise(resolve => setTimeout(resolve, diskRetry.retryMs))
       }
@@ -124,7 +124,7 @@
 
   /** Closes the files; a write that is still being retried is abandoned and throws. */
   async close (): Promise<void> {
-    this.#closed = true
+    this.#isClosed = true
     await this.#file.close()
   }
 
--- a/src/coordination/log/raft-leader.ts
+++ b/src/coordination/log/raft-leader.ts
@@ -99,9 +99,9 @@
   }
 
   #findMembersFault (members: Members): ProposalFault | undefined {
-    const { commitIndex, hasCommittedMembers: isSettled, log } = this.#host
+    const { commitIndex, hasCommittedMembers, log } = this.#host
     if (commitIndex < this.#firstTermIndex) return 'not-ready'
-    if (!isSettled) return 'change-in-progress'
+    if (!hasCommittedMembers) return 'change-in-progress'
     const { voters } = log.members
     const added = members.voters.filter(id => !voters.includes(id))
     const removed = voters.filter(id => !members.voters.includes(id))
--- a/src/coordination/log/replica.ts
+++ b/src/coordination/log/replica.ts
@@ -81,8 +81,8 @@
   #host: ReplicaHost
   #inbox = new Inbox<ReplicaInput>(inboxLimit)
   #backlog: RaftEvent[] = []
-  #syncing = false
-  #stopped = false
+  #isSyncing = false
+  #isStopped = false
   #sendsAfterSync: SendEffect[] = []
   #proposals = new Map<number, (end: ProposalOutcome) => void>()
   #appended = new Map<number, AppendedProposal>()
@@ -104,7 +104,7 @@
   }
 
   get node (): RaftNode { return this.#node }
-  get isLeader (): boolean { return !this.#stopped && this.#node.role === 'leader' }
+  get isLeader (): boolean { return !this.#isStopped && this.#node.role === 'leader' }
   get leader (): ReplicaId | null { return this.#node.leader }
   get members (): Members { return this.#node.members }
 
@@ -124,7 +124,7 @@
 
   /** Linearizable read barrier: resolves to true once the state includes everything committed before this call, to false if this replica can't confirm that. */
   read (): Promise<boolean> {
-    if (this.#stopped) return Promise.resolve(false)
+    if (this.#isStopped) return Promise.resolve(false)
     return new Promise(resolve => {
       this.#lastRequest += 1
       this.#reads.set(this.#lastRequest, resolve)
@@ -140,15 +140,15 @@
   }
 
   stop (): void {
-    if (this.#stopped) return
-    this.#stopped = true
+    if (this.#isStopped) return
+    this.#isStopped = true
     clearInterval(this.#timer)
     this.#inbox.close()
     this.#rejectPending()
   }
 
   #submit (createEvent: (proposal: number) => RaftEvent): Promise<ProposalOutcome> {
-    if (this.#stopped) return Promise.resolve({ type: 'rejected', fault: 'not-leader' })
+    if (this.#isStopped) return Promise.resolve({ type: 'rejected', fault: 'not-leader' })
     return new Promise(resolve => {
       this.#lastRequest += 1
       this.#proposals.set(this.#lastRequest, resolve)
@@ -166,7 +166,7 @@
         this.#enqueue(input.event)
         break
       case 'persisted':
-        this.#syncing = false
+        this.#isSyncing = false
         this.#finishSync()
         break
       case 'failed':
@@ -192,7 +192,7 @@
   }
 
   #processBacklog (): void {
-    if (this.#syncing || this.#stopped) return
+    if (this.#isSyncing || this.#isStopped) return
     const persists: PersistEffect[] = []
     const events = this.#backlog
     this.#backlog = []
@@ -204,19 +204,19 @@
   }
 
   #sync (persists: PersistEffect[]): void {
-    this.#syncing = true
+    this.#isSyncing = true
     this.#store.persist(persists).then(
       () => this.#inbox.post({ type: 'persisted' }),
       (error: Error) => this.#inbox.post({ type: 'failed', error }))
   }
 
   #step (event: RaftEvent, persists: PersistEffect[]): void {
-    let applied = false
+    let hasApplied = false
     for (const effect of this.#node.step(event)) {
       if (effect.type === 'persist') persists.push(effect)
-      else applied = this.#perform(effect) || applied
+      else hasApplied = this.#perform(effect) || hasApplied
     }
-    if (!applied) return
+    if (!hasApplied) return
     this.#resolveReads()
     this.#host.noteApplied()
   }
--- a/src/coordination/members/membership.ts
+++ b/src/coordination/members/membership.ts
@@ -9,7 +9,7 @@
 import type { Member } from './member.js'
 import { MemberDigest } from './member-digest.js'
 import type { MemberAddress, MemberEffect, MemberEvent, MemberMessage } from './member-message.js'
-import { UpdateQueue } from './member-news.js'
+import { UpdateQueue } from './update-queue.js'
 
 /** Protocol parameters. */
 export interface MembershipTuning {
@@ -47,11 +47,11 @@
   readonly target: string
   readonly number: number
   readonly sentAt: number
-  indirect: boolean
+  isIndirect: boolean
 }
 
 interface RelayedPing {
-  readonly to: MemberAddress
+  readonly requester: MemberAddress
   readonly number: number
   readonly at: number
 }
@@ -129,7 +129,7 @@
     const target = this.#pickTarget()
     if (target === undefined) return this.#pingSeed()
     this.#number += 1
-    this.#probe = { target: target.id, number: this.#number, sentAt: this.#now, indirect: false }
+    this.#probe = { target: target.id, number: this.#number, sentAt: this.#now, isIndirect: false }
     this.#sendPing(target, this.#number)
   }
 
@@ -164,8 +164,8 @@
 
   #probeIndirectly (): void {
     const probe = this.#probe
-    if (probe === null || probe.indirect || this.#now - probe.sentAt < this.#tuning.ackTimeoutMs) return
-    probe.indirect = true
+    if (probe === null || probe.isIndirect || this.#now - probe.sentAt < this.#tuning.ackTimeoutMs) return
+    probe.isIndirect = true
     for (const relay of this.#pickRelays(probe.target)) {
       this.#send(relay, { type: 'probe', from: this.#self, number: probe.number, target: probe.target, news: this.#updates.dequeue() })
     }
@@ -199,8 +199,8 @@
       this.#goneAt.delete(id)
       this.#members.delete(id)
     }
-    for (const [number, relay] of this.#relayedPings) {
-      if (this.#now - relay.at > this.#tuning.probePeriodMs * 4) this.#relayedPings.delete(number)
+    for (const [number, relayed] of this.#relayedPings) {
+      if (this.#now - relayed.at > this.#tuning.probePeriodMs * 4) this.#relayedPings.delete(number)
     }
   }
 
@@ -238,17 +238,17 @@
       this.#probe = null
       this.#healthScore = Math.max(0, this.#healthScore - 1)
     }
-    const relay = this.#relayedPings.get(number)
-    if (relay === undefined) return
+    const relayed = this.#relayedPings.get(number)
+    if (relayed === undefined) return
     this.#relayedPings.delete(number)
-    this.#send(relay.to, { type: 'ack', from: this.#self, number: relay.number, news: this.#updates.dequeue(), digest: this.#digest.compute(this.#self) })
+    this.#send(relayed.requester, { type: 'ack', from: this.#self, number: relayed.number, news: this.#updates.dequeue(), digest: this.#digest.compute(this.#self) })
   }
 
   #relayPing (message: Extract<MemberMessage, { type: 'probe' }>): void {
     const target = this.#members.get(message.target)
     if (target === undefined) return
     this.#number += 1
-    this.#relayedPings.set(this.#number, { to: message.from, number: message.number, at: this.#now })
+    this.#relayedPings.set(this.#number, { requester: message.from, number: message.number, at: this.#now })
     this.#sendPing(target, this.#number)
   }
 
--- a/src/coordination/spread/document-pull.ts
+++ b/src/coordination/spread/document-pull.ts
@@ -110,7 +110,7 @@
   return holders.length === 0 ? null : holders[Math.floor(random * holders.length)]
 }
 
-function preferMatching<T> (all: T[], isPreferred: (one: T) => boolean): T[] {
+function preferMatching<T> (all: T[], isPreferred: (item: T) => boolean): T[] {
   const matching = all.filter(isPreferred)
   return matching.length > 0 ? matching : all
 }
--- a/src/coordination/usage/usage-book.ts
+++ b/src/coordination/usage/usage-book.ts
@@ -69,7 +69,7 @@
 
   /** Number of sources that sent an update since `since` (on the clock of `note`) but have not reported everything before `until` (corrected wall-clock time). */
   countBehind (until: number, since: number): number {
-    return [...this.#sources.values()].filter(({ through, updatedAt: heardAt }) => heardAt >= since && through < until).length
+    return [...this.#sources.values()].filter(({ through, updatedAt }) => updatedAt >= since && through < until).length
   }
 
   /** Updates to relay to another box: the changes since the last call, or everything if `all` is true. */
@@ -87,9 +87,9 @@
 
   /** Drops windows before `first`, and idle sources without windows. */
   forget (first: UsageWindow, at: number): void {
-    for (const [name, { windows, updatedAt: heardAt }] of this.#sources) {
+    for (const [name, { windows, updatedAt }] of this.#sources) {
       for (const window of windows.keys()) if (window < first) windows.delete(window)
-      if (windows.size === 0 && at - heardAt > idleSourceMs) this.#sources.delete(name)
+      if (windows.size === 0 && at - updatedAt > idleSourceMs) this.#sources.delete(name)
     }
   }
 }
