--- a/test/log-store.test.ts
+++ b/test/log-store.test.ts
@@ -7,13 +7,13 @@
 import type { LogEntry, LogRecord, Members, ReplicaId, Snapshot } from '../src/coordination/index.js'
 
 const members: Members = { voters: ['a#1' as ReplicaId], learners: [] }
-const entry = (index: number, term = 1): LogEntry => ({ index, term, time: index, content: { type: 'command', command: `c${index}` } })
-const mark = (synced: number): LogRecord => ({ type: 'mark', synced })
+const createEntry = (index: number, term = 1): LogEntry => ({ index, term, time: index, content: { type: 'command', command: `c${index}` } })
+const createMark = (synced: number): LogRecord => ({ type: 'mark', synced })
 
-/** A file of two batches; the second begins with the length of the first. */
+/** A file of two batches; the second starts with a mark of the first one's length. */
 function composeFile (): { bytes: Buffer, firstBatch: number } {
-  const first = Buffer.concat([mark(0), { type: 'entry' as const, entry: entry(1) }, { type: 'entry' as const, entry: entry(2) }].map(encodeRecord))
-  const second = Buffer.concat([mark(first.length), { type: 'entry' as const, entry: entry(3) }].map(encodeRecord))
+  const first = Buffer.concat([createMark(0), { type: 'entry' as const, entry: createEntry(1) }, { type: 'entry' as const, entry: createEntry(2) }].map(encodeRecord))
+  const second = Buffer.concat([createMark(first.length), { type: 'entry' as const, entry: createEntry(3) }].map(encodeRecord))
   return { bytes: Buffer.concat([first, second]), firstBatch: first.length }
 }
 
@@ -22,35 +22,35 @@
 }
 
 const { bytes: file, firstBatch } = composeFile()
-const flip = (at: number): Buffer => {
+const flipByte = (at: number): Buffer => {
   const copy = Buffer.from(file)
   copy[at] ^= 0xff
   return copy
 }
 
 const readable: { name: string, bytes: Buffer, entries: number }[] = [
-  { name: 'a whole file', bytes: file, entries: 3 },
+  { name: 'a complete file', bytes: file, entries: 3 },
   { name: 'an empty file', bytes: Buffer.alloc(0), entries: 0 },
-  { name: 'a last record cut short', bytes: file.subarray(0, file.length - 3), entries: 2 },
-  { name: 'a header cut short', bytes: file.subarray(0, firstBatch + 5), entries: 2 },
-  { name: 'a last batch that the disk never took', bytes: Buffer.concat([file.subarray(0, firstBatch), Buffer.alloc(40)]), entries: 2 }
+  { name: 'a file with a truncated last record', bytes: file.subarray(0, file.length - 3), entries: 2 },
+  { name: 'a file with a truncated header', bytes: file.subarray(0, firstBatch + 5), entries: 2 },
+  { name: 'a file whose last batch never reached the disk', bytes: Buffer.concat([file.subarray(0, firstBatch), Buffer.alloc(40)]), entries: 2 }
 ]
 
 for (const { name, bytes, entries } of readable) {
-  test(`${name} is read as far as it can have been acknowledged`, () => assert.equal(countEntries(bytes), entries))
+  test(`${name} is read up to the last complete record`, () => assert.equal(countEntries(bytes), entries))
 }
 
 const damaged: { name: string, bytes: Buffer }[] = [
-  { name: 'in the middle of the first batch', bytes: flip(40) },
-  { name: 'in the length of an early record', bytes: flip(24) },
-  { name: 'in the last record', bytes: flip(file.length - 2) }
+  { name: 'in the middle of the first batch', bytes: flipByte(40) },
+  { name: 'in the length of an early record', bytes: flipByte(24) },
+  { name: 'in the last record', bytes: flipByte(file.length - 2) }
 ]
 
 for (const { name, bytes } of damaged) {
   test(`damage ${name} stops the replica`, () => assert.throws(() => decodeRecords(bytes), DamagedLogError))
 }
 
-test('every cut of a file gives a beginning of its entries, and never an error', () => {
+test('a file truncated at any length is read without an error', () => {
   for (let length = 0; length <= file.length; length++) assert.ok(countEntries(file.subarray(0, length)) <= 3)
 })
 
@@ -63,24 +63,24 @@
   }
 }
 
-test('a store gives back what was synced, through snapshots and restarts', () => withFolder(async folder => {
+test('a store returns what was synced, across snapshots and restarts', () => withFolder(async folder => {
   const first = await LogStore.open(folder, 'a')
-  await first.persist([{ type: 'persist', hard: { term: 2, vote: first.id }, entries: [entry(1), entry(2), entry(3)], snapshot: null }])
-  await first.persist([{ type: 'persist', hard: null, entries: [entry(3, 2), entry(4, 2)], snapshot: null }])
+  await first.persist([{ type: 'persist', hard: { term: 2, vote: first.id }, entries: [createEntry(1), createEntry(2), createEntry(3)], snapshot: null }])
+  await first.persist([{ type: 'persist', hard: null, entries: [createEntry(3, 2), createEntry(4, 2)], snapshot: null }])
   const snapshot: Snapshot = { index: 3, term: 2, time: 3, members, state: { x: 1 } }
   await first.persist([{ type: 'persist', hard: null, entries: [], snapshot }])
-  await first.persist([{ type: 'persist', hard: null, entries: [entry(5, 2)], snapshot: null }])
+  await first.persist([{ type: 'persist', hard: null, entries: [createEntry(5, 2)], snapshot: null }])
   await first.close()
-  const again = await LogStore.open(folder, 'a')
-  assert.equal(again.id, first.id)
-  assert.deepEqual(again.stored.hard, { term: 2, vote: first.id })
-  assert.deepEqual(again.stored.snapshot, snapshot)
-  assert.deepEqual(again.stored.entries.map(one => [one.index, one.term]), [[4, 2], [5, 2]])
+  const reopened = await LogStore.open(folder, 'a')
+  assert.equal(reopened.id, first.id)
+  assert.deepEqual(reopened.stored.hard, { term: 2, vote: first.id })
+  assert.deepEqual(reopened.stored.snapshot, snapshot)
+  assert.deepEqual(reopened.stored.entries.map(one => [one.index, one.term]), [[4, 2], [5, 2]])
   assert.equal(readdirSync(folder).filter(name => name.startsWith('log.')).length, 1)
-  await again.close()
+  await reopened.close()
 }))
 
-test('an emptied disk makes another replica', () => withFolder(async folder => {
+test('an empty folder creates a replica with another id', () => withFolder(async folder => {
   const first = await LogStore.open(join(folder, '1'), 'a')
   const second = await LogStore.open(join(folder, '2'), 'a')
   assert.notEqual(first.id, second.id)
--- a/test/member-plan.test.ts
+++ b/test/member-plan.test.ts
@@ -3,37 +3,37 @@
 import { planMembers } from '../src/coordination/index.js'
 import type { KeeperSight, Members, ReplicaId } from '../src/coordination/index.js'
 
-const wish = { voters: 3, perZone: 1, replaceMs: 2500, forgetMs: 60_000 }
+const target = { voters: 3, perZone: 1, replaceMs: 2500, forgetMs: 60_000 }
 
-function sight (id: string, zone: string, silentMs = 0, match = 100): KeeperSight {
+function createSight (id: string, zone: string, silentMs = 0, match = 100): KeeperSight {
   return { replica: id as ReplicaId, zone, silentMs, match }
 }
 
-function members (voters: string, learners = ''): Members {
-  const split = (text: string): ReplicaId[] => text === '' ? [] : text.split(' ') as ReplicaId[]
-  return { voters: split(voters), learners: split(learners) }
+function parseMembers (voters: string, learners = ''): Members {
+  const parseIds = (text: string): ReplicaId[] => text === '' ? [] : text.split(' ') as ReplicaId[]
+  return { voters: parseIds(voters), learners: parseIds(learners) }
 }
 
-const [a, b, c, d] = [sight('a#1', 'za'), sight('b#1', 'zb'), sight('c#1', 'zc'), sight('d#1', 'zd')]
+const [a, b, c, d] = [createSight('a#1', 'za'), createSight('b#1', 'zb'), createSight('c#1', 'zc'), createSight('d#1', 'zd')]
 
 const cases: readonly { name: string, members: Members, sights: readonly KeeperSight[], next: Members | null }[] = [
-  { name: 'all well', members: members('a#1 b#1 c#1', 'd#1'), sights: [a, b, c, d], next: null },
-  { name: 'a newcomer is let in without a vote', members: members('a#1 b#1 c#1'), sights: [a, b, c, d], next: members('a#1 b#1 c#1', 'd#1') },
-  { name: 'a caught-up learner fills a gap', members: members('a#1 b#1', 'd#1'), sights: [a, b, d], next: members('a#1 b#1 d#1') },
-  { name: 'a learner that is behind doesn\'t', members: members('a#1 b#1', 'd#1'), sights: [a, b, sight('d#1', 'zd', 0, 3)], next: null },
-  { name: 'a new disk at an old place is another replica, without a vote', members: members('a#1 b#1 c#1'), sights: [a, b, sight('c#1', 'zc', 900), sight('c#2', 'zc')], next: members('a#1 b#1', 'c#2') },
-  { name: 'but not while that would leave no quorum', members: members('a#1 b#1 c#1'), sights: [a, sight('b#1', 'zb', 3000), sight('c#1', 'zc', 3000), sight('c#2', 'zc')], next: members('a#1 b#1 c#1', 'c#2') },
-  { name: 'a spare joins before a silent voter leaves', members: members('a#1 b#1 c#1', 'd#1'), sights: [a, b, sight('c#1', 'zc', 3000), d], next: members('a#1 b#1 c#1 d#1') },
-  { name: 'then the silent one leaves', members: members('a#1 b#1 c#1 d#1'), sights: [a, b, sight('c#1', 'zc', 3300), d], next: members('a#1 b#1 d#1', 'c#1') },
-  { name: 'a short silence changes nothing', members: members('a#1 b#1 c#1', 'd#1'), sights: [a, b, sight('c#1', 'zc', 2000), d], next: null },
-  { name: 'a silent voter stays where there is no spare', members: members('a#1 b#1 c#1'), sights: [a, b, sight('c#1', 'zc', 9000)], next: null },
-  { name: 'two voters of a zone are one too many', members: members('a#1 b#1 e#1', 'd#1'), sights: [a, b, sight('e#1', 'zb'), d], next: members('a#1 b#1 e#1 d#1') },
-  { name: 'the crowded zone gives one up', members: members('a#1 b#1 e#1 d#1'), sights: [a, b, sight('e#1', 'zb'), d], next: members('a#1 b#1 d#1', 'e#1') },
-  { name: 'a learner that is gone for long is forgotten', members: members('a#1 b#1 c#1', 'd#1'), sights: [a, b, c, sight('d#1', 'zd', 70_000)], next: members('a#1 b#1 c#1') }
+  { name: 'no change while all voters are reachable', members: parseMembers('a#1 b#1 c#1', 'd#1'), sights: [a, b, c, d], next: null },
+  { name: 'a new keeper is added as a learner', members: parseMembers('a#1 b#1 c#1'), sights: [a, b, c, d], next: parseMembers('a#1 b#1 c#1', 'd#1') },
+  { name: 'a caught-up learner is promoted if a voter is missing', members: parseMembers('a#1 b#1', 'd#1'), sights: [a, b, d], next: parseMembers('a#1 b#1 d#1') },
+  { name: 'a learner that lags behind is not promoted', members: parseMembers('a#1 b#1', 'd#1'), sights: [a, b, createSight('d#1', 'zd', 0, 3)], next: null },
+  { name: 'a keeper with a new disk replaces its old replica by a learner', members: parseMembers('a#1 b#1 c#1'), sights: [a, b, createSight('c#1', 'zc', 900), createSight('c#2', 'zc')], next: parseMembers('a#1 b#1', 'c#2') },
+  { name: 'the old replica of a new disk stays if removing it would leave no quorum', members: parseMembers('a#1 b#1 c#1'), sights: [a, createSight('b#1', 'zb', 3000), createSight('c#1', 'zc', 3000), createSight('c#2', 'zc')], next: parseMembers('a#1 b#1 c#1', 'c#2') },
+  { name: 'a spare is promoted before a silent voter is demoted', members: parseMembers('a#1 b#1 c#1', 'd#1'), sights: [a, b, createSight('c#1', 'zc', 3000), d], next: parseMembers('a#1 b#1 c#1 d#1') },
+  { name: 'the silent voter is demoted once there is a surplus', members: parseMembers('a#1 b#1 c#1 d#1'), sights: [a, b, createSight('c#1', 'zc', 3300), d], next: parseMembers('a#1 b#1 d#1', 'c#1') },
+  { name: 'a short silence causes no change', members: parseMembers('a#1 b#1 c#1', 'd#1'), sights: [a, b, createSight('c#1', 'zc', 2000), d], next: null },
+  { name: 'a silent voter stays if there is no spare', members: parseMembers('a#1 b#1 c#1'), sights: [a, b, createSight('c#1', 'zc', 9000)], next: null },
+  { name: 'a spare of another zone is promoted if a zone has too many voters', members: parseMembers('a#1 b#1 e#1', 'd#1'), sights: [a, b, createSight('e#1', 'zb'), d], next: parseMembers('a#1 b#1 e#1 d#1') },
+  { name: 'a voter of the crowded zone is demoted', members: parseMembers('a#1 b#1 e#1 d#1'), sights: [a, b, createSight('e#1', 'zb'), d], next: parseMembers('a#1 b#1 d#1', 'e#1') },
+  { name: 'a learner that has been silent for long is removed', members: parseMembers('a#1 b#1 c#1', 'd#1'), sights: [a, b, c, createSight('d#1', 'zd', 70_000)], next: parseMembers('a#1 b#1 c#1') }
 ]
 
 for (const { name, members: present, sights, next } of cases) {
   test(`members: ${name}`, () => {
-    assert.deepEqual(planMembers({ members: present, self: 'a#1' as ReplicaId, commit: 100, sights }, wish), next)
+    assert.deepEqual(planMembers({ members: present, self: 'a#1' as ReplicaId, commit: 100, sights }, target), next)
   })
 }
--- a/test/raft-history.test.ts
+++ b/test/raft-history.test.ts
@@ -8,7 +8,7 @@
 ]
 
 for (const { name, from, count, size, steps } of cases) {
-  test(`the log keeps its promises in ${name}`, () => {
+  test(`the log's safety properties hold in ${name}`, () => {
     let acknowledged = 0
     let disksLost = 0
     for (let seed = from; seed < from + count; seed++) {
@@ -17,7 +17,7 @@
       acknowledged += report.acknowledged
       disksLost += report.disksLost
     }
-    // A run in which nothing was accepted or lost would prove nothing.
+    // The check is meaningless if no command is acknowledged or no disk is lost.
     assert.ok(acknowledged > count * 5, `only ${acknowledged} acknowledged`)
     assert.ok(disksLost > count / 20, `only ${disksLost} disks lost`)
   })
--- a/test/repair.test.ts
+++ b/test/repair.test.ts
@@ -7,17 +7,17 @@
 import type { KeeperBox } from '../src/tasks/index.js'
 import { Deployment, until } from './support/deployment.js'
 
-const intentFor = (i: number): string => `[classes.c${i}]\npriority = 1\nfirstTokenMs = ${500 + i}\n`
+const composeIntent = (i: number): string => `[classes.c${i}]\npriority = 1\nfirstTokenMs = ${500 + i}\n`
 
-async function loseDisk (place: Deployment, i: number): Promise<void> {
-  place.keepers[i].kill()
+async function eraseDisk (deployment: Deployment, i: number): Promise<void> {
+  deployment.keepers[i].kill()
   await new Promise(resolve => setTimeout(resolve, 50))
-  rmSync(join(place.folder, `keeper-${i + 1}`), { recursive: true, force: true })
-  await place.startKeeper(i)
+  rmSync(join(deployment.folder, `keeper-${i + 1}`), { recursive: true, force: true })
+  await deployment.startKeeper(i)
 }
 
-async function repair (place: Deployment, i: number): Promise<void> {
-  const operator = place.createOperator()
+async function repair (deployment: Deployment, i: number): Promise<void> {
+  const operator = deployment.createOperator()
   try {
     const name = `keeper-${i + 1}`
     await until(async () => {
@@ -29,133 +29,133 @@
   }
 }
 
-// Gives a keeper an empty disk and kills it when the leader has seen the new replica.
-async function loseDiskAndKill (place: Deployment, operator: OperatorClient, i: number): Promise<void> {
-  await loseDisk(place, i)
-  const fresh = place.keepers[i].store?.id as ReplicaId
+// Erases a keeper's disk, restarts the keeper, and kills it once the leader has seen the new replica.
+async function eraseDiskAndKill (deployment: Deployment, operator: OperatorClient, i: number): Promise<void> {
+  await eraseDisk(deployment, i)
+  const replacement = deployment.keepers[i].store?.id as ReplicaId
   await until(async () => {
-    const at = place.keepers.findIndex(keeper => keeper === place.leader)
-    const reply = at < 0 ? null : await operator.ask(place.keeperAddresses[at], { type: 'status' })
-    return reply?.type === 'status' && reply.status.waiting.includes(fresh)
+    const at = deployment.keepers.findIndex(keeper => keeper === deployment.leader)
+    const reply = at < 0 ? null : await operator.ask(deployment.keeperAddresses[at], { type: 'status' })
+    return reply?.type === 'status' && reply.status.waiting.includes(replacement)
   }, 'the leader has seen the new replica')
-  place.keepers[i].kill()
+  deployment.keepers[i].kill()
 }
 
-const learners = (place: Deployment): number => place.leader?.replica?.members.learners.length ?? 0
+const countLearners = (deployment: Deployment): number => deployment.leader?.replica?.members.learners.length ?? 0
 
-const interruptions: readonly { readonly name: string, readonly interrupt: (place: Deployment) => Promise<void> }[] = [
+const interruptions: readonly { readonly name: string, readonly interrupt: (deployment: Deployment) => Promise<void> }[] = [
   {
     name: 'that takes longer than the resend interval',
-    interrupt: async place => {
+    interrupt: async deployment => {
       await new Promise(resolve => setTimeout(resolve, 1500))
-      await place.startKeeper(1)
+      await deployment.startKeeper(1)
     }
   },
   {
     name: 'during which leadership moves to another keeper and back',
-    interrupt: async place => {
-      const first = place.leader
+    interrupt: async deployment => {
+      const first = deployment.leader
       for (let i = 0; i < 2; i++) {
-        const { leader } = place
+        const { leader } = deployment
         await leader?.replica?.transfer()
-        await until(() => place.leader !== undefined && place.leader !== leader, 'another leader')
+        await until(() => deployment.leader !== undefined && deployment.leader !== leader, 'another leader')
       }
-      assert.equal(place.leader, first)
-      await place.startKeeper(1)
+      assert.equal(deployment.leader, first)
+      await deployment.startKeeper(1)
     }
   },
   {
     name: 'during which the disk is lost again',
-    interrupt: async place => await loseDisk(place, 1)
+    interrupt: async deployment => await eraseDisk(deployment, 1)
   }
 ]
 
 // Guards against rejecting calls that are resent during a repair or after its completion.
 for (const [i, { name, interrupt }] of interruptions.entries()) {
   test(`a repair call and its resends are answered with success: a repair ${name}`, async () => {
-    const place = await Deployment.start({ port: 21_850 + 50 * i, entries: 1, engines: 1 })
-    const operator = place.createOperator()
+    const deployment = await Deployment.start({ port: 21_850 + 50 * i, entries: 1, engines: 1 })
+    const operator = deployment.createOperator()
     try {
-      await loseDiskAndKill(place, operator, 1)
+      await eraseDiskAndKill(deployment, operator, 1)
       const body = { type: 'repair', replace: 'keeper-2', id: operator.identify('keeper-2') } as const
       const call = operator.call(body)
-      await until(() => learners(place) > 0, 'the new replica is a learner')
-      await interrupt(place)
+      await until(() => countLearners(deployment) > 0, 'the new replica is a learner')
+      await interrupt(deployment)
       const reply = await call
       assert.equal(reply.type, 'repaired', JSON.stringify(reply))
       assert.equal((await operator.call(body)).type, 'repaired')
-      const fresh = place.keepers[1].store?.id
-      assert.deepEqual(place.leader?.replica?.members.voters.filter(id => id.startsWith('keeper-2#')), [fresh])
-      assert.equal(voters(place.leader as KeeperBox), 3)
-      assert.equal(learners(place), 0)
+      const replacement = deployment.keepers[1].store?.id
+      assert.deepEqual(deployment.leader?.replica?.members.voters.filter(id => id.startsWith('keeper-2#')), [replacement])
+      assert.equal(countVoters(deployment.leader as KeeperBox), 3)
+      assert.equal(countLearners(deployment), 0)
     } finally {
       operator.close()
-      await place.stop()
+      await deployment.stop()
     }
   })
 }
 
-const voters = (keeper: KeeperBox): number => keeper.replica?.members.voters.length ?? 0
+const countVoters = (keeper: KeeperBox): number => keeper.replica?.members.voters.length ?? 0
 
-test('a keeper with an empty disk has no vote until it is repaired, and nothing accepted is lost', async () => {
-  const place = await Deployment.start({ port: 21_600, entries: 1, engines: 1, keeper: { snapshotEvery: 10 } })
+test('a keeper with an empty disk has no vote until it is repaired, and no accepted change is lost', async () => {
+  const deployment = await Deployment.start({ port: 21_600, entries: 1, engines: 1, keeper: { snapshotEvery: 10 } })
   try {
-    for (let i = 0; i < 15; i++) await place.configure(intentFor(i))
-    const { document, revision } = (place.leader as KeeperBox).state.config
-    const old = place.keepers[1].store?.id
-    await loseDisk(place, 1)
-    await until(() => place.leader !== undefined, 'a leader')
-    const fresh = place.keepers[1].store?.id
-    assert.notEqual(fresh, old)
-    assert.ok(!(place.leader as KeeperBox).replica?.members.voters.some(id => id === fresh))
+    for (let i = 0; i < 15; i++) await deployment.configure(composeIntent(i))
+    const { document, revision } = (deployment.leader as KeeperBox).state.config
+    const old = deployment.keepers[1].store?.id
+    await eraseDisk(deployment, 1)
+    await until(() => deployment.leader !== undefined, 'a leader')
+    const replacement = deployment.keepers[1].store?.id
+    assert.notEqual(replacement, old)
+    assert.ok(!(deployment.leader as KeeperBox).replica?.members.voters.some(id => id === replacement))
 
-    await repair(place, 1)
-    const members = (place.leader as KeeperBox).replica?.members.voters ?? []
+    await repair(deployment, 1)
+    const members = (deployment.leader as KeeperBox).replica?.members.voters ?? []
     assert.equal(members.length, 3)
-    assert.ok(members.some(id => id === fresh) && !members.some(id => id === old))
-    await until(() => place.keepers[1].state.config.revision === revision, 'the new disk holds everything')
+    assert.ok(members.some(id => id === replacement) && !members.some(id => id === old))
+    await until(() => deployment.keepers[1].state.config.revision === revision, 'all changes on the new disk')
 
-    // A second one is lost right after the repair.
-    await loseDisk(place, 2)
-    await until(() => place.leader !== undefined, 'a leader')
-    const next = await place.configure(intentFor(99))
+    // A second disk is lost right after the repair.
+    await eraseDisk(deployment, 2)
+    await until(() => deployment.leader !== undefined, 'a leader')
+    const next = await deployment.configure(composeIntent(99))
     assert.equal(next, revision + 1)
-    await repair(place, 2)
-    for (const keeper of place.keepers) {
-      await until(() => keeper.state.config.revision === next, 'everything everywhere')
+    await repair(deployment, 2)
+    for (const keeper of deployment.keepers) {
+      await until(() => keeper.state.config.revision === next, 'all changes on every keeper')
       for (const [name, item] of Object.entries(document.classes)) assert.deepEqual(keeper.state.config.document.classes[name], item)
     }
   } finally {
-    await place.stop()
+    await deployment.stop()
   }
 })
 
-test('a repair of a keeper that is a member with its disk changes nothing', async () => {
-  const place = await Deployment.start({ port: 21_700, entries: 1, engines: 1 })
+test('a repair of a keeper that has not lost its disk is rejected and changes no members', async () => {
+  const deployment = await Deployment.start({ port: 21_700, entries: 1, engines: 1 })
   try {
-    const operator = place.createOperator()
+    const operator = deployment.createOperator()
     const reply = await operator.call({ type: 'repair', replace: 'keeper-2', id: operator.identify('x') })
     operator.close()
     assert.equal(reply.type, 'fault')
-    assert.equal(voters(place.leader as KeeperBox), 3)
+    assert.equal(countVoters(deployment.leader as KeeperBox), 3)
   } finally {
-    await place.stop()
+    await deployment.stop()
   }
 })
 
-test('a restart after hundreds of changes gives back every one', async () => {
-  const place = await Deployment.start({ port: 21_800, entries: 1, engines: 1, keeper: { snapshotEvery: 100 } })
+test('a restart of every keeper restores all changes from the snapshot and the log', async () => {
+  const deployment = await Deployment.start({ port: 21_800, entries: 1, engines: 1, keeper: { snapshotEvery: 100 } })
   try {
-    for (let i = 0; i < 150; i++) await place.configure(intentFor(i))
-    const { revision } = (place.leader as KeeperBox).state.config
-    for (const keeper of place.keepers) keeper.kill()
+    for (let i = 0; i < 150; i++) await deployment.configure(composeIntent(i))
+    const { revision } = (deployment.leader as KeeperBox).state.config
+    for (const keeper of deployment.keepers) keeper.kill()
     await new Promise(resolve => setTimeout(resolve, 50))
-    for (let i = 0; i < 3; i++) await place.startKeeper(i)
-    await until(() => place.leader !== undefined, 'a leader')
-    await until(() => place.keepers.every(keeper => keeper.state.config.revision === revision), 'every change on every keeper')
-    const kept = (place.leader as KeeperBox).state.config.document.classes
-    assert.equal(Object.keys(kept).filter(name => /^c\d+$/.test(name)).length, 150)
+    for (let i = 0; i < 3; i++) await deployment.startKeeper(i)
+    await until(() => deployment.leader !== undefined, 'a leader')
+    await until(() => deployment.keepers.every(keeper => keeper.state.config.revision === revision), 'every change on every keeper')
+    const restored = (deployment.leader as KeeperBox).state.config.document.classes
+    assert.equal(Object.keys(restored).filter(name => /^c\d+$/.test(name)).length, 150)
   } finally {
-    await place.stop()
+    await deployment.stop()
   }
 })
