--- a/src/coordination/spread/text-patch.ts
+++ b/src/coordination/spread/text-patch.ts
@@ -44,7 +44,7 @@
   return steps.map(step => {
     if (step.type === 'add') return step.text
     const { from, to } = step
-    if (!(from >= 0 && from <= to && to <= older.length)) throw new RangeError(`patch range ${from} to ${to} is outside the text of ${older.length} characters`)
+    if (!(from >= 0 && from <= to && to <= older.length)) throw new RangeError(`text of ${older.length} characters has no range from ${from} to ${to}`)
     return older.slice(from, to)
   }).join('')
 }
