--- a/src/coordination/index.ts
+++ b/src/coordination/index.ts
@@ -1,7 +1,7 @@
 /**
- * Coordination parts for embedding: a replicated log, a ledger of
- * configuration, claims of calls that may not be repeated, leases on duties with
- * fencing numbers, and usage that is counted once.
+ * Coordination components for embedding: a replicated log, a configuration
+ * ledger, idempotency claims, leases on duties with fencing tokens, usage
+ * accounting that counts each request once, and group membership.
  */
 export * from './log/index.js'
 export * from './claims/claim-types.js'
@@ -31,7 +31,7 @@
 export { KeeperState, defaultBounds } from './keeper-state.js'
 export type { KeeperBounds, KeeperCommand, KeeperResult, KeeperSnapshot } from './keeper-state.js'
 export { KeeperLog } from './keeper-log.js'
-export type { KeeperLogHost, KeeperLogPlace } from './keeper-log.js'
+export type { KeeperLogHost, KeeperLogOptions } from './keeper-log.js'
 export { isNewer } from './members/member.js'
 export type { Member, MemberState } from './members/member.js'
 export type { MemberAddress, MemberEffect, MemberEvent, MemberMessage } from './members/member-message.js'
--- a/src/coordination/log/election-timer.ts
+++ b/src/coordination/log/election-timer.ts
@@ -1,17 +1,17 @@
 import type { RaftTiming } from './log-types.js'
 
 /**
- * Part of the usual time after which an election is tried by a replica that has heard no leader
- * since it started: where all lost power none will be heard, and where one leads its followers refuse.
+ * Fraction of the usual election timeout for a replica that has had no contact with a leader since it started:
+ * after a power loss of all replicas there is no leader to wait for, and if one exists its followers refuse the pre-vote.
  */
-const startShare = 1 / 3
+const initialTimeoutFraction = 1 / 3
 
-/** When a replica tries an election: after a random time without a leader. Times in ms, on a clock that only rises. */
+/** Randomized election timeout. Times are monotonic, ms. */
 export class ElectionTimer {
   #timing: RaftTiming
   #random: () => number
   #dueAt = 0
-  #heardAt = -Infinity
+  #leaderSeenAt = -Infinity
 
   constructor (timing: RaftTiming, random: () => number) {
     this.#timing = timing
@@ -20,18 +20,18 @@
 
   isDue (at: number): boolean { return at >= this.#dueAt }
 
-  /** True where a leader was heard so lately that it may still lead. */
-  hasHeardLeader (at: number): boolean { return at - this.#heardAt < this.#timing.electionMs }
+  /** True if there was contact with a leader within the election timeout. */
+  hasRecentLeader (at: number): boolean { return at - this.#leaderSeenAt < this.#timing.electionMs }
 
-  /** Begins the wait anew. */
+  /** Restarts the timeout with a new random duration. */
   reset (at: number): void {
-    const share = this.#heardAt === -Infinity ? startShare : 1
-    this.#dueAt = at + this.#timing.electionMs * share * (1 + this.#random())
+    const fraction = this.#leaderSeenAt === -Infinity ? initialTimeoutFraction : 1
+    this.#dueAt = at + this.#timing.electionMs * fraction * (1 + this.#random())
   }
 
-  /** Takes word of a leader. */
+  /** Records a message from the leader. */
   noteLeader (at: number): void {
-    this.#heardAt = at
+    this.#leaderSeenAt = at
     this.reset(at)
   }
 }
--- a/src/coordination/log/log-store.ts
+++ b/src/coordination/log/log-store.ts
@@ -1,7 +1,7 @@
 /**
- * A replica's log on disk, under one data folder:
- * `identity.json` (which replica this disk is), `snapshot` and `log.<n>`.
- * A new file is written beside the old one, synced, and renamed over it.
+ * A replica's log on disk, in one data folder: `identity.json` (the replica id),
+ * `snapshot` and `log.<n>`. Files are replaced atomically: a new file is written
+ * next to the old one, synced and renamed.
  */
 import { randomBytes } from 'node:crypto'
 import { open, readFile, readdir, rename, mkdir, rm } from 'node:fs/promises'
@@ -17,50 +17,52 @@
 
 type PersistEffect = Extract<RaftEffect, { type: 'persist' }>
 
-/** How to bear a disk that refuses to write: what is to be kept is tried again, and nothing is acknowledged meanwhile. */
-export interface DiskPatience {
+/** Policy for failed writes: a write is retried until it succeeds, and nothing is acknowledged until then. */
+export interface DiskRetryPolicy {
   readonly retryMs: number
+  /** Called at the first failure of a write. */
   noteFault (error: Error): void
+  /** Called when the failed write has succeeded. */
   noteWell (): void
 }
 
 const identityFile = 'identity.json'
 const snapshotFile = 'snapshot'
-/** A log of fewer bytes is never cut for its size: writing a snapshot costs two syncs more. */
-const leastGrownBytes = 16 * 2 ** 20
-/** Beyond that it may hold so many times what its snapshot does, so that snapshots cost no more than a part of what is written. */
-const grownTimes = 2
-const noHard: HardState = { term: 0, vote: null }
+/** Smaller logs are never compacted because of their size: a snapshot costs two additional syncs. */
+const minOversizedBytes = 16 * 2 ** 20
+/** Larger logs may grow to this multiple of the snapshot's size, so that snapshots are only a fraction of the bytes written. */
+const maxLogToSnapshotRatio = 2
+const initialHardState: HardState = { term: 0, vote: null }
 
 export class LogStore {
   readonly folder: string
   readonly id: ReplicaId
-  #list: EntryList
-  #hard: HardState
+  #entries: EntryList
+  #hardState: HardState
   #file: FileHandle
   #generation: number
   #length: number
   #snapshotBytes = 0
-  #patience: DiskPatience | null
-  #closed = false
+  #diskRetry: DiskRetryPolicy | null
+  #isClosed = false
 
-  private constructor (folder: string, id: ReplicaId, list: EntryList, hard: HardState, file: FileHandle, generation: number, length: number, patience: DiskPatience | null) {
+  private constructor (folder: string, id: ReplicaId, list: EntryList, hard: HardState, file: FileHandle, generation: number, length: number, diskRetry: DiskRetryPolicy | null) {
     this.folder = folder
     this.id = id
-    this.#list = list
-    this.#hard = hard
+    this.#entries = list
+    this.#hardState = hard
     this.#file = file
     this.#generation = generation
     this.#length = length
-    this.#patience = patience
+    this.#diskRetry = diskRetry
   }
 
   /**
-   * Opens the folder, or makes it with a new identity for the keeper `name`,
-   * of which `firstPart` is the second half (random where it is left out).
-   * Throws `DamagedLogError` where acknowledged records can't be read.
+   * Opens the folder, or creates it with a new replica id made of the keeper's
+   * `name` and `firstPart` (random if omitted). Without `diskRetry` a failed
+   * write is thrown. Throws `DamagedLogError` if acknowledged records can't be read.
    */
-  static async open (folder: string, name: string, firstPart?: string, patience: DiskPatience | null = null): Promise<LogStore> {
+  static async open (folder: string, name: string, firstPart?: string, diskRetry: DiskRetryPolicy | null = null): Promise<LogStore> {
     await mkdir(folder, { recursive: true })
     const id = await readIdentity(folder, name, firstPart)
     const snapshot = await readSnapshot(folder)
@@ -75,27 +77,27 @@
     }
     const { list, hard } = replay(snapshot, records)
     await syncFolder(folder)
-    return new LogStore(folder, id, list, hard, file, generation, length, patience)
+    return new LogStore(folder, id, list, hard, file, generation, length, diskRetry)
   }
 
-  /** True where the log has grown far beyond its snapshot, in bytes. */
-  get isGrown (): boolean { return this.#length > Math.max(leastGrownBytes, this.#snapshotBytes * grownTimes) }
+  /** True if the log file is so much larger than the snapshot that it should be compacted. */
+  get isOversized (): boolean { return this.#length > Math.max(minOversizedBytes, this.#snapshotBytes * maxLogToSnapshotRatio) }
 
-  /** Everything that is stored, for a replica that starts. */
+  /** The complete stored state, for starting a replica. */
   get stored (): StoredLog {
-    return { hard: this.#hard, snapshot: this.#list.snapshot, entries: this.#list.slice(this.#list.base + 1, Infinity) }
+    return { hard: this.#hardState, snapshot: this.#entries.snapshot, entries: this.#entries.slice(this.#entries.base + 1, Infinity) }
   }
 
-  /** Writes the effects in order and syncs once. Whoever calls waits for it. */
+  /** Writes the effects in order and syncs once. Calls must not overlap. */
   async persist (effects: readonly PersistEffect[]): Promise<void> {
     const snapshot = effects.findLast(effect => effect.snapshot !== null)?.snapshot ?? null
     const buffers = [encodeRecord({ type: 'mark', synced: this.#length })]
-    for (const effect of effects) this.#take(effect, buffers)
+    for (const effect of effects) this.#recordEffect(effect, buffers)
     const bytes = Buffer.concat(buffers)
-    await this.#insist(() => snapshot !== null ? this.#rewrite(snapshot) : this.#append(bytes))
+    await this.#writeWithRetry(() => snapshot !== null ? this.#rewrite(snapshot) : this.#append(bytes))
   }
 
-  // A write that failed may have left a part of its bytes behind.
+  // Removes the partial data of a failed write before appending.
   async #append (bytes: Buffer): Promise<void> {
     const { size } = await this.#file.stat()
     if (size > this.#length) await this.#file.truncate(this.#length)
@@ -104,49 +106,49 @@
     this.#length += bytes.length
   }
 
-  async #insist (write: () => Promise<void>): Promise<void> {
-    const patience = this.#patience
-    if (patience === null) return await write()
-    for (let failed = false; ; failed = true) {
+  async #writeWithRetry (write: () => Promise<void>): Promise<void> {
+    const diskRetry = this.#diskRetry
+    if (diskRetry === null) return await write()
+    for (let hasFailed = false; ; hasFailed = true) {
       try {
         await write()
-        if (failed) patience.noteWell()
+        if (hasFailed) diskRetry.noteWell()
         return
       } catch (error) {
-        if (this.#closed) throw error
-        if (!failed) patience.noteFault(error as Error)
-        await new Promise(resolve => setTimeout(resolve, patience.retryMs))
+        if (this.#isClosed) throw error
+        if (!hasFailed) diskRetry.noteFault(error as Error)
+        await new Promise(resolve => setTimeout(resolve, diskRetry.retryMs))
       }
     }
   }
 
-  /** Closes the files; what could not be written by then is given up. */
+  /** Closes the files; a write that is still being retried is abandoned and throws. */
   async close (): Promise<void> {
-    this.#closed = true
+    this.#isClosed = true
     await this.#file.close()
   }
 
-  #take (effect: PersistEffect, buffers: Buffer[]): void {
+  #recordEffect (effect: PersistEffect, buffers: Buffer[]): void {
     if (effect.hard !== null) {
-      this.#hard = effect.hard
+      this.#hardState = effect.hard
       buffers.push(encodeRecord({ type: 'hard', hard: effect.hard }))
     }
-    this.#list.append(effect.entries)
+    this.#entries.append(effect.entries)
     for (const entry of effect.entries) buffers.push(encodeRecord({ type: 'entry', entry }))
-    if (effect.snapshot !== null) this.#list.compact(effect.snapshot)
+    if (effect.snapshot !== null) this.#entries.compact(effect.snapshot)
   }
 
-  // The snapshot is in place before the log that lacks its entries is.
+  // The snapshot must be durable before the new log file, which lacks the compacted entries.
   async #rewrite (snapshot: Snapshot): Promise<void> {
-    const sealed = sealSnapshot(snapshot)
-    await writeWhole(this.folder, snapshotFile, sealed)
-    this.#snapshotBytes = sealed.length
-    const records: LogRecord[] = [{ type: 'mark', synced: 0 }, { type: 'hard', hard: this.#hard }]
-    for (const entry of this.#list.slice(this.#list.base + 1, Infinity)) records.push({ type: 'entry', entry })
+    const encoded = encodeSnapshot(snapshot)
+    await writeAtomically(this.folder, snapshotFile, encoded)
+    this.#snapshotBytes = encoded.length
+    const records: LogRecord[] = [{ type: 'mark', synced: 0 }, { type: 'hard', hard: this.#hardState }]
+    for (const entry of this.#entries.slice(this.#entries.base + 1, Infinity)) records.push({ type: 'entry', entry })
     const bytes = Buffer.concat(records.map(encodeRecord))
     const old = this.#generation
     this.#generation += 1
-    await writeWhole(this.folder, `log.${this.#generation}`, bytes)
+    await writeAtomically(this.folder, `log.${this.#generation}`, bytes)
     await this.#file.close()
     this.#file = await open(join(this.folder, `log.${this.#generation}`), 'a+')
     await rm(join(this.folder, `log.${old}`))
@@ -156,7 +158,7 @@
 
 function replay (snapshot: Snapshot | null, records: readonly LogRecord[]): { list: EntryList, hard: HardState } {
   const list = new EntryList(snapshot, [])
-  let hard = noHard
+  let hard = initialHardState
   for (const record of records) {
     switch (record.type) {
       case 'mark': break
@@ -164,7 +166,7 @@
         hard = record.hard
         break
       case 'entry':
-        // Entries of an older file that the snapshot holds already.
+        // The log file may be older than the snapshot and repeat entries that it covers.
         if (record.entry.index > list.base) list.append([record.entry])
         break
     }
@@ -176,7 +178,7 @@
   const text = await readFile(join(folder, identityFile), 'utf8').catch(allowMissing)
   if (text !== null) return (JSON.parse(text) as { replica: ReplicaId }).replica
   const replica = `${name}#${firstPart ?? randomBytes(6).toString('hex')}` as ReplicaId
-  await writeWhole(folder, identityFile, Buffer.from(JSON.stringify({ replica })))
+  await writeAtomically(folder, identityFile, Buffer.from(JSON.stringify({ replica })))
   return replica
 }
 
@@ -188,14 +190,14 @@
   return decode(body) as Snapshot
 }
 
-function sealSnapshot (snapshot: Snapshot): Buffer {
+function encodeSnapshot (snapshot: Snapshot): Buffer {
   const body = encode(snapshot)
   const header = Buffer.allocUnsafe(4)
   header.writeUInt32LE(crc32(body), 0)
   return Buffer.concat([header, body])
 }
 
-// The newest file wins: it was synced whole before its name was given.
+// The newest generation is complete, because a file is synced before it is renamed; older ones are removed.
 async function findGeneration (folder: string): Promise<number> {
   const names = await readdir(folder)
   let newest = 0
@@ -210,7 +212,7 @@
   return newest
 }
 
-async function writeWhole (folder: string, name: string, bytes: Buffer): Promise<void> {
+async function writeAtomically (folder: string, name: string, bytes: Buffer): Promise<void> {
   const path = join(folder, `${name}.new`)
   const file = await open(path, 'w')
   await file.writeFile(bytes)
--- a/src/coordination/log/replica.ts
+++ b/src/coordination/log/replica.ts
@@ -1,7 +1,7 @@
 /**
- * The driver of one replica: a task that feeds events to the pure node, writes
- * what it wants kept, and sends what it wants sent. While a sync runs, events
- * gather; they share the next sync, so one sync serves many proposals.
+ * Drives one replica: feeds events to the pure Raft node and executes its
+ * effects, i.e. writes to the store and sends messages. Events that arrive while
+ * a sync runs are batched and share the next sync (group commit).
  */
 import { Inbox, waitUntil } from '../../runtime/index.js'
 import type { LogEntry, Members, RaftTiming, ReplicaId, Snapshot, StoredLog } from './log-types.js'
@@ -12,54 +12,54 @@
 type PersistEffect = Extract<RaftEffect, { type: 'persist' }>
 type SendEffect = Extract<RaftEffect, { type: 'send' }>
 
-/** Where a replica keeps its log. `LogStore` is one; tests bring fakes. */
+/** Stable storage of a replica. Implemented by `LogStore`, and by fakes in tests. */
 export interface ReplicaStore {
   readonly id: ReplicaId
   readonly stored: StoredLog
-  /** True where the log is so large that a snapshot is due, however few its entries. */
-  readonly isGrown: boolean
+  /** True if the log is so large in bytes that a snapshot is due regardless of the number of entries. */
+  readonly isOversized: boolean
   persist (effects: readonly PersistEffect[]): Promise<void>
 }
 
-/** The state machine that a log drives. */
+/** The state machine that the log drives. */
 export interface ReplicatedMachine {
-  /** Carries out a committed command at its agreed time, ms since 1970. */
+  /** Applies a committed command at its log entry's time, ms since 1970. */
   apply (command: unknown, time: number): unknown
-  /** The whole state, for a snapshot. */
+  /** Returns the complete state for a snapshot. */
   save (): unknown
-  /** Takes the state of a snapshot in place of its own. */
+  /** Replaces the state by that of a snapshot. */
   restore (state: unknown): void
 }
 
-/** What a replica needs of its surroundings. */
+/** The environment of a replica. */
 export interface ReplicaHost {
   readonly machine: ReplicatedMachine
   readonly timing: RaftTiming
-  /** A snapshot is taken after so many entries, or once the store calls its log grown. */
+  /** Number of entries after which a snapshot is taken; one is also taken when the store is oversized. */
   readonly snapshotEvery: number
   send (to: ReplicaId, message: RaftMessage): void
-  /** A clock that only rises, ms. */
+  /** Monotonic clock, ms. */
   now (): number
-  /** Wall time, ms since 1970. */
+  /** Wall clock, ms since 1970. */
   wall (): number
   random (): number
   noteRole (role: string, term: number, leader: ReplicaId | null): void
   noteViolation (rule: string, detail: string): void
-  /** Called after every run of applied entries. */
+  /** Called after each batch of applied entries. */
   noteApplied (): void
-  /** The disk failed: the replica has stopped and must not go on. */
+  /** Called when a disk write failed. The replica has stopped and must not be used further. */
   noteDiskFault (error: Error): void
 }
 
-/** How a proposal ended. `lost`: whether it will be applied is not known. */
-export type ProposalEnd =
+/** Outcome of a proposal. `lost`: it is unknown whether it will be applied. */
+export type ProposalOutcome =
   | { readonly type: 'applied', readonly result: unknown }
   | { readonly type: 'rejected', readonly fault: ProposalFault }
   | { readonly type: 'lost' }
 
-interface Pending {
+interface AppendedProposal {
   readonly term: number
-  readonly resolve: (end: ProposalEnd) => void
+  readonly resolve: (end: ProposalOutcome) => void
 }
 
 type ReplicaInput =
@@ -68,10 +68,10 @@
   | { readonly type: 'failed', readonly error: Error }
 
 const inboxLimit = 20_000
-/** Events that wait for a sync before messages of others are dropped: a log bears their loss. */
-const mostWaiting = 4000
-/** A transfer of the lead is waited for at most so long, ms. */
-const transferMs = 1000
+/** Backlog length above which incoming messages are dropped; Raft tolerates message loss. */
+const maxBacklogEvents = 4000
+/** Maximum time to wait for a leadership transfer, ms. */
+const transferTimeoutMs = 1000
 const membersApplied = { type: 'members-changed' }
 
 export class Replica {
@@ -81,14 +81,14 @@
   #host: ReplicaHost
   #inbox = new Inbox<ReplicaInput>(inboxLimit)
   #backlog: RaftEvent[] = []
-  #syncing = false
-  #stopped = false
-  #late: SendEffect[] = []
-  #proposals = new Map<number, (end: ProposalEnd) => void>()
-  #placed = new Map<number, Pending>()
+  #isSyncing = false
+  #isStopped = false
+  #sendsAfterSync: SendEffect[] = []
+  #proposals = new Map<number, (end: ProposalOutcome) => void>()
+  #appended = new Map<number, AppendedProposal>()
   #reads = new Map<number, (ok: boolean) => void>()
-  #readsAt: { index: number, resolve: (ok: boolean) => void }[] = []
-  #counter = 0
+  #readsByIndex: { index: number, resolve: (ok: boolean) => void }[] = []
+  #lastRequest = 0
   #timer: NodeJS.Timeout
 
   constructor (store: ReplicaStore, host: ReplicaHost) {
@@ -98,13 +98,13 @@
     const stored = store.stored
     if (stored.snapshot !== null) host.machine.restore(stored.snapshot.state)
     this.#node = new RaftNode(store.id, stored, host.timing, () => host.random(), host.now())
-    this.#inbox.run(input => this.#take(input), () => this.#work())
-    const everyMs = Math.max(5, host.timing.heartbeatMs / 2)
-    this.#timer = setInterval(() => this.#post({ type: 'tick', at: host.now() }), everyMs)
+    this.#inbox.run(input => this.#handleInput(input), () => this.#processBacklog())
+    const tickMs = Math.max(5, host.timing.heartbeatMs / 2)
+    this.#timer = setInterval(() => this.#post({ type: 'tick', at: host.now() }), tickMs)
   }
 
   get node (): RaftNode { return this.#node }
-  get isLeader (): boolean { return !this.#stopped && this.#node.role === 'leader' }
+  get isLeader (): boolean { return !this.#isStopped && this.#node.role === 'leader' }
   get leader (): ReplicaId | null { return this.#node.leader }
   get members (): Members { return this.#node.members }
 
@@ -112,47 +112,47 @@
     this.#post({ type: 'receive', at: this.#host.now(), from, message })
   }
 
-  /** Proposes a command; resolves once it's applied here, or can't be. */
-  propose (command: unknown): Promise<ProposalEnd> {
-    return this.#start(proposal => ({ type: 'propose', at: this.#host.now(), wall: this.#host.wall(), proposal, command }))
+  /** Proposes a command; resolves once it is applied here, is rejected, or its outcome can't be determined. */
+  propose (command: unknown): Promise<ProposalOutcome> {
+    return this.#submit(proposal => ({ type: 'propose', at: this.#host.now(), wall: this.#host.wall(), proposal, command }))
   }
 
-  /** Proposes other members, at most one voter away from the present ones. */
-  changeMembers (members: Members): Promise<ProposalEnd> {
-    return this.#start(proposal => ({ type: 'changeMembers', at: this.#host.now(), wall: this.#host.wall(), proposal, members }))
+  /** Proposes a membership change, which may add or remove at most one voter. */
+  changeMembers (members: Members): Promise<ProposalOutcome> {
+    return this.#submit(proposal => ({ type: 'changeMembers', at: this.#host.now(), wall: this.#host.wall(), proposal, members }))
   }
 
-  /** Resolves true once the machine's state is as new as this call; false where this replica can't say. */
+  /** Linearizable read barrier: resolves to true once the state includes everything committed before this call, to false if this replica can't confirm that. */
   read (): Promise<boolean> {
-    if (this.#stopped) return Promise.resolve(false)
+    if (this.#isStopped) return Promise.resolve(false)
     return new Promise(resolve => {
-      this.#counter += 1
-      this.#reads.set(this.#counter, resolve)
-      this.#post({ type: 'read', at: this.#host.now(), read: this.#counter })
+      this.#lastRequest += 1
+      this.#reads.set(this.#lastRequest, resolve)
+      this.#post({ type: 'read', at: this.#host.now(), read: this.#lastRequest })
     })
   }
 
-  /** Hands the lead to a follower that has the whole log, if this replica leads; resolves once another may lead, or after a while without one. */
+  /** Transfers leadership to a follower with the complete log, if this replica leads; resolves once it has stepped down or `transferTimeoutMs` has passed. */
   async transfer (): Promise<void> {
     if (!this.isLeader) return
     this.#post({ type: 'transfer', at: this.#host.now() })
-    await waitUntil(() => !this.isLeader, transferMs)
+    await waitUntil(() => !this.isLeader, transferTimeoutMs)
   }
 
   stop (): void {
-    if (this.#stopped) return
-    this.#stopped = true
+    if (this.#isStopped) return
+    this.#isStopped = true
     clearInterval(this.#timer)
     this.#inbox.close()
-    this.#giveUp()
+    this.#rejectPending()
   }
 
-  #start (make: (proposal: number) => RaftEvent): Promise<ProposalEnd> {
-    if (this.#stopped) return Promise.resolve({ type: 'rejected', fault: 'not-leader' })
+  #submit (createEvent: (proposal: number) => RaftEvent): Promise<ProposalOutcome> {
+    if (this.#isStopped) return Promise.resolve({ type: 'rejected', fault: 'not-leader' })
     return new Promise(resolve => {
-      this.#counter += 1
-      this.#proposals.set(this.#counter, resolve)
-      this.#post(make(this.#counter))
+      this.#lastRequest += 1
+      this.#proposals.set(this.#lastRequest, resolve)
+      this.#post(createEvent(this.#lastRequest))
     })
   }
 
@@ -160,14 +160,14 @@
     this.#inbox.post({ type: 'event', event })
   }
 
-  #take (input: ReplicaInput): void {
+  #handleInput (input: ReplicaInput): void {
     switch (input.type) {
       case 'event':
-        this.#keep(input.event)
+        this.#enqueue(input.event)
         break
       case 'persisted':
-        this.#syncing = false
-        this.#sendLate()
+        this.#isSyncing = false
+        this.#finishSync()
         break
       case 'failed':
         this.stop()
@@ -176,48 +176,48 @@
     }
   }
 
-  // While a slow disk syncs, time and messages go on; neither may pile up.
-  #keep (event: RaftEvent): void {
+  // Bounds the backlog during a slow sync: consecutive ticks are merged and excess messages dropped.
+  #enqueue (event: RaftEvent): void {
     const last = this.#backlog[this.#backlog.length - 1]
     if (event.type === 'tick' && last?.type === 'tick') this.#backlog.pop()
-    if (event.type === 'receive' && this.#backlog.length >= mostWaiting) return
+    if (event.type === 'receive' && this.#backlog.length >= maxBacklogEvents) return
     this.#backlog.push(event)
   }
 
-  #sendLate (): void {
-    for (const { to, message } of this.#late) this.#host.send(to, message)
-    this.#late = []
+  #finishSync (): void {
+    for (const { to, message } of this.#sendsAfterSync) this.#host.send(to, message)
+    this.#sendsAfterSync = []
     const { lastIndex, lastTerm } = this.#node
     this.#backlog.unshift({ type: 'synced', at: this.#host.now(), index: lastIndex, term: lastTerm })
   }
 
-  #work (): void {
-    if (this.#syncing || this.#stopped) return
+  #processBacklog (): void {
+    if (this.#isSyncing || this.#isStopped) return
     const persists: PersistEffect[] = []
     const events = this.#backlog
     this.#backlog = []
     for (const event of events) this.#step(event, persists)
     this.#compact(persists)
     if (persists.length > 0) return this.#sync(persists)
-    for (const { to, message } of this.#late) this.#host.send(to, message)
-    this.#late = []
+    for (const { to, message } of this.#sendsAfterSync) this.#host.send(to, message)
+    this.#sendsAfterSync = []
   }
 
   #sync (persists: PersistEffect[]): void {
-    this.#syncing = true
+    this.#isSyncing = true
     this.#store.persist(persists).then(
       () => this.#inbox.post({ type: 'persisted' }),
       (error: Error) => this.#inbox.post({ type: 'failed', error }))
   }
 
   #step (event: RaftEvent, persists: PersistEffect[]): void {
-    let applied = false
+    let hasApplied = false
     for (const effect of this.#node.step(event)) {
       if (effect.type === 'persist') persists.push(effect)
-      else applied = this.#perform(effect) || applied
+      else hasApplied = this.#perform(effect) || hasApplied
     }
-    if (!applied) return
-    this.#answerReads()
+    if (!hasApplied) return
+    this.#resolveReads()
     this.#host.noteApplied()
   }
 
@@ -227,7 +227,7 @@
       case 'apply': return this.#apply(effect.entry)
       case 'restore': return this.#restore(effect.snapshot)
       case 'accepted': return this.#noteAccepted(effect.proposal, effect.index, effect.term)
-      case 'rejected': return this.#endProposal(effect.proposal, { type: 'rejected', fault: effect.fault })
+      case 'rejected': return this.#resolveProposal(effect.proposal, { type: 'rejected', fault: effect.fault })
       case 'readReady': return this.#noteRead(effect.read, effect.index)
       case 'readFailed': return this.#noteRead(effect.read, null)
       case 'role': return this.#noteRole(effect)
@@ -239,26 +239,26 @@
 
   #send (effect: SendEffect): boolean {
     if (effect.early) this.#host.send(effect.to, effect.message)
-    else this.#late.push(effect)
+    else this.#sendsAfterSync.push(effect)
     return false
   }
 
   #apply (entry: LogEntry): boolean {
     const { content } = entry
     const result = content.type === 'command' ? this.#host.machine.apply(content.command, entry.time) : membersApplied
-    const pending = this.#placed.get(entry.index)
-    if (pending === undefined) return true
-    this.#placed.delete(entry.index)
-    pending.resolve(pending.term === entry.term ? { type: 'applied', result } : { type: 'lost' })
+    const proposal = this.#appended.get(entry.index)
+    if (proposal === undefined) return true
+    this.#appended.delete(entry.index)
+    proposal.resolve(proposal.term === entry.term ? { type: 'applied', result } : { type: 'lost' })
     return true
   }
 
   #restore (snapshot: Snapshot): boolean {
     this.#host.machine.restore(snapshot.state)
-    for (const [index, pending] of this.#placed) {
+    for (const [index, proposal] of this.#appended) {
       if (index > snapshot.index) continue
-      this.#placed.delete(index)
-      pending.resolve({ type: 'lost' })
+      this.#appended.delete(index)
+      proposal.resolve({ type: 'lost' })
     }
     return true
   }
@@ -267,13 +267,13 @@
     const resolve = this.#proposals.get(proposal)
     this.#proposals.delete(proposal)
     if (resolve === undefined) return false
-    this.#placed.get(index)?.resolve({ type: 'lost' })
-    this.#placed.set(index, { term, resolve })
+    this.#appended.get(index)?.resolve({ type: 'lost' })
+    this.#appended.set(index, { term, resolve })
     return false
   }
 
-  #endProposal (proposal: number, end: ProposalEnd): boolean {
-    this.#proposals.get(proposal)?.(end)
+  #resolveProposal (proposal: number, outcome: ProposalOutcome): boolean {
+    this.#proposals.get(proposal)?.(outcome)
     this.#proposals.delete(proposal)
     return false
   }
@@ -283,14 +283,14 @@
     this.#reads.delete(read)
     if (resolve === undefined) return false
     if (index === null) resolve(false)
-    else this.#readsAt.push({ index, resolve })
-    this.#answerReads()
+    else this.#readsByIndex.push({ index, resolve })
+    this.#resolveReads()
     return false
   }
 
-  #answerReads (): void {
+  #resolveReads (): void {
     const applied = this.#node.appliedIndex
-    this.#readsAt = this.#readsAt.filter(({ index, resolve }) => {
+    this.#readsByIndex = this.#readsByIndex.filter(({ index, resolve }) => {
       if (index > applied) return true
       resolve(true)
       return false
@@ -298,32 +298,32 @@
   }
 
   #noteRole (effect: Extract<RaftEffect, { type: 'role' }>): boolean {
-    if (effect.role === 'follower') this.#losePlaced()
+    if (effect.role === 'follower') this.#resolveAppendedAsLost()
     this.#host.noteRole(effect.role, effect.term, effect.leader)
     return false
   }
 
-  // A replica that no longer leads can't say what becomes of its proposals.
-  #losePlaced (): void {
-    for (const pending of this.#placed.values()) pending.resolve({ type: 'lost' })
-    this.#placed.clear()
+  // A replica that is no longer leader can't determine the outcome of its appended proposals.
+  #resolveAppendedAsLost (): void {
+    for (const proposal of this.#appended.values()) proposal.resolve({ type: 'lost' })
+    this.#appended.clear()
   }
 
   #compact (persists: PersistEffect[]): void {
     const { node } = this
-    const isDue = node.compactable >= this.#host.snapshotEvery || (node.compactable > 0 && this.#store.isGrown)
+    const isDue = node.compactable >= this.#host.snapshotEvery || (node.compactable > 0 && this.#store.isOversized)
     if (!isDue) return
     const state = this.#host.machine.save()
     this.#step({ type: 'compact', at: this.#host.now(), index: node.appliedIndex, state }, persists)
   }
 
-  #giveUp (): void {
-    this.#losePlaced()
+  #rejectPending (): void {
+    this.#resolveAppendedAsLost()
     for (const resolve of this.#proposals.values()) resolve({ type: 'rejected', fault: 'not-leader' })
     this.#proposals.clear()
     for (const resolve of this.#reads.values()) resolve(false)
     this.#reads.clear()
-    for (const { resolve } of this.#readsAt) resolve(false)
-    this.#readsAt = []
+    for (const { resolve } of this.#readsByIndex) resolve(false)
+    this.#readsByIndex = []
   }
 }
