--- a/src/core/class-queue.ts
+++ b/src/core/class-queue.ts
@@ -2,122 +2,121 @@
 import type { RequestClass } from './request-class.js'
 import type { Submission } from './submission.js'
 
-/** A request in a queue. */
-export interface Waiting {
+export interface QueuedRequest {
   readonly submission: Submission
-  readonly since: number
+  readonly enqueuedAt: number
 }
 
-/** The waiting requests of one workspace, earliest deadline first. */
-interface Lane {
+/** The queued requests of one workspace, earliest deadline first. */
+interface WorkspaceQueue {
   readonly workspace: WorkspaceName
-  readonly waiting: Waiting[]
-  /** The counter when the lane was opened: service before that was never charged to it. */
-  readonly base: number
+  readonly waiting: QueuedRequest[]
+  /** Value of `served` at creation. Corrections never reduce `served` below it, as earlier service was not charged to this queue. */
+  readonly initialServed: number
   served: number
 }
 
 /**
- * The queue of one class. Workspaces are served by least service received, in
- * tokens (after VTC, Sheng et al., OSDI 2024), and within a workspace by
- * earliest deadline, which within a class is the order of least slack.
+ * The queue of one class. The workspace with the least service received, in
+ * tokens, goes first (based on VTC, Sheng et al., OSDI 2024); within a workspace the
+ * earliest deadline, which within a class is also the order of least slack.
  */
 export class ClassQueue {
   readonly class: RequestClass
-  /** Tokens of service that the class received, for fairness among classes of one priority. */
+  /** Service received by the class, tokens; for fairness among classes of equal priority. */
   served = 0
-  #lanes = new Map<WorkspaceName, Lane>()
+  #workspaces = new Map<WorkspaceName, WorkspaceQueue>()
   #size = 0
-  #floor = 0
+  #servedBaseline = 0
 
-  constructor (of: RequestClass) {
-    this.class = of
+  constructor (requestClass: RequestClass) {
+    this.class = requestClass
   }
 
   get size (): number { return this.#size }
 
-  push (submission: Submission, since: number): void {
-    const lane = this.#open(submission.workspace)
-    const entry = { submission, since }
-    let at = lane.waiting.length
-    while (at > 0 && lane.waiting[at - 1].submission.deadline > submission.deadline) at -= 1
-    lane.waiting.splice(at, 0, entry)
+  push (submission: Submission, enqueuedAt: number): void {
+    const queue = this.#getOrCreate(submission.workspace)
+    const entry = { submission, enqueuedAt }
+    let index = queue.waiting.length
+    while (index > 0 && queue.waiting[index - 1].submission.deadline > submission.deadline) index -= 1
+    queue.waiting.splice(index, 0, entry)
     this.#size += 1
   }
 
-  /** The request to serve next among those that `fits` takes. */
-  findNext (fits: (submission: Submission) => boolean): Waiting | undefined {
-    let best: Lane | undefined
-    for (const lane of this.#lanes.values()) {
-      if (best !== undefined && best.served <= lane.served) continue
-      if (fits(lane.waiting[0].submission)) best = lane
+  /** The request to serve next. Skips a workspace whose first request `fits` rejects. */
+  findNext (fits: (submission: Submission) => boolean): QueuedRequest | undefined {
+    let best: WorkspaceQueue | undefined
+    for (const queue of this.#workspaces.values()) {
+      if (best !== undefined && best.served <= queue.served) continue
+      if (fits(queue.waiting[0].submission)) best = queue
     }
     return best?.waiting[0]
   }
 
-  /** Takes a request out; undefined where it isn't in the queue. */
-  remove (workspace: WorkspaceName, request: RequestId): Waiting | undefined {
-    const lane = this.#lanes.get(workspace)
-    if (lane === undefined) return undefined
-    const at = lane.waiting.findIndex(entry => entry.submission.request === request)
-    if (at < 0) return undefined
-    const [taken] = lane.waiting.splice(at, 1)
+  /** Removes a request; undefined if it is not queued. */
+  remove (workspace: WorkspaceName, request: RequestId): QueuedRequest | undefined {
+    const queue = this.#workspaces.get(workspace)
+    if (queue === undefined) return undefined
+    const index = queue.waiting.findIndex(entry => entry.submission.request === request)
+    if (index < 0) return undefined
+    const [removed] = queue.waiting.splice(index, 1)
     this.#size -= 1
-    if (lane.waiting.length === 0) this.#close(lane)
-    return taken
+    if (queue.waiting.length === 0) this.#removeQueue(queue)
+    return removed
   }
 
-  /** Charges a waiting workspace for `tokens` of service; fewer than 0 correct an estimate. */
+  /** Charges a queued workspace for `tokens` of service; a negative number corrects an estimate. */
   charge (workspace: WorkspaceName, tokens: number): void {
-    const lane = this.#lanes.get(workspace)
-    if (lane !== undefined) lane.served = Math.max(lane.base, lane.served + tokens)
+    const queue = this.#workspaces.get(workspace)
+    if (queue !== undefined) queue.served = Math.max(queue.initialServed, queue.served + tokens)
   }
 
-  /** How many would be served before a new request of this workspace. */
+  /** Number of requests that would be served before a new request of this workspace. */
   countBefore (workspace: WorkspaceName): number {
-    const own = (this.#lanes.get(workspace)?.waiting.length ?? 0)
+    const own = (this.#workspaces.get(workspace)?.waiting.length ?? 0)
     let before = own
-    for (const lane of this.#lanes.values()) {
-      if (lane.workspace !== workspace) before += Math.min(lane.waiting.length, own + 1)
+    for (const queue of this.#workspaces.values()) {
+      if (queue.workspace !== workspace) before += Math.min(queue.waiting.length, own + 1)
     }
     return before
   }
 
-  /** The lanes' counters go on from those of the queue that this one replaces. */
+  /** Takes over the service counters of the queue that this one replaces. */
   inherit (old: ClassQueue): void {
     this.served = old.served
-    this.#floor = old.#floor
+    this.#servedBaseline = old.#servedBaseline
   }
 
-  /** Every request that `test` takes, in no special order. */
-  collect (test: (entry: Waiting) => boolean): Waiting[] {
-    const found: Waiting[] = []
-    for (const lane of this.#lanes.values()) {
-      for (const entry of lane.waiting) {
-        if (test(entry)) found.push(entry)
+  /** All requests that satisfy `predicate`, in no particular order. */
+  filter (predicate: (entry: QueuedRequest) => boolean): QueuedRequest[] {
+    const found: QueuedRequest[] = []
+    for (const queue of this.#workspaces.values()) {
+      for (const entry of queue.waiting) {
+        if (predicate(entry)) found.push(entry)
       }
     }
     return found
   }
 
-  #open (workspace: WorkspaceName): Lane {
-    const found = this.#lanes.get(workspace)
+  #getOrCreate (workspace: WorkspaceName): WorkspaceQueue {
+    const found = this.#workspaces.get(workspace)
     if (found !== undefined) return found
-    const base = this.#findLeastServed()
-    const lane = { workspace, waiting: [], base, served: base }
-    this.#lanes.set(workspace, lane)
-    return lane
+    const initialServed = this.#findMinServed()
+    const created = { workspace, waiting: [], initialServed, served: initialServed }
+    this.#workspaces.set(workspace, created)
+    return created
   }
 
-  #close (lane: Lane): void {
-    this.#floor = Math.max(this.#floor, lane.served)
-    this.#lanes.delete(lane.workspace)
+  #removeQueue (queue: WorkspaceQueue): void {
+    this.#servedBaseline = Math.max(this.#servedBaseline, queue.served)
+    this.#workspaces.delete(queue.workspace)
   }
 
-  // A workspace that comes back after idling must not be owed for the idle time.
-  #findLeastServed (): number {
-    let least = Infinity
-    for (const lane of this.#lanes.values()) least = Math.min(least, lane.served)
-    return least === Infinity ? this.#floor : least
+  // A workspace that was idle gets no credit for the idle time.
+  #findMinServed (): number {
+    let min = Infinity
+    for (const queue of this.#workspaces.values()) min = Math.min(min, queue.served)
+    return min === Infinity ? this.#servedBaseline : min
   }
 }
--- a/src/core/class-queues.ts
+++ b/src/core/class-queues.ts
@@ -1,33 +1,33 @@
-/** The queues of all classes, in order of priority, and the requests that wait in them. */
+/** The queues of all classes, by priority. */
 import { ClassQueue } from './class-queue.js'
-import type { Waiting } from './class-queue.js'
+import type { QueuedRequest } from './class-queue.js'
 import type { BoxId, ClassName, RequestId } from './ids.js'
 import type { RequestClass } from './request-class.js'
 import type { Submission } from './submission.js'
 
 export class ClassQueues {
   #queues: ClassQueue[] = []
-  #waiting = new Map<RequestId, Submission>()
+  #queued = new Map<RequestId, Submission>()
 
   get list (): readonly ClassQueue[] { return this.#queues }
-  /** Requests that wait, of all classes. */
-  get waiting (): number { return this.#waiting.size }
+  /** Number of queued requests of all classes. */
+  get size (): number { return this.#queued.size }
 
-  /** Takes over the classes; returns requests of classes that are no more. */
+  /** Applies a new list of classes; returns the requests of removed classes. */
   configure (classes: readonly RequestClass[]): Submission[] {
     const old = this.#queues
     this.#queues = [...classes].sort((a, b) => a.priority - b.priority).map(one => new ClassQueue(one))
-    return old.flatMap(queue => this.#moveOver(queue))
+    return old.flatMap(queue => this.#moveRequests(queue))
   }
 
-  #moveOver (old: ClassQueue): Submission[] {
-    const entries = old.collect(() => true)
+  #moveRequests (old: ClassQueue): Submission[] {
+    const entries = old.filter(() => true)
     const queue = this.find(old.class.name)
     if (queue === undefined) {
-      for (const { submission } of entries) this.#waiting.delete(submission.request)
+      for (const { submission } of entries) this.#queued.delete(submission.request)
       return entries.map(({ submission }) => submission)
     }
-    for (const { submission, since } of entries) queue.push(submission, since)
+    for (const { submission, enqueuedAt } of entries) queue.push(submission, enqueuedAt)
     queue.inherit(old)
     return []
   }
@@ -36,67 +36,67 @@
     return this.#queues.find(queue => queue.class.name === name)
   }
 
-  open (of: RequestClass): ClassQueue {
-    const queue = this.find(of.name)
+  getOrCreate (requestClass: RequestClass): ClassQueue {
+    const queue = this.find(requestClass.name)
     if (queue !== undefined) return queue
-    const made = new ClassQueue(of)
-    this.#queues.push(made)
-    return made
+    const created = new ClassQueue(requestClass)
+    this.#queues.push(created)
+    return created
   }
 
-  push (submission: Submission, wanted: RequestClass, at: number): void {
-    const queue = this.open(wanted)
-    if (queue.size === 0) queue.served = Math.max(queue.served, this.#findLeastServed(wanted.priority))
-    queue.push(submission, at)
-    this.#waiting.set(submission.request, submission)
+  push (submission: Submission, requestClass: RequestClass, enqueuedAt: number): void {
+    const queue = this.getOrCreate(requestClass)
+    if (queue.size === 0) queue.served = Math.max(queue.served, this.#findMinServed(requestClass.priority))
+    queue.push(submission, enqueuedAt)
+    this.#queued.set(submission.request, submission)
   }
 
-  findWaiting (request: RequestId): Submission | undefined { return this.#waiting.get(request) }
+  findQueued (request: RequestId): Submission | undefined { return this.#queued.get(request) }
 
-  /** Takes a request out; nothing where it does not wait. */
+  /** Removes a request; no-op if it is not queued. */
   remove (request: RequestId): void {
-    const submission = this.#waiting.get(request)
+    const submission = this.#queued.get(request)
     if (submission === undefined) return
-    this.#waiting.delete(request)
+    this.#queued.delete(request)
     this.find(submission.class)?.remove(submission.workspace, request)
   }
 
-  /** Takes out what a box has waiting. */
-  removeOf (box: BoxId): void {
-    for (const [request, submission] of [...this.#waiting]) {
+  /** Removes all queued requests of a box. */
+  removeByBox (box: BoxId): void {
+    for (const [request, submission] of [...this.#queued]) {
       if (submission.box === box) this.remove(request)
     }
   }
 
-  /** Takes out every request of a queue that `test` takes. */
-  takeAll (queue: ClassQueue, test: (entry: Waiting) => boolean): Submission[] {
-    const taken = queue.collect(test).map(({ submission }) => submission)
-    for (const { request } of taken) this.remove(request)
-    return taken
+  /** Removes and returns all requests of a queue that satisfy `predicate`. */
+  removeWhere (queue: ClassQueue, predicate: (entry: QueuedRequest) => boolean): Submission[] {
+    const removed = queue.filter(predicate).map(({ submission }) => submission)
+    for (const { request } of removed) this.remove(request)
+    return removed
   }
 
-  /** True where a request of the same or a higher class waits for the same model: it goes first. */
-  hasBefore (submission: Submission, wanted: RequestClass): boolean {
+  /** True if a request of equal or higher priority is queued for the same model and so has to be served first. */
+  hasPreceding (submission: Submission, requestClass: RequestClass): boolean {
     for (const queue of this.#queues) {
       if (queue.size === 0) continue
-      if (queue.class.priority > wanted.priority) return false
+      if (queue.class.priority > requestClass.priority) return false
       if (queue.findNext(other => other.model === submission.model) !== undefined) return true
     }
     return false
   }
 
-  /** Requests that are served before a new one. Classes of one priority take turns, so each is refused for its own excess. */
-  countAhead (submission: Submission, wanted: RequestClass): number {
-    const own = this.open(wanted).countBefore(submission.workspace)
+  /** Number of requests that would be served before a new one. Classes of equal priority alternate, so that each is refused only for its own excess. */
+  countAhead (submission: Submission, requestClass: RequestClass): number {
+    const own = this.getOrCreate(requestClass).countBefore(submission.workspace)
     let ahead = own
     for (const queue of this.#queues) {
-      if (queue.class === wanted || queue.class.mayWait || queue.class.priority > wanted.priority) continue
-      ahead += queue.class.priority < wanted.priority ? queue.size : Math.min(queue.size, own + 1)
+      if (queue.class === requestClass || queue.class.mayWait || queue.class.priority > requestClass.priority) continue
+      ahead += queue.class.priority < requestClass.priority ? queue.size : Math.min(queue.size, own + 1)
     }
     return ahead
   }
 
-  /** The queues by priority, those of one priority together. */
+  /** The queues grouped by priority, highest first. */
   listByPriority (): ClassQueue[][] {
     const groups: ClassQueue[][] = []
     for (const queue of this.#queues) {
@@ -107,12 +107,12 @@
     return groups
   }
 
-  // A class that comes back after idling is not owed for the idle time.
-  #findLeastServed (priority: number): number {
-    let least = Infinity
+  // A class that was idle gets no credit for the idle time.
+  #findMinServed (priority: number): number {
+    let min = Infinity
     for (const queue of this.#queues) {
-      if (queue.size > 0 && queue.class.priority === priority) least = Math.min(least, queue.served)
+      if (queue.size > 0 && queue.class.priority === priority) min = Math.min(min, queue.served)
     }
-    return least === Infinity ? 0 : least
+    return min === Infinity ? 0 : min
   }
 }
--- a/src/core/crashes/crash-watch.ts
+++ b/src/core/crashes/crash-watch.ts
@@ -1,97 +1,97 @@
 /**
- * Tells requests that end the endpoints which run them from all that only ran
- * beside them, and says what may be done with a request. Pure: what is heard
- * goes in, what is news for other boxes comes out. All boxes that heard the same
- * decide alike, each by itself.
+ * Distinguishes requests that crash the endpoints which run them from requests
+ * that merely ran at the same time, and decides where a request may be sent. Free
+ * of I/O: `merge` takes reports and returns the changes to pass on to other boxes.
+ * Boxes that have received the same reports reach the same decision independently.
  */
 import type { EndpointId, Fingerprint, ServiceName } from '../ids.js'
-import { EndBook } from './end-book.js'
-import type { EndpointEnd } from './endpoint-end.js'
+import { CrashHistory } from './crash-history.js'
+import type { EndpointEnd } from './endpoint-crash.js'
 import { weighEvidence } from './evidence.js'
-import { Quarantine, findRefusalMs, labelSoftware, mayTrySoftware } from './quarantine.js'
-import type { HeldEntry, QuarantineEntry } from './quarantine.js'
+import { Quarantine, computeRefusalMs, labelSoftware, mayTrySoftware } from './quarantine.js'
+import type { StoredEntry, QuarantineEntry } from './quarantine.js'
 
-/** What boxes tell one another of ends and of requests in quarantine. */
+/** Updates that boxes exchange on crashes and on quarantined requests. */
 export interface CrashNews {
   readonly ends: readonly EndpointEnd[]
   readonly entries: readonly QuarantineEntry[]
 }
 
-/** What may be done with a request. */
+/** Where a request may be sent. */
 export type Ruling =
   | { readonly type: 'free' }
-  /** Endpoints ended under it: all boxes send it to the same endpoint, which is none of these. */
+  /** Endpoints crashed while running it: all boxes send it to the same endpoint, which is not one of these. */
   | { readonly type: 'suspect', readonly ended: ReadonlySet<EndpointId> }
-  /** In quarantine, but software that has answered it may be asked. */
+  /** In quarantine, but it may be sent to software that has answered it. */
   | { readonly type: 'sound', readonly labels: readonly string[] }
-  /** In quarantine, but one send shows whether it still is as it was; at software with these labels, or at any where there are none. */
+  /** In quarantine, but a single attempt may test whether it still crashes endpoints, on software with these labels, or on any if there are none. */
   | { readonly type: 'trial', readonly labels: readonly string[], readonly ended: ReadonlySet<EndpointId> }
   | { readonly type: 'refused', readonly retryAfterMs: number, readonly ends: number }
 
-/** Several pieces of news as one. */
-export function joinNews (news: readonly CrashNews[]): CrashNews {
-  return { ends: news.flatMap(({ ends }) => ends), entries: news.flatMap(({ entries }) => entries) }
+/** Concatenates updates into one. */
+export function joinNews (updates: readonly CrashNews[]): CrashNews {
+  return { ends: updates.flatMap(({ ends }) => ends), entries: updates.flatMap(({ entries }) => entries) }
 }
 
-/** News that waits to be told shares a message, ms: an end breaks many requests within some ms, and boxes in touch have seconds to act on it. */
+/** Time for which updates are collected into one message, ms: a crash breaks many requests within a few ms, and connected boxes have seconds to react. */
 export const gatherNewsMs = 10
 
 const free: Ruling = { type: 'free' }
 
 export class CrashWatch {
-  #book = new EndBook()
+  #history = new CrashHistory()
   #quarantine = new Quarantine()
   #countEndpoints: (service: ServiceName) => number
 
-  /** `countEndpoints`: endpoints of a service that may be used now. */
+  /** `countEndpoints`: number of usable endpoints of a service. */
   constructor (countEndpoints: (service: ServiceName) => number) {
     this.#countEndpoints = countEndpoints
   }
 
-  /** True where nothing is known: then every request is free, and need not be looked up. */
-  get isIdle (): boolean { return this.#book.ends.length === 0 && this.#quarantine.size === 0 }
+  /** True if nothing is recorded: then every request is `free` without a lookup. */
+  get isIdle (): boolean { return this.#history.crashes.length === 0 && this.#quarantine.size === 0 }
 
-  /** Ends under a request that was not answered since. */
-  countEnds (fingerprint: Fingerprint): number { return this.#book.listUnder(fingerprint).length }
+  /** Number of crashes while running a request that has not been answered since. */
+  countEnds (fingerprint: Fingerprint): number { return this.#history.listCrashesOf(fingerprint).length }
 
-  find (fingerprint: Fingerprint): HeldEntry | undefined { return this.#quarantine.find(fingerprint) }
+  find (fingerprint: Fingerprint): StoredEntry | undefined { return this.#quarantine.find(fingerprint) }
 
-  /** Everything, for a box that knows nothing. */
+  /** The complete state, for a box that has none. */
   list (at: number): CrashNews {
-    return { ends: this.#book.list(at), entries: this.#quarantine.list(at) }
+    return { ends: this.#history.list(at), entries: this.#quarantine.list(at) }
   }
 
-  /** Takes in what was seen here or told by another box; decides anew on the requests that it names. */
+  /** Merges updates from this box or another one and re-evaluates the affected requests. Returns the resulting changes. */
   merge ({ ends, entries }: CrashNews, at: number): CrashNews {
-    const freshEnds = this.#book.merge(ends, at)
-    const freshEntries = this.#quarantine.merge(entries, at)
-    for (const { fingerprint, state } of freshEntries) if (state === 'lifted') this.#book.withdraw(fingerprint, at)
-    const named = new Set(freshEnds.flatMap(({ runs }) => runs.flatMap(([fingerprint, ms]) => ms === null ? [] : [fingerprint])))
-    const decided = [...named].map(fingerprint => this.#decide(fingerprint, at)).filter(entry => entry !== null)
-    return { ends: freshEnds, entries: [...freshEntries, ...this.#quarantine.merge(decided, at)] }
+    const newCrashes = this.#history.merge(ends, at)
+    const newEntries = this.#quarantine.merge(entries, at)
+    for (const { fingerprint, state } of newEntries) if (state === 'lifted') this.#history.withdraw(fingerprint, at)
+    const affected = new Set(newCrashes.flatMap(({ runs }) => runs.flatMap(([fingerprint, ms]) => ms === null ? [] : [fingerprint])))
+    const decided = [...affected].map(fingerprint => this.#decide(fingerprint, at)).filter(entry => entry !== null)
+    return { ends: newCrashes, entries: [...newEntries, ...this.#quarantine.merge(decided, at)] }
   }
 
-  /** Notes that an endpoint with this software answered a request: it does not end what runs it. */
+  /** Records that an endpoint with this software answered a request, so the request does not crash it. */
   noteAnswered (fingerprint: Fingerprint, label: string, at: number): CrashNews {
     const entry = this.#quarantine.find(fingerprint)
-    const ends = this.#book.withdraw(fingerprint, at)
+    const ends = this.#history.withdraw(fingerprint, at)
     if (entry === undefined || entry.state === 'lifted' || entry.sound.includes(label)) return { ends, entries: [] }
-    const changed = entry.ended.includes(label) ? composeLift(entry, at) : composeTold({ ...entry, sound: [...entry.sound, label] }, at)
+    const changed = entry.ended.includes(label) ? composeLiftedEntry(entry, at) : composeEntry({ ...entry, sound: [...entry.sound, label] }, at)
     return { ends, entries: this.#quarantine.merge([changed], at) }
   }
 
-  /** Lifts a quarantine by an operator's word; null where there is none. */
+  /** Lifts a quarantine on behalf of an operator; null if there is none. */
   lift (fingerprint: Fingerprint, at: number): CrashNews | null {
     const entry = this.#quarantine.find(fingerprint)
     if (entry === undefined || entry.state === 'lifted') return null
-    const ends = this.#book.withdraw(fingerprint, at)
-    return { ends, entries: this.#quarantine.merge([composeLift(entry, at)], at) }
+    const ends = this.#history.withdraw(fingerprint, at)
+    return { ends, entries: this.#quarantine.merge([composeLiftedEntry(entry, at)], at) }
   }
 
-  /** What may be done with a request. `listLabels`, asked only for one in quarantine: software of the endpoints that are ready. */
+  /** Decides where a request may be sent. `listLabels`: software of the endpoints that are ready; called only for a quarantined request. */
   rule (fingerprint: Fingerprint, listLabels: () => ReadonlySet<string>, at: number): Ruling {
     const entry = this.#quarantine.find(fingerprint)
-    const ended = new Set(this.#book.listUnder(fingerprint).map(({ endpoint }) => endpoint))
+    const ended = new Set(this.#history.listCrashesOf(fingerprint).map(({ endpoint }) => endpoint))
     if (entry === undefined || entry.state === 'lifted') return ended.size === 0 ? free : { type: 'suspect', ended }
     if (at >= entry.until) return { type: 'trial', labels: [], ended }
     const labels = listLabels()
@@ -102,34 +102,34 @@
     return { type: 'refused', retryAfterMs: entry.until - at, ends: entry.ends }
   }
 
-  // An entry that is news; null where nothing new is decided.
+  // Returns a new entry; null if the state does not change.
   #decide (fingerprint: Fingerprint, at: number): QuarantineEntry | null {
-    const under = this.#book.listUnder(fingerprint)
-    const newest = under.at(-1)
+    const suspected = this.#history.listCrashesOf(fingerprint)
+    const newest = suspected.at(-1)
     if (newest === undefined) return null
     const known = this.#quarantine.find(fingerprint)
-    const { ends, weight, isHarmful } = weighEvidence(fingerprint, this.#book.ends, () => this.#countEndpoints(newest.service))
-    const labels = [...new Set(under.map(labelSoftware))].sort()
+    const { ends, weight, isHarmful } = weighEvidence(fingerprint, this.#history.crashes, () => this.#countEndpoints(newest.service))
+    const labels = [...new Set(suspected.map(labelSoftware))].sort()
     if (known !== undefined && known.state === 'refused') return this.#extend(known, labels, ends, at)
     if (!isHarmful) return null
     const round = (known?.round ?? 0) + 1
-    return { fingerprint, round, state: 'refused', service: newest.service, ended: labels, sound: [], ends, weight, leftMs: findRefusalMs(round) }
+    return { fingerprint, round, state: 'refused', service: newest.service, ended: labels, sound: [], ends, weight, leftMs: computeRefusalMs(round) }
   }
 
-  // A trial ended its endpoint. Ends of sends that were under way before change nothing.
-  #extend (entry: HeldEntry, labels: readonly string[], ends: number, at: number): QuarantineEntry | null {
-    const fresh = labels.filter(label => !entry.ended.includes(label))
-    if (fresh.length === 0 && at < entry.until) return null
-    const ended = [...entry.ended, ...fresh].sort()
+  // Handles a trial that crashed its endpoint. Crashes from attempts that were already in flight change nothing.
+  #extend (entry: StoredEntry, labels: readonly string[], ends: number, at: number): QuarantineEntry | null {
+    const addedLabels = labels.filter(label => !entry.ended.includes(label))
+    if (addedLabels.length === 0 && at < entry.until) return null
+    const ended = [...entry.ended, ...addedLabels].sort()
     const round = entry.round + 1
-    return { ...composeTold(entry, at), round, ended, sound: entry.sound.filter(label => !ended.includes(label)), ends: Math.max(ends, entry.ends), leftMs: findRefusalMs(round) }
+    return { ...composeEntry(entry, at), round, ended, sound: entry.sound.filter(label => !ended.includes(label)), ends: Math.max(ends, entry.ends), leftMs: computeRefusalMs(round) }
   }
 }
 
-function composeTold ({ until, ...entry }: HeldEntry, at: number): QuarantineEntry {
+function composeEntry ({ until, ...entry }: StoredEntry, at: number): QuarantineEntry {
   return { ...entry, leftMs: Math.max(0, Math.round(until - at)) }
 }
 
-function composeLift (entry: HeldEntry, at: number): QuarantineEntry {
-  return { ...composeTold(entry, at), round: entry.round + 1, state: 'lifted' }
+function composeLiftedEntry (entry: StoredEntry, at: number): QuarantineEntry {
+  return { ...composeEntry(entry, at), round: entry.round + 1, state: 'lifted' }
 }
--- a/src/core/crashes/index.ts
+++ b/src/core/crashes/index.ts
@@ -1,6 +1,6 @@
-/** Requests that end the endpoints which run them. */
-export type { EndedRun, EndpointEnd } from './endpoint-end.js'
+/** Detection and quarantine of requests that crash the endpoints which run them. */
+export type { CrashedRun, EndpointEnd } from './endpoint-crash.js'
 export { CrashWatch, gatherNewsMs, joinNews } from './crash-watch.js'
 export type { CrashNews, Ruling } from './crash-watch.js'
 export { describeEntry, labelSoftware } from './quarantine.js'
-export type { HeldEntry, QuarantineEntry } from './quarantine.js'
+export type { StoredEntry, QuarantineEntry } from './quarantine.js'
--- a/src/core/crashes/quarantine.ts
+++ b/src/core/crashes/quarantine.ts
@@ -1,79 +1,79 @@
 /**
- * Requests that are not sent to endpoints for a while, as endpoints ended under
- * them. Words of several boxes are merged: the later round counts, and within
- * one round what any of them knows.
+ * Requests that are temporarily not sent to endpoints, as endpoints crashed while
+ * running them. Entries of several boxes are merged: the higher round wins, and
+ * within a round the union of what the boxes know.
  */
 import type { Fingerprint, ServiceName } from '../ids.js'
 
 /** `refused`: not sent; `lifted`: sent again, whatever was known before. */
 export type QuarantineState = 'refused' | 'lifted'
 
-/** What is told of a request in quarantine. */
+/** A quarantined request, as boxes exchange it. */
 export interface QuarantineEntry {
   readonly fingerprint: Fingerprint
-  /** Rises each time it is refused anew, or lifted. */
+  /** Incremented each time the request is refused again, or lifted. */
   readonly round: number
   readonly state: QuarantineState
   readonly service: ServiceName
-  /** What ended under it: the software of its endpoints, as `labelSoftware` says. */
+  /** Software that crashed while running it, as formatted by `labelSoftware`. */
   readonly ended: readonly string[]
-  /** Software that has answered it since. */
+  /** Software that has answered it since then. */
   readonly sound: readonly string[]
-  /** Ends of endpoints that decided it, and their weight. */
+  /** Number of crashes that led to the decision, and the weight of the evidence. */
   readonly ends: number
   readonly weight: number
-  /** Until it may be tried again, ms. */
+  /** Time until it may be tried again, ms. */
   readonly leftMs: number
 }
 
-/** An entry as it is held; `until` on this box's clock, ms. */
-export interface HeldEntry extends Omit<QuarantineEntry, 'leftMs'> {
+/** An entry as it is stored; `until` on this box's clock, ms. */
+export interface StoredEntry extends Omit<QuarantineEntry, 'leftMs'> {
   readonly until: number
 }
 
-/** First time that a request is refused for, ms: longer than endpoints take to restart and operators to look; doubles with each further round. */
-export const firstRefusalMs = 600_000
-/** The longest, ms: a day. */
-export const longestRefusalMs = 86_400_000
-/** An entry that is over is kept for so long, ms: a trial that ends an endpoint is then enough to refuse it anew. */
-export const keepEntriesMs = 600_000
-/** Entries that are kept; beyond them those go first that end first. At some 300 bytes each, 0.3 MB. */
-export const mostEntries = 1000
-/** Kinds of software that are tried for one request; beyond them only its time tells when it is tried again. */
-const mostSoftware = 4
+/** Duration of the first refusal, ms: longer than endpoints take to restart and operators to react. Doubles with each further round. */
+export const initialRefusalMs = 600_000
+/** Upper bound on the duration of a refusal, ms: one day. */
+export const maxRefusalMs = 86_400_000
+/** Expired entries are kept for this time, ms: meanwhile one trial that crashes an endpoint is enough to refuse the request again. */
+export const entryRetentionMs = 600_000
+/** Maximum number of entries; those that expire first are evicted first. At about 300 bytes each, 0.3 MB. */
+export const maxEntries = 1000
+/** A request that has crashed this many software versions is not tried on further ones; it is tried again only once its refusal expires. */
+const maxTriedVersions = 4
 
 export class Quarantine {
-  #entries = new Map<Fingerprint, HeldEntry>()
+  #entries = new Map<Fingerprint, StoredEntry>()
 
   get size (): number { return this.#entries.size }
 
-  /** The entry of a request, also one that is over or lifted. */
-  find (fingerprint: Fingerprint): HeldEntry | undefined { return this.#entries.get(fingerprint) }
+  /** The entry of a request, even if it has expired or is lifted. */
+  find (fingerprint: Fingerprint): StoredEntry | undefined { return this.#entries.get(fingerprint) }
 
-  /** Takes in what was told; returns what of it is news. */
-  merge (told: readonly QuarantineEntry[], at: number): QuarantineEntry[] {
-    const news = told.filter(entry => this.#mergeOne(entry, at))
-    this.#forgetOld(at)
-    return news.map(({ fingerprint }) => this.#compose(fingerprint, at)).filter(entry => entry !== null)
+  /** Merges entries; returns those that changed. */
+  merge (received: readonly QuarantineEntry[], at: number): QuarantineEntry[] {
+    const changed = received.filter(entry => this.#mergeOne(entry, at))
+    this.#evictOld(at)
+    return changed.map(({ fingerprint }) => this.#compose(fingerprint, at)).filter(entry => entry !== null)
   }
 
-  /** All of it, for a box that knows nothing. */
+  /** All entries, for a box that has none. */
   list (at: number): QuarantineEntry[] {
-    this.#forgetOld(at)
+    this.#evictOld(at)
     return [...this.#entries.keys()].map(fingerprint => this.#compose(fingerprint, at)).filter(entry => entry !== null)
   }
 
-  #mergeOne ({ leftMs, ...told }: QuarantineEntry, at: number): boolean {
-    const entry: HeldEntry = { ...told, until: at + leftMs }
-    const known = this.#entries.get(told.fingerprint)
+  #mergeOne ({ leftMs, ...received }: QuarantineEntry, at: number): boolean {
+    const entry: StoredEntry = { ...received, until: at + leftMs }
+    const known = this.#entries.get(received.fingerprint)
     if (known !== undefined && known.round > entry.round) return false
     if (known === undefined || known.round < entry.round) {
       this.#entries.set(entry.fingerprint, entry)
       return true
     }
-    const joined = joinEntries(known, entry)
-    if (joined === known) return false
-    this.#entries.set(entry.fingerprint, joined)
+    const merged = mergeEntries(known, entry)
+    if (merged === known) return false
+    this.#entries.set(entry.fingerprint, merged)
     return true
   }
 
@@ -84,41 +84,41 @@
     return { ...rest, leftMs: Math.max(0, Math.round(until - at)) }
   }
 
-  #forgetOld (at: number): void {
-    for (const [fingerprint, { until }] of this.#entries) if (at - until > keepEntriesMs) this.#entries.delete(fingerprint)
-    if (this.#entries.size <= mostEntries) return
-    const byEnd = [...this.#entries.values()].sort((a, b) => a.until - b.until)
-    for (const { fingerprint } of byEnd.slice(0, this.#entries.size - mostEntries)) this.#entries.delete(fingerprint)
+  #evictOld (at: number): void {
+    for (const [fingerprint, { until }] of this.#entries) if (at - until > entryRetentionMs) this.#entries.delete(fingerprint)
+    if (this.#entries.size <= maxEntries) return
+    const byExpiry = [...this.#entries.values()].sort((a, b) => a.until - b.until)
+    for (const { fingerprint } of byExpiry.slice(0, this.#entries.size - maxEntries)) this.#entries.delete(fingerprint)
   }
 }
 
-/** What a log line says of an entry. */
+/** Log fields of an entry. */
 export function describeEntry ({ fingerprint, state, round, service, ended, sound, ends, weight, leftMs }: QuarantineEntry): Record<string, string | number> {
   return { fingerprint, state, round, service, software: ended.join(','), sound: sound.join(','), ends, weight: weight.toFixed(1), leftMs }
 }
 
-/** How long a request is refused in a round, ms. */
-export function findRefusalMs (round: number): number {
-  return Math.min(longestRefusalMs, firstRefusalMs * 2 ** (round - 1))
+/** Duration of the refusal in a round, ms. */
+export function computeRefusalMs (round: number): number {
+  return Math.min(maxRefusalMs, initialRefusalMs * 2 ** (round - 1))
 }
 
-/** Names what an endpoint runs: its service, and the version of its software. */
+/** Identifies the software of an endpoint by its service and version. */
 export function labelSoftware ({ service, software }: { readonly service: ServiceName, readonly software: string }): string {
   return `${service} ${software}`
 }
 
-/** True where a request may be tried at software that it has not ended yet. */
-export function mayTrySoftware ({ ended, sound }: HeldEntry, label: string): boolean {
-  return ended.length < mostSoftware && !ended.includes(label) && !sound.includes(label)
+/** True if a request may be tried on software with this label, which has neither crashed on it nor answered it. */
+export function mayTrySoftware ({ ended, sound }: StoredEntry, label: string): boolean {
+  return ended.length < maxTriedVersions && !ended.includes(label) && !sound.includes(label)
 }
 
-// The same object where the other adds nothing. Within a round a lift counts, and software that ended goes before its being sound.
-function joinEntries (known: HeldEntry, other: HeldEntry): HeldEntry {
-  const ended = joinLists(known.ended, other.ended)
-  const sound = joinLists(known.sound, other.sound).filter(label => !ended.includes(label))
+// Returns the same object if the other adds nothing. Within a round, `lifted` wins over `refused` and `ended` over `sound`.
+function mergeEntries (known: StoredEntry, other: StoredEntry): StoredEntry {
+  const ended = mergeLists(known.ended, other.ended)
+  const sound = mergeLists(known.sound, other.sound).filter(label => !ended.includes(label))
   const state = known.state === 'lifted' || other.state === 'lifted' ? 'lifted' : 'refused'
   const isSame = ended.length === known.ended.length && sound.length === known.sound.length && state === known.state
   return isSame ? known : { ...known, ended, sound, state, ends: Math.max(known.ends, other.ends), weight: Math.max(known.weight, other.weight) }
 }
 
-function joinLists (a: readonly string[], b: readonly string[]): string[] { return [...new Set([...a, ...b])].sort() }
+function mergeLists (a: readonly string[], b: readonly string[]): string[] { return [...new Set([...a, ...b])].sort() }
--- a/src/core/engine-health.ts
+++ b/src/core/engine-health.ts
@@ -1,54 +1,54 @@
 const failuresToEject = 3
-const firstBackoffMs = 1000
-const longestBackoffMs = 30_000
-const silentAfterMs = 10_000
-const gainOfNewest = 0.15
-const samplesToJudge = 8
+const initialBackoffMs = 1000
+const maxBackoffMs = 30_000
+const staleAfterMs = 10_000
+const smoothingGain = 0.15
+const minSamples = 8
 
-/** Whether an engine may be given work. */
+/** Whether an engine may get requests: `out` gets none, `probing` one at a time. */
 export type HealthState = 'live' | 'out' | 'probing'
 
 /**
- * Belief in one engine's health: repeated failures put it out for a back-off
- * that doubles, after which one request probes it. Its time per token, compared
- * with its peers', shows an engine that is slow without failing.
+ * Health of one engine, a circuit breaker: repeated failures eject the engine for
+ * a back-off that doubles, after which a single request probes it. The time per
+ * token, compared with that of its peers, reveals engines that are slow without failing.
  */
 export class EngineHealth {
   #state: HealthState = 'live'
   #failures = 0
-  #backoffMs = firstBackoffMs
-  #outUntil = 0
+  #backoffMs = initialBackoffMs
+  #ejectedUntil = 0
   #backoffUntil = 0
   #isBackedOff = false
   #tokenMs = 0
   #samples = 0
-  #heardAt: number | null = null
+  #lastReportAt: number | null = null
   slow = false
 
   get state (): HealthState { return this.#isBackedOff ? 'out' : this.#state }
-  /** Mean time per token, ms, or null before enough was seen. */
-  get tokenMs (): number | null { return this.#samples >= samplesToJudge ? this.#tokenMs : null }
+  /** Moving average of the time per token, ms; null until there are enough samples. */
+  get tokenMs (): number | null { return this.#samples >= minSamples ? this.#tokenMs : null }
 
-  /** True where reports came once and have stopped. */
-  isSilent (at: number): boolean {
-    return this.#heardAt !== null && at - this.#heardAt > silentAfterMs
+  /** True if the engine has sent reports before but none recently. */
+  hasStaleReports (at: number): boolean {
+    return this.#lastReportAt !== null && at - this.#lastReportAt > staleAfterMs
   }
 
   addReport (at: number, stepMs: number): void {
-    this.#heardAt = at
+    this.#lastReportAt = at
     if (stepMs > 0) this.#addTokenTime(stepMs)
   }
 
   addFailure (at: number): void {
     this.#failures += 1
     if (this.#state === 'live' && this.#failures < failuresToEject) return
-    if (this.#state === 'probing') this.#backoffMs = Math.min(longestBackoffMs, this.#backoffMs * 2)
+    if (this.#state === 'probing') this.#backoffMs = Math.min(maxBackoffMs, this.#backoffMs * 2)
     this.#state = 'out'
-    this.#outUntil = at + this.#backoffMs
+    this.#ejectedUntil = at + this.#backoffMs
   }
 
-  /** No connection could be made: that is proof enough at once. */
-  addRefusal (at: number): void {
+  /** A failed connection attempt ejects the engine immediately. */
+  addConnectionFailure (at: number): void {
     this.#failures = failuresToEject
     this.addFailure(at)
   }
@@ -56,24 +56,24 @@
   addSuccess (): void {
     this.#failures = 0
     this.#state = 'live'
-    this.#backoffMs = firstBackoffMs
+    this.#backoffMs = initialBackoffMs
   }
 
-  /** The engine wants no work before that time, whatever streams that it has say of it. */
+  /** The engine asked to get no requests before `until`; successes of its running streams do not end this. */
   addBackoff (until: number): void {
     this.#backoffUntil = Math.max(this.#backoffUntil, until)
     this.#isBackedOff = true
   }
 
-  /** Lets an engine be probed once its back-off has run out, and used once the time that it asked for is over. */
+  /** Starts probing once the ejection has expired, and ends a back-off that the engine asked for. */
   advance (at: number): void {
     this.#isBackedOff = at < this.#backoffUntil
-    if (this.#state === 'out' && at >= this.#outUntil) this.#state = 'probing'
+    if (this.#state === 'out' && at >= this.#ejectedUntil) this.#state = 'probing'
   }
 
   #addTokenTime (ms: number): void {
     this.#samples += 1
-    const gain = Math.max(gainOfNewest, 1 / this.#samples)
+    const gain = Math.max(smoothingGain, 1 / this.#samples)
     this.#tokenMs += (ms - this.#tokenMs) * gain
   }
 }
--- a/src/core/engine-state.ts
+++ b/src/core/engine-state.ts
@@ -1,9 +1,8 @@
 import type { BoxId, ClassName, EngineId, RequestId, WorkspaceName } from './ids.js'
 import type { EngineSpec } from './scheduler-config.js'
 import { EngineHealth } from './engine-health.js'
-import { PrefixBelief } from './prefix-belief.js'
+import { PrefixCacheEstimate } from './prefix-cache-estimate.js'
 
-/** A stream that was granted at an engine. */
 export interface GrantedStream {
   readonly request: RequestId
   readonly attempt: number
@@ -16,20 +15,20 @@
   readonly estimatedTokens: number
 }
 
-const oversubscription = 2
+const maxOversubscription = 2
 
-/** One engine as its scheduler knows it: what was granted there, and belief. */
+/** A scheduler's state of one engine: the streams granted there, and estimates of its health and prefix cache. */
 export class EngineState {
   readonly health = new EngineHealth()
-  readonly prefixes = new PrefixBelief()
+  readonly prefixes = new PrefixCacheEstimate()
   readonly streams = new Map<RequestId, GrantedStream>()
   #spec: EngineSpec
   #byPriority: number[] = []
-  #quick = 0
-  /** An operator's word. */
-  drained = false
-  /** The engine's own word. */
-  saysLeaving = false
+  #interactive = 0
+  /** Set by the operator. */
+  isDrained = false
+  /** Set by the engine's own reports. */
+  hasReportedLeaving = false
 
   constructor (spec: EngineSpec) {
     this.#spec = spec
@@ -37,11 +36,11 @@
 
   get id (): EngineId { return this.#spec.id }
   get spec (): EngineSpec { return this.#spec }
-  /** Streams granted here, paused ones included. */
+  /** Number of streams granted here, including paused ones. */
   get load (): number { return this.streams.size }
-  /** Streams of classes that may not wait. */
-  get quick (): number { return this.#quick }
-  get leaving (): boolean { return this.drained || this.saysLeaving }
+  /** Number of interactive streams. */
+  get quick (): number { return this.#interactive }
+  get leaving (): boolean { return this.isDrained || this.hasReportedLeaving }
   get batchLimit (): number { return this.#spec.places + this.#spec.floorPlaces }
 
   set spec (spec: EngineSpec) { this.#spec = spec }
@@ -49,7 +48,7 @@
   add (stream: GrantedStream): void {
     this.streams.set(stream.request, stream)
     this.#byPriority[stream.priority] = (this.#byPriority[stream.priority] ?? 0) + 1
-    if (!stream.mayWait) this.#quick += 1
+    if (!stream.mayWait) this.#interactive += 1
   }
 
   remove (request: RequestId): GrantedStream | undefined {
@@ -57,11 +56,11 @@
     if (stream === undefined) return undefined
     this.streams.delete(request)
     this.#byPriority[stream.priority] -= 1
-    if (!stream.mayWait) this.#quick -= 1
+    if (!stream.mayWait) this.#interactive -= 1
     return stream
   }
 
-  /** Streams of this priority or a higher one. */
+  /** Number of streams of this priority or a higher one. */
   countAtLeast (priority: number): number {
     let count = 0
     for (let i = 0; i <= priority && i < this.#byPriority.length; i++) count += this.#byPriority[i] ?? 0
@@ -69,18 +68,18 @@
   }
 
   /**
-   * True where a request of this priority can run now. One that may not wait
-   * can use `places`, and pauses lower streams if the batch is full. One that
-   * may wait takes only free room, so it never pauses anything.
+   * True if a request of this priority can run now. An interactive one can use
+   * `places` and pauses lower streams if the batch is full. A deferrable one
+   * uses free capacity only, so it never pauses a stream.
    */
   hasPlace (priority: number, mayWait: boolean): boolean {
     if (mayWait) return this.load < this.batchLimit
     if (this.countAtLeast(priority) >= this.#spec.places) return false
-    return this.load < this.batchLimit * oversubscription
+    return this.load < this.batchLimit * maxOversubscription
   }
 
-  /** The stream that the engine pauses when one of `priority` joins a full batch. */
-  findYielding (priority: number): GrantedStream | undefined {
+  /** The stream that the engine will pause when one of `priority` joins a full batch. */
+  findStreamToPause (priority: number): GrantedStream | undefined {
     if (this.load < this.batchLimit) return undefined
     let last: GrantedStream | undefined
     for (const stream of this.streams.values()) {
--- a/src/core/error-kind.ts
+++ b/src/core/error-kind.ts
@@ -1,56 +1,54 @@
 /**
- * The closed list of error kinds and the one table from kind to answer.
- * Everything that a caller or operator can be told stands here.
+ * All error kinds and the responses they map to. No other error reaches a
+ * caller or operator.
  */
 
 /** Whether a refused request ran at its endpoint. */
 export type Outcome = 'not-run' | 'unknown' | 'run'
 
-/** What a caller is answered for one kind of error. */
-export interface ErrorAnswer {
+/** The response to a caller for one kind of error. */
+export interface ErrorResponse {
   /** HTTP status. */
   readonly status: number
-  /** The `type` field of an OpenAI-shaped error. */
+  /** The `type` field of an OpenAI-compatible error. */
   readonly type: string
   readonly outcome: Outcome
-  /** True where a `Retry-After` header belongs to the answer. */
+  /** True if the response has a `Retry-After` header. */
   readonly retryAfter: boolean
-  /** What the kind means, for people. */
+  /** Explanation for the generated documentation. */
   readonly meaning: string
 }
 
-/** Every error kind with its answer. `docs/ERRORS.md` is made from this table. */
+/** Every error kind with its response. `docs/ERRORS.md` is generated from this table. */
 export const errorTable = {
-  'bad-request': { status: 400, type: 'invalid_request_error', outcome: 'not-run', retryAfter: false, meaning: 'The request is not well formed.' },
-  'bad-key': { status: 401, type: 'authentication_error', outcome: 'not-run', retryAfter: false, meaning: 'The key is missing or opens no workspace.' },
+  'bad-request': { status: 400, type: 'invalid_request_error', outcome: 'not-run', retryAfter: false, meaning: 'The request is malformed.' },
+  'bad-key': { status: 401, type: 'authentication_error', outcome: 'not-run', retryAfter: false, meaning: 'The key is missing or does not belong to a workspace.' },
   'unknown-class': { status: 400, type: 'invalid_request_error', outcome: 'not-run', retryAfter: false, meaning: 'The class is not configured.' },
   'unknown-model': { status: 404, type: 'invalid_request_error', outcome: 'not-run', retryAfter: false, meaning: 'No pool serves the model.' },
   'unknown-service': { status: 404, type: 'invalid_request_error', outcome: 'not-run', retryAfter: false, meaning: 'The service is not configured.' },
-  'unknown-path': { status: 404, type: 'invalid_request_error', outcome: 'not-run', retryAfter: false, meaning: 'The path is not one that wrenlane serves.' },
-  'body-too-large': { status: 413, type: 'invalid_request_error', outcome: 'not-run', retryAfter: false, meaning: 'The body exceeds the limit.' },
-  'slow-caller': { status: 408, type: 'invalid_request_error', outcome: 'not-run', retryAfter: false, meaning: 'The request was not received within the time for it.' },
-  'workspace-limit': { status: 429, type: 'rate_limit_error', outcome: 'not-run', retryAfter: true, meaning: 'The workspace has used up its limit.' },
-  overloaded: { status: 503, type: 'overloaded_error', outcome: 'not-run', retryAfter: true, meaning: 'Demand of this class exceeds capacity; its target could not be met.' },
-  'no-engine': { status: 503, type: 'overloaded_error', outcome: 'not-run', retryAfter: true, meaning: 'No engine for the model can be reached.' },
-  quarantined: { status: 503, type: 'overloaded_error', outcome: 'not-run', retryAfter: true, meaning: 'Endpoints ended under this very request; it is not sent for a while.' },
-  'no-document': { status: 503, type: 'overloaded_error', outcome: 'not-run', retryAfter: true, meaning: 'This box has no routing document yet.' },
-  draining: { status: 503, type: 'overloaded_error', outcome: 'not-run', retryAfter: true, meaning: 'This box is stopping.' },
-  'no-quorum': { status: 503, type: 'overloaded_error', outcome: 'not-run', retryAfter: true, meaning: 'The keepers cannot be reached, so a call that may not be repeated is not begun.' },
+  'unknown-path': { status: 404, type: 'invalid_request_error', outcome: 'not-run', retryAfter: false, meaning: 'wrenlane does not serve this path.' },
+  'body-too-large': { status: 413, type: 'invalid_request_error', outcome: 'not-run', retryAfter: false, meaning: 'The body exceeds the size limit.' },
+  'slow-caller': { status: 408, type: 'invalid_request_error', outcome: 'not-run', retryAfter: false, meaning: 'The request was not received completely before the time-out.' },
+  'workspace-limit': { status: 429, type: 'rate_limit_error', outcome: 'not-run', retryAfter: true, meaning: 'The workspace has exceeded a limit.' },
+  overloaded: { status: 503, type: 'overloaded_error', outcome: 'not-run', retryAfter: true, meaning: 'Demand of this class exceeds capacity; the latency target cannot be met.' },
+  'no-engine': { status: 503, type: 'overloaded_error', outcome: 'not-run', retryAfter: true, meaning: 'No engine for the model is available.' },
+  quarantined: { status: 503, type: 'overloaded_error', outcome: 'not-run', retryAfter: true, meaning: 'Endpoints crashed while running this request; it is quarantined for some time.' },
+  'no-document': { status: 503, type: 'overloaded_error', outcome: 'not-run', retryAfter: true, meaning: 'This box has not received a routing document yet.' },
+  draining: { status: 503, type: 'overloaded_error', outcome: 'not-run', retryAfter: true, meaning: 'This box is shutting down.' },
+  'no-quorum': { status: 503, type: 'overloaded_error', outcome: 'not-run', retryAfter: true, meaning: 'No quorum of keepers is reachable, so a non-repeatable call is not started.' },
   'engine-failed': { status: 502, type: 'api_error', outcome: 'unknown', retryAfter: false, meaning: 'The endpoint failed after the request was sent to it.' },
-  'engine-timeout': { status: 504, type: 'api_error', outcome: 'unknown', retryAfter: false, meaning: 'The endpoint did not answer in time.' },
-  'service-unreachable': { status: 502, type: 'api_error', outcome: 'not-run', retryAfter: true, meaning: 'No connection to the service could be made.' },
-  'key-required': { status: 400, type: 'invalid_request_error', outcome: 'not-run', retryAfter: false, meaning: 'This call may not be repeated and needs an Idempotency-Key.' },
-  'key-conflict': { status: 422, type: 'invalid_request_error', outcome: 'not-run', retryAfter: false, meaning: 'The Idempotency-Key was used with another body.' },
-  'in-progress': { status: 409, type: 'conflict_error', outcome: 'unknown', retryAfter: true, meaning: 'The call with this Idempotency-Key is being run.' },
-  'claim-unknown': { status: 409, type: 'conflict_error', outcome: 'unknown', retryAfter: false, meaning: 'Whether the call with this Idempotency-Key ran is not known; it will not be run again.' },
-  'answer-not-kept': { status: 409, type: 'conflict_error', outcome: 'run', retryAfter: false, meaning: 'The call ran; its answer is no longer kept.' },
-  internal: { status: 500, type: 'api_error', outcome: 'unknown', retryAfter: false, meaning: 'A fault of wrenlane itself.' }
-} as const satisfies Record<string, ErrorAnswer>
+  'engine-timeout': { status: 504, type: 'api_error', outcome: 'unknown', retryAfter: false, meaning: 'The endpoint did not respond in time.' },
+  'service-unreachable': { status: 502, type: 'api_error', outcome: 'not-run', retryAfter: true, meaning: 'No connection to the service could be established.' },
+  'key-required': { status: 400, type: 'invalid_request_error', outcome: 'not-run', retryAfter: false, meaning: 'This call is not repeatable and requires an Idempotency-Key.' },
+  'key-conflict': { status: 422, type: 'invalid_request_error', outcome: 'not-run', retryAfter: false, meaning: 'The Idempotency-Key was already used with a different body.' },
+  'in-progress': { status: 409, type: 'conflict_error', outcome: 'unknown', retryAfter: true, meaning: 'The call with this Idempotency-Key is still running.' },
+  'claim-unknown': { status: 409, type: 'conflict_error', outcome: 'unknown', retryAfter: false, meaning: 'It is unknown whether the call with this Idempotency-Key ran; it will not be run again.' },
+  'answer-not-kept': { status: 409, type: 'conflict_error', outcome: 'run', retryAfter: false, meaning: 'The call ran, but its response is no longer stored.' },
+  internal: { status: 500, type: 'api_error', outcome: 'unknown', retryAfter: false, meaning: 'An internal error of wrenlane.' }
+} as const satisfies Record<string, ErrorResponse>
 
-/** One of the closed list of error kinds. */
 export type ErrorKind = keyof typeof errorTable
 
-/** The answer for a kind. */
-export function lookUpError (kind: ErrorKind): ErrorAnswer {
+export function lookUpError (kind: ErrorKind): ErrorResponse {
   return errorTable[kind]
 }
--- a/src/core/hash.ts
+++ b/src/core/hash.ts
@@ -1,4 +1,4 @@
-/** A 32-bit hash of a text (FNV-1a with a final mix), the same in every process. */
+/** A 32-bit hash of a string (FNV-1a with a finalizer), the same in every process. */
 export function hashText (text: string): number {
   let hash = 2166136261
   for (let i = 0; i < text.length; i++) hash = Math.imul(hash ^ text.charCodeAt(i), 16777619)
@@ -7,7 +7,7 @@
   return (hash ^ (hash >>> 16)) >>> 0
 }
 
-/** The candidate with the highest hash together with `key` (rendezvous hashing); undefined for none. */
+/** Rendezvous hashing: the candidate whose hash with `key` is highest; undefined for an empty list. */
 export function chooseByHash<T extends string> (key: string, candidates: readonly T[]): T | undefined {
   let best: T | undefined
   let highest = -1
--- a/src/core/ids.ts
+++ b/src/core/ids.ts
@@ -1,41 +1,41 @@
 /**
- * Branded identifiers. A branded string can't be passed where another kind of
- * identifier is wanted, although all are plain strings on the wire.
+ * Branded identifiers. The compiler rejects one kind of identifier in place of
+ * another, although all are plain strings at run time and on the wire.
  */
 
 declare const brand: unique symbol
 type Branded<Name extends string> = string & { readonly [brand]: Name }
 
-/** One request of a caller, unique over all boxes. */
+/** A request of a caller, unique across all boxes. */
 export type RequestId = Branded<'RequestId'>
-/** One box of the system, named in its settings. */
+/** A box, named in its settings. */
 export type BoxId = Branded<'BoxId'>
-/** One engine of a pool, named in the configuration. */
+/** An engine of a pool, named in the configuration. */
 export type EngineId = Branded<'EngineId'>
 /** An availability zone. */
 export type ZoneName = Branded<'ZoneName'>
-/** A workspace of an operator's customer. */
+/** A workspace: a customer of the operator. */
 export type WorkspaceName = Branded<'WorkspaceName'>
-/** A class of requests, with its targets and priority. */
+/** A class of requests that share targets and a priority. */
 export type ClassName = Branded<'ClassName'>
 /** A model that engines serve. */
 export type ModelName = Branded<'ModelName'>
 /** A pool of engines. */
 export type PoolName = Branded<'PoolName'>
-/** A plain service that stands beside the engines. */
+/** A service: a target of routes, or a plain service outside the pools of engines. */
 export type ServiceName = Branded<'ServiceName'>
-/** One shard: the engines of a pool in one zone that one box schedules. */
+/** A shard: engines of one pool and zone that are scheduled by one box. */
 export type ShardId = Branded<'ShardId'>
 
 /** A route, named in the routing document. */
 export type RouteName = Branded<'RouteName'>
-/** One start of an endpoint: a restarted endpoint has another. */
+/** One run of an endpoint process: a restarted endpoint gets another. */
 export type EndpointId = Branded<'EndpointId'>
 
-/** What makes two arrivals the same request: a digest of its method, address, caller and body. */
+/** Identifies repeats of the same request: a digest of its method, address, caller and body. */
 export type Fingerprint = Branded<'Fingerprint'>
 
-/** Brands a plain string. The caller vouches for the kind. */
+/** Brands a plain string without checking it. */
 export function brandId<T extends string> (value: string): T {
   return value as T
 }
--- a/src/core/index.ts
+++ b/src/core/index.ts
@@ -1,5 +1,6 @@
 /**
- * The decision core. Pure: it has no socket, clock or randomness of its own.
+ * Routing and scheduling decisions, free of I/O: no sockets, clocks or random
+ * generators of their own.
  */
 export * from './ids.js'
 export * from './error-kind.js'
--- a/src/core/limits/endpoint-notice.ts
+++ b/src/core/limits/endpoint-notice.ts
@@ -1,29 +1,29 @@
 import type { EndpointId } from '../ids.js'
 
-/** What an endpoint says of itself on its answers, as boxes tell it to one another. */
+/** State that an endpoint announces in its responses, as boxes exchange it. */
 export interface EndpointNotice {
   readonly endpoint: EndpointId
-  /** When the life that said it began, Unix ms; 0 where it doesn't say. What one life said ends with it. */
+  /** Start time of the endpoint process, Unix ms; 0 if not reported. A restart invalidates earlier notices. */
   readonly born: number
-  /** Logical time: higher than that of every notice of the endpoint that was known where this one was made. */
+  /** Lamport timestamp: higher than that of every notice of the endpoint known to the box that created this one. */
   readonly stamp: number
-  /** Requests a second that the endpoint takes from all boxes together; null where it names no limit any more. */
+  /** Rate limit across all boxes, requests per second; null if the endpoint no longer announces one. */
   readonly perSecond: number | null
-  /** True once the endpoint has said that it leaves. */
+  /** True once the endpoint has announced that it is shutting down. */
   readonly isLeaving: boolean
 }
 
-/** Joins two notices of one endpoint; the order doesn't matter. */
+/** Merges two notices of one endpoint; commutative. */
 export function joinNotices (a: EndpointNotice, b: EndpointNotice): EndpointNotice {
   if (a.born !== b.born) return a.born > b.born ? a : b
-  const newer = a.stamp > b.stamp || (a.stamp === b.stamp && rankLimit(a) <= rankLimit(b)) ? a : b
+  const newer = a.stamp > b.stamp || (a.stamp === b.stamp && toComparableLimit(a) <= toComparableLimit(b)) ? a : b
   return newer.isLeaving === (a.isLeaving || b.isLeaving) ? newer : { ...newer, isLeaving: true }
 }
 
-// Of two that were made at once the lower limit holds.
-function rankLimit ({ perSecond }: EndpointNotice): number { return perSecond ?? Infinity }
+// Of two concurrent notices, the lower limit wins.
+function toComparableLimit ({ perSecond }: EndpointNotice): number { return perSecond ?? Infinity }
 
-/** True where two notices say the same of the same life. */
+/** True if two notices of one endpoint are equal. */
 export function isSameNotice (a: EndpointNotice, b: EndpointNotice): boolean {
   return a.born === b.born && a.stamp === b.stamp && a.perSecond === b.perSecond && a.isLeaving === b.isLeaving
 }
--- a/src/core/limits/index.ts
+++ b/src/core/limits/index.ts
@@ -1,8 +1,8 @@
-/** Limits that endpoints name: what boxes tell one another of them, and how a limit is kept by all together. */
+/** Rate limits that endpoints announce: how boxes exchange them and enforce them together. */
 export { isSameNotice, joinNotices } from './endpoint-notice.js'
 export type { EndpointNotice } from './endpoint-notice.js'
 export { NoticeBook } from './notice-book.js'
-export type { AnswerNotice, KnownNotice } from './notice-book.js'
+export type { ResponseNotice, KnownNotice } from './notice-book.js'
 export { NoticeTeller, NoticeUplink } from './notice-relay.js'
 export { PermitIssuer } from './permit-issuer.js'
 export type { ClosedEndpoint, PermitGrant, PermitWants } from './permit-issuer.js'
--- a/src/core/limits/notice-book.ts
+++ b/src/core/limits/notice-book.ts
@@ -1,45 +1,43 @@
 /**
- * The newest notice of each endpoint. Boxes that have heard the same notices hold
- * the same, in whatever order they came: a notice that was read on an answer gets
- * a logical time above that of the one known before.
+ * The newest notice of each endpoint. Boxes that have received the same notices in
+ * any order hold the same state: a notice read from a response gets a logical
+ * timestamp above that of the previous one.
  */
 import type { BoxId, EndpointId } from '../ids.js'
 import { isSameNotice, joinNotices } from './endpoint-notice.js'
 import type { EndpointNotice } from './endpoint-notice.js'
 
-/** What one answer says. */
-export interface AnswerNotice {
+/** What an endpoint announces in one response. */
+export interface ResponseNotice {
   readonly endpoint: EndpointId
   readonly born: number
-  /** Null where it names no limit; undefined where that can't be told. */
+  /** Null if the response announces no limit; undefined if that cannot be determined. */
   readonly limit: number | null | undefined
   readonly isLeaving: boolean
 }
 
-/** A notice, and how it became known here. */
+/** A notice with its origin. */
 export interface KnownNotice {
   readonly notice: EndpointNotice
-  /** When, ms. */
+  /** Time at which it was received, ms. */
   readonly at: number
-  /** The box that told it; null where it was read on an answer here. */
+  /** The box that sent it; null if it was read from a response here. */
   readonly from: BoxId | null
 }
 
-/** Endpoints whose notices are kept; the oldest go first. */
-const mostKept = 5000
+/** Maximum number of stored notices; the oldest are evicted first. */
+const maxNotices = 5000
 
 export class NoticeBook {
   #known = new Map<EndpointId, KnownNotice>()
 
-  /** Every notice, and how it became known. */
   get known (): KnownNotice[] { return [...this.#known.values()] }
   get notices (): EndpointNotice[] { return this.known.map(({ notice }) => notice) }
 
-  /** The notice of an endpoint; undefined where none is known. */
   find (endpoint: EndpointId): EndpointNotice | undefined { return this.#known.get(endpoint)?.notice }
 
-  /** Takes what an answer says; returns the notice where it is new, else null. */
-  note ({ endpoint, born, limit, isLeaving }: AnswerNotice, at: number): EndpointNotice | null {
+  /** Records what a response announces; returns the notice if it has changed, else null. */
+  note ({ endpoint, born, limit, isLeaving }: ResponseNotice, at: number): EndpointNotice | null {
     const known = this.find(endpoint)
     const before = known === undefined || known.born < born ? null : known
     if (before !== null && before.born > born) return null
@@ -47,31 +45,31 @@
     const isKnownToLeave = before?.isLeaving ?? false
     if (perSecond === (before?.perSecond ?? null) && (isKnownToLeave || !isLeaving)) return null
     const notice = { endpoint, born, stamp: (known?.stamp ?? 0) + 1, perSecond, isLeaving: isKnownToLeave || isLeaving }
-    this.#keep({ notice, at, from: null })
+    this.#put({ notice, at, from: null })
     return notice
   }
 
-  /** Takes notices that another box tells; returns those that are new here. */
+  /** Merges notices from another box; returns those that changed. */
   merge (notices: readonly EndpointNotice[], at: number, from: BoxId): EndpointNotice[] {
-    const fresh: EndpointNotice[] = []
+    const changed: EndpointNotice[] = []
     for (const notice of notices) {
       const known = this.find(notice.endpoint)
-      const joined = known === undefined ? notice : joinNotices(known, notice)
-      if (known !== undefined && isSameNotice(joined, known)) continue
-      this.#keep({ notice: joined, at, from })
-      fresh.push(joined)
+      const merged = known === undefined ? notice : joinNotices(known, notice)
+      if (known !== undefined && isSameNotice(merged, known)) continue
+      this.#put({ notice: merged, at, from })
+      changed.push(merged)
     }
-    return fresh
+    return changed
   }
 
-  /** Forgets an endpoint that is gone. */
+  /** Removes an endpoint that no longer exists. */
   forget (endpoint: EndpointId): void { this.#known.delete(endpoint) }
 
-  #keep (known: KnownNotice): void {
+  #put (known: KnownNotice): void {
     const { endpoint } = known.notice
     this.#known.delete(endpoint)
     this.#known.set(endpoint, known)
-    if (this.#known.size <= mostKept) return
+    if (this.#known.size <= maxNotices) return
     const [oldest] = this.#known.keys()
     this.#known.delete(oldest)
   }
--- a/src/core/limits/notice-relay.ts
+++ b/src/core/limits/notice-relay.ts
@@ -1,72 +1,72 @@
-/** Which notices one box tells another: what is new, and all of it now and then, as words get lost. */
+/** Selects the notices to send to other boxes: changes, and periodically the full state, as messages get lost. */
 import type { EndpointId } from '../ids.js'
 import { isSameNotice, joinNotices } from './endpoint-notice.js'
 import type { EndpointNotice } from './endpoint-notice.js'
 import type { NoticeBook } from './notice-book.js'
 
-/** A new notice is told in every word for so long, ms. */
-const toldMs = 200
-/** All notices are told once in this time, ms; where they are many, in several words. */
-const wholeMs = 500
-/** Notices in one word; a datagram bears no more than a thousand. */
-const mostInWord = 300
+/** A changed notice is repeated in every message for this time, ms. */
+const repeatMs = 200
+/** Interval between full synchronizations, ms; a large state is split over several messages. */
+const fullSyncIntervalMs = 500
+/** Maximum number of notices per message; a datagram holds at most a thousand. */
+const maxNoticesPerMessage = 300
 
-/** What a hub tells: the same to all that listen. */
+/** Notices that a hub broadcasts, the same to all subscribers. */
 export class NoticeTeller {
-  #book: NoticeBook
-  #fresh = new Map<EndpointId, number>()
-  #wholeAt = -Infinity
-  #next = 0
+  #store: NoticeBook
+  #changedAt = new Map<EndpointId, number>()
+  #lastFullSyncAt = -Infinity
+  #nextIndex = 0
 
-  constructor (book: NoticeBook) {
-    this.#book = book
+  constructor (store: NoticeBook) {
+    this.#store = store
   }
 
-  /** Takes word that a notice is new. */
-  note ({ endpoint }: EndpointNotice, at: number): void { this.#fresh.set(endpoint, at) }
+  /** Marks a notice as changed. */
+  note ({ endpoint }: EndpointNotice, at: number): void { this.#changedAt.set(endpoint, at) }
 
-  /** The notices for the next word. */
+  /** The notices for the next message. */
   draw (at: number): EndpointNotice[] {
-    for (const [endpoint, since] of this.#fresh) if (at - since > toldMs) this.#fresh.delete(endpoint)
-    const fresh = [...this.#fresh.keys()].map(endpoint => this.#book.find(endpoint)).filter(notice => notice !== undefined).slice(0, mostInWord)
-    return at - this.#wholeAt < wholeMs ? fresh : [...fresh, ...this.#drawSlice(at)]
+    for (const [endpoint, since] of this.#changedAt) if (at - since > repeatMs) this.#changedAt.delete(endpoint)
+    const changed = [...this.#changedAt.keys()].map(endpoint => this.#store.find(endpoint)).filter(notice => notice !== undefined).slice(0, maxNoticesPerMessage)
+    return at - this.#lastFullSyncAt < fullSyncIntervalMs ? changed : [...changed, ...this.#takeSlice(at)]
   }
 
-  #drawSlice (at: number): EndpointNotice[] {
-    const { notices } = this.#book
-    const slice = notices.slice(this.#next, this.#next + mostInWord)
-    this.#next += mostInWord
-    if (this.#next >= notices.length) {
-      this.#next = 0
-      this.#wholeAt = at
+  #takeSlice (at: number): EndpointNotice[] {
+    const { notices } = this.#store
+    const slice = notices.slice(this.#nextIndex, this.#nextIndex + maxNoticesPerMessage)
+    this.#nextIndex += maxNoticesPerMessage
+    if (this.#nextIndex >= notices.length) {
+      this.#nextIndex = 0
+      this.#lastFullSyncAt = at
     }
     return slice
   }
 }
 
-/** What a gateway tells its hub: each notice until the hub tells it back. */
+/** Notices that a gateway sends to its hub: each is repeated until the hub echoes it. */
 export class NoticeUplink {
-  #book: NoticeBook
-  #untold = new Map<EndpointId, EndpointNotice>()
+  #store: NoticeBook
+  #unconfirmed = new Map<EndpointId, EndpointNotice>()
 
-  constructor (book: NoticeBook) {
-    this.#book = book
+  constructor (store: NoticeBook) {
+    this.#store = store
   }
 
-  /** Takes a notice that was read on an answer. */
-  note (notice: EndpointNotice): void { this.#untold.set(notice.endpoint, notice) }
+  /** Adds a notice that was read from a response. */
+  note (notice: EndpointNotice): void { this.#unconfirmed.set(notice.endpoint, notice) }
 
-  /** Takes what the hub tells. */
+  /** Handles the notices received from the hub. */
   confirm (notices: readonly EndpointNotice[]): void {
     for (const notice of notices) {
-      const untold = this.#untold.get(notice.endpoint)
-      if (untold !== undefined && isSameNotice(joinNotices(untold, notice), notice)) this.#untold.delete(notice.endpoint)
+      const unconfirmed = this.#unconfirmed.get(notice.endpoint)
+      if (unconfirmed !== undefined && isSameNotice(joinNotices(unconfirmed, notice), notice)) this.#unconfirmed.delete(notice.endpoint)
     }
   }
 
-  /** Another hub is told from now on: it may know nothing. */
-  reset (): void { for (const notice of this.#book.notices) this.note(notice) }
+  /** Sends everything again after a change of hub, as the new one may have no state. */
+  reset (): void { for (const notice of this.#store.notices) this.note(notice) }
 
-  /** The notices for the next word. */
-  list (): EndpointNotice[] { return [...this.#untold.values()].slice(0, mostInWord) }
+  /** The notices for the next message. */
+  list (): EndpointNotice[] { return [...this.#unconfirmed.values()].slice(0, maxNoticesPerMessage) }
 }
--- a/src/core/limits/permit-issuer.ts
+++ b/src/core/limits/permit-issuer.ts
@@ -1,47 +1,47 @@
 /**
- * Gives out permits to send to endpoints that name a rate limit. One box does
- * this for all, so that their sends together keep to the limit; it must be the
- * leader of the log, as nobody else can know that no other box does the same.
- * Pure: the time is given.
+ * Issues permits to send requests to endpoints that announce a rate limit. A single
+ * box issues them for all, so that together they stay within the limit; it must be
+ * the leader of the log, as only the leader can be sure to be the only issuer. The
+ * time is passed in.
  */
 import type { EndpointId } from '../ids.js'
 import type { NoticeBook } from './notice-book.js'
 import { TokenBucket } from './token-bucket.js'
 
-/** How many sends of one priority a box wants to make, 0 first. */
+/** Number of requests per priority that a box wants to send, 0 first. */
 export type PermitWants = readonly (readonly [priority: number, count: number])[]
 
-/** What a priority got: so many permits, and when it may ask again where that is less than it wanted, ms. */
-export type PermitGrant = readonly [priority: number, given: number, waitMs: number]
+/** Permits granted to a priority; `waitMs`: time until it may ask again if it got fewer than it wanted, else 0. */
+export type PermitGrant = readonly [priority: number, granted: number, waitMs: number]
 
-/** An endpoint that has no permit for a priority just now, and when that may ask again, ms. */
+/** An endpoint that currently has no permit for a priority, and the time until that may ask again, ms. */
 export type ClosedEndpoint = readonly [endpoint: EndpointId, priority: number, waitMs: number]
 
-/** Other endpoints without a permit that an answer names at most. */
-const mostClosed = 128
-/** The burst of a bucket, as time at its rate, ms. */
+/** Maximum number of other endpoints without a permit that a reply lists. */
+const maxClosedListed = 128
+/** Burst capacity of a bucket, as time at its rate, ms. */
 const burstMs = 250
-/** The least burst, tokens. */
-const leastBurst = 2
-/** The least burst of a limit of one a second or more, tokens. */
-const usualBurst = 3
+/** Lower bound of the burst capacity, tokens. */
+const minBurst = 2
+/** Lower bound of the burst capacity for limits of at least one request per second, tokens. */
+const minBurstAboveOnePerSecond = 3
 /**
- * An endpoint with a lower limit gets a request this often all the same, ms: only its
- * answer tells that the limit has ended.
+ * Maximum interval between requests to an endpoint, ms. It overrides a lower limit,
+ * as only a response can show that the limit was lifted.
  */
-const longestIntervalMs = 1500
-/** A token is reserved for each more urgent priority that asked within this, ms. */
-const recentMs = 2000
-/** The shortest time after which a box may ask again, ms. */
-const leastWaitMs = 20
-/** The longest time after which a box may ask again, ms. */
-const longestWaitMs = 1000
-/** A limit that nobody asked about for so long is forgotten, ms. */
-const idleMs = 60_000
+const maxIntervalMs = 1500
+/** A token is reserved for each more urgent priority that has asked within this time, ms. */
+const reservationMs = 2000
+/** Lower bound of the time after which a box may ask again, ms. */
+const minWaitMs = 20
+/** Upper bound of the time after which a box may ask again, ms. */
+const maxWaitMs = 1000
+/** Allocations that have not been asked for within this time are removed, ms. */
+const retentionMs = 60_000
 
 interface Allocation {
   readonly bucket: TokenBucket
-  /** When each priority asked last. */
+  /** Time of the last request by priority. */
   readonly askedAt: Map<number, number>
   perSecond: number
 }
@@ -51,50 +51,50 @@
   #allocations = new Map<EndpointId, Allocation>()
   #share = 1
 
-  /** `notices`: what is known of the endpoints' limits. */
+  /** `notices`: the limits of the endpoints. */
   constructor (notices: NoticeBook) {
     this.#notices = notices
   }
 
-  /** Takes which part of the boxes can be reached, 0 to 1: the others keep to their own part of each limit. */
+  /** Sets the fraction of boxes that are reachable, 0 to 1: the others use their own share of each limit. */
   setShare (share: number): void { this.#share = share }
 
-  /** Forgets what was saved up, as another box may have given it out meanwhile. */
+  /** Discards accumulated tokens, as another box may have issued them in the meantime. */
   reset (): void { this.#allocations.clear() }
 
-  /** Gives what is left of the limit for these sends, the most urgent first; all of them where no limit is known. */
+  /** Grants permits within the limit, the most urgent first; everything if the endpoint has no limit. */
   give (endpoint: EndpointId, wants: PermitWants, at: number): PermitGrant[] {
     const limit = this.#notices.find(endpoint)?.perSecond ?? null
     if (limit === null) return wants.map(([priority, count]) => [priority, count, 0])
-    const allocation = this.#find(endpoint, limit, at)
+    const allocation = this.#getAllocation(endpoint, limit, at)
     for (const [priority] of wants) allocation.askedAt.set(priority, at)
-    return [...wants].sort(([a], [b]) => a - b).map(([priority, count]) => giveOne(allocation, priority, count, at))
+    return [...wants].sort(([a], [b]) => a - b).map(([priority, count]) => grantOne(allocation, priority, count, at))
   }
 
-  /** What is told of other endpoints to whoever was denied a permit. */
+  /** Other endpoints without permits, for a box that was denied one. Empty if nothing was denied. */
   listClosedFor (except: EndpointId, grants: readonly PermitGrant[], at: number): ClosedEndpoint[] {
     const denied = grants.filter(([, , waitMs]) => waitMs > 0).map(([priority]) => priority)
     return denied.length === 0 ? [] : this.#listClosed(except, Math.min(...denied), at)
   }
 
-  // A request that was denied a permit is spared to ask there.
+  // Saves a denied request from asking at these endpoints in vain.
   #listClosed (except: EndpointId, priority: number, at: number): ClosedEndpoint[] {
     const closed: ClosedEndpoint[] = []
     for (const [endpoint, allocation] of this.#allocations) {
-      if (closed.length >= mostClosed) break
+      if (closed.length >= maxClosedListed) break
       const waitMs = measureWait(allocation, priority, at)
       if (endpoint !== except && waitMs > 0) closed.push([endpoint, priority, waitMs])
     }
     return closed
   }
 
-  /** Forgets endpoints that nobody asks about. */
+  /** Removes idle allocations. */
   tidy (at: number): void {
-    for (const [endpoint, { askedAt }] of this.#allocations) if (at - Math.max(...askedAt.values()) > idleMs) this.#allocations.delete(endpoint)
+    for (const [endpoint, { askedAt }] of this.#allocations) if (at - Math.max(...askedAt.values()) > retentionMs) this.#allocations.delete(endpoint)
   }
 
-  #find (endpoint: EndpointId, limit: number, at: number): Allocation {
-    const perSecond = Math.max(limit, 1000 / longestIntervalMs) * this.#share
+  #getAllocation (endpoint: EndpointId, limit: number, at: number): Allocation {
+    const perSecond = Math.max(limit, 1000 / maxIntervalMs) * this.#share
     const known = this.#allocations.get(endpoint)
     if (known?.perSecond === perSecond) return known
     known?.bucket.setRate(perSecond, computeBurst(perSecond), at)
@@ -104,24 +104,24 @@
   }
 }
 
-function giveOne (allocation: Allocation, priority: number, count: number, at: number): PermitGrant {
-  const reserve = computeReserve(allocation, priority, at)
-  let given = 0
-  while (given < count && allocation.bucket.take(at, reserve)) given += 1
-  return [priority, given, given === count ? 0 : measureWait(allocation, priority, at)]
+function grantOne (allocation: Allocation, priority: number, count: number, at: number): PermitGrant {
+  const reserve = countReserved(allocation, priority, at)
+  let granted = 0
+  while (granted < count && allocation.bucket.take(at, reserve)) granted += 1
+  return [priority, granted, granted === count ? 0 : measureWait(allocation, priority, at)]
 }
 
-// Each more urgent priority that asks has a token kept for it.
-function computeReserve ({ askedAt, perSecond }: Allocation, priority: number, at: number): number {
-  const urgent = [...askedAt].filter(([other, since]) => other < priority && at - since < recentMs).length
+// One token for each more urgent priority that has asked recently.
+function countReserved ({ askedAt, perSecond }: Allocation, priority: number, at: number): number {
+  const urgent = [...askedAt].filter(([other, since]) => other < priority && at - since < reservationMs).length
   return Math.min(urgent, computeBurst(perSecond) - 1)
 }
 
 function measureWait (allocation: Allocation, priority: number, at: number): number {
-  const waitMs = allocation.bucket.measureWait(at, computeReserve(allocation, priority, at))
-  return waitMs === 0 ? 0 : Math.round(Math.min(longestWaitMs, Math.max(leastWaitMs, waitMs)))
+  const waitMs = allocation.bucket.measureWait(at, countReserved(allocation, priority, at))
+  return waitMs === 0 ? 0 : Math.round(Math.min(maxWaitMs, Math.max(minWaitMs, waitMs)))
 }
 
 function computeBurst (perSecond: number): number {
-  return Math.max(leastBurst, Math.min(usualBurst, usualBurst * perSecond), perSecond * burstMs / 1000)
+  return Math.max(minBurst, Math.min(minBurstAboveOnePerSecond, minBurstAboveOnePerSecond * perSecond), perSecond * burstMs / 1000)
 }
--- a/src/core/limits/return-planner.ts
+++ b/src/core/limits/return-planner.ts
@@ -1,64 +1,63 @@
 /**
- * How long a request waits where the box backs off from every endpoint of its
- * service or their limits are used up, and when a caller that is refused for that is to come back. Both
- * follow from the limits: this box's part of them is what it may send.
+ * Estimates the wait of a request, and computes the Retry-After of a refused one,
+ * while the box backs off from every endpoint of a service or their limits are used
+ * up. Both follow from this box's share of the limits.
  */
 import { DemandMeter } from '../balance/demand-meter.js'
 import type { ServiceName } from '../ids.js'
 
-/** What the endpoints of a service take at present. */
+/** When and at what rate the endpoints of a service accept requests. */
 export interface ServiceOpening {
-  /** Time until the first of them may be asked again, ms. */
+  /** Time until the first of them accepts requests again, ms. */
   readonly openMs: number
-  /** This box's part of what all of them take a second; Infinity where one names no limit. */
+  /** This box's share of their rate limits together, requests per second; Infinity if one has no limit. */
   readonly perSecond: number
 }
 
-/** The longest Retry-After, ms. */
-const longestReturnMs = 30_000
-/** Part of the limits that is assumed to be left where more urgent requests want all of it. */
-const leastLeftShare = 0.05
+/** Upper bound of Retry-After, ms. */
+const maxRetryAfterMs = 30_000
+/** Fraction of the limits that is assumed to remain if more urgent requests use up all of them. */
+const minRemainingShare = 0.05
 
-interface Returns {
+interface RetrySchedule {
   readonly arrivals: DemandMeter
-  /** When the next caller that is refused is to come back. */
-  nextAt: number
+  /** Time at which the next refused caller should retry. */
+  nextRetryAt: number
 }
 
 export class ReturnPlanner {
-  #services = new Map<ServiceName, Map<number, Returns>>()
+  #services = new Map<ServiceName, Map<number, RetrySchedule>>()
 
-  /** Takes word that a request arrived. */
   noteArrival (service: ServiceName, priority: number, at: number): void {
-    this.#find(service, priority).arrivals.add(at, 1)
+    this.#getSchedule(service, priority).arrivals.add(at, 1)
   }
 
-  /** How long a request with so many others before it waits, ms. */
+  /** Expected wait of a request behind `ahead` others, ms. */
   estimateWait ({ openMs, perSecond }: ServiceOpening, ahead: number): number {
     return openMs + ahead * 1000 / perSecond
   }
 
-  /** When a caller that is refused is to come back, ms from now. Callers are spread over the time that their requests take. */
+  /** Retry delay of a refused caller, ms. Successive callers are spaced out at the rate at which they can be served. */
   plan (service: ServiceName, priority: number, { openMs, perSecond }: ServiceOpening, at: number): number {
-    const returns = this.#find(service, priority)
-    const latest = at + longestReturnMs
-    const returnAt = Math.min(latest, Math.max(returns.nextAt, at + openMs))
-    const left = Math.max(perSecond - this.#sumUrgent(service, priority, at), perSecond * leastLeftShare)
-    returns.nextAt = returnAt + 1000 / left
-    return Math.min(longestReturnMs, returnAt - at)
+    const schedule = this.#getSchedule(service, priority)
+    const latest = at + maxRetryAfterMs
+    const retryAt = Math.min(latest, Math.max(schedule.nextRetryAt, at + openMs))
+    const remaining = Math.max(perSecond - this.#sumUrgentArrivals(service, priority, at), perSecond * minRemainingShare)
+    schedule.nextRetryAt = retryAt + 1000 / remaining
+    return Math.min(maxRetryAfterMs, retryAt - at)
   }
 
-  // Requests of more urgent kinds that arrive here a second.
-  #sumUrgent (service: ServiceName, priority: number, at: number): number {
+  // Arrival rate of more urgent requests at this box, per second.
+  #sumUrgentArrivals (service: ServiceName, priority: number, at: number): number {
     let rate = 0
     for (const [other, { arrivals }] of this.#services.get(service) ?? []) if (other < priority) rate += arrivals.rate(at)
     return rate
   }
 
-  #find (service: ServiceName, priority: number): Returns {
-    const priorities = this.#services.get(service) ?? new Map<number, Returns>()
+  #getSchedule (service: ServiceName, priority: number): RetrySchedule {
+    const priorities = this.#services.get(service) ?? new Map<number, RetrySchedule>()
     this.#services.set(service, priorities)
-    const found = priorities.get(priority) ?? { arrivals: new DemandMeter(), nextAt: -Infinity }
+    const found = priorities.get(priority) ?? { arrivals: new DemandMeter(), nextRetryAt: -Infinity }
     priorities.set(priority, found)
     return found
   }
--- a/src/core/limits/token-bucket.ts
+++ b/src/core/limits/token-bucket.ts
@@ -1,18 +1,18 @@
-/** A token bucket. It starts empty, so that nobody spends what was saved up before it was made. */
+/** A token bucket. It starts empty, so that no tokens are available for the time before it was created. */
 export class TokenBucket {
   #perMs: number
   #burst: number
   #tokens = 0
   #at: number
 
-  /** `perSecond` tokens are added a second, up to `burst`. */
+  /** Adds `perSecond` tokens per second, up to `burst`. */
   constructor (perSecond: number, burst: number, at: number) {
     this.#perMs = perSecond / 1000
     this.#burst = burst
     this.#at = at
   }
 
-  /** Changes the rate; tokens above the new burst are lost. */
+  /** Changes the rate; tokens above the new burst are discarded. */
   setRate (perSecond: number, burst: number, at: number): void {
     this.#advance(at)
     this.#perMs = perSecond / 1000
@@ -20,7 +20,7 @@
     this.#tokens = Math.min(this.#tokens, burst)
   }
 
-  /** Takes a token; false where there is none beyond `reserve`. */
+  /** Takes a token; false if there is none beyond `reserve`. */
   take (at: number, reserve = 0): boolean {
     this.#advance(at)
     if (this.#tokens < 1 + reserve) return false
@@ -28,7 +28,7 @@
     return true
   }
 
-  /** Time until there is a token beyond `reserve`, ms; Infinity where none will come. */
+  /** Time until there is a token beyond `reserve`, ms; Infinity if the rate is 0. */
   measureWait (at: number, reserve = 0): number {
     this.#advance(at)
     const missing = 1 + reserve - this.#tokens
--- a/src/core/placer.ts
+++ b/src/core/placer.ts
@@ -1,24 +1,24 @@
 /**
- * A box's side of placing its requests: asks shards, follows refusals to other
- * shards, and tells owners how streams go. It holds every request of the box
- * from submission to end, so that a new owner of a shard can be told. Pure but
- * for what its host does.
+ * Places the requests of one box: submits them to shard owners, tries other shards
+ * after a refusal, and reports the progress of streams to the owners. It tracks
+ * every request from submission to end, so that a new owner of a shard can rebuild
+ * its state. All side effects go through `PlacerHost`.
  */
 import type { BoxId, EngineId, RequestId, ShardId, ZoneName } from './ids.js'
 import { RoutePlan } from './route-plan.js'
-import type { ShardBelief } from './route-plan.js'
+import type { ShardEstimate } from './route-plan.js'
 import type { RefusalReason } from './scheduler-action.js'
 import type { StreamEnd } from './scheduler-event.js'
 import type { ShardAnswer, ShardWord } from './shard-word.js'
 import type { ShardLoad } from './shard-load.js'
 import type { Submission } from './submission.js'
 
-/** Where a request was placed, or why it was not. */
+/** The engine that was granted to a request, or the reason for its refusal. */
 export type Placement =
   | { readonly type: 'granted', readonly engine: EngineId, readonly priority: number }
   | { readonly type: 'refused', readonly reason: RefusalReason, readonly retryAfterMs: number }
 
-/** A shard as the placer is told of it. */
+/** A shard and its current owner. */
 export interface PlacerShard {
   readonly id: ShardId
   readonly zone: ZoneName
@@ -26,19 +26,19 @@
   readonly models: readonly string[]
 }
 
-/** What the placer needs of the box. */
+/** Functions of the box that the placer depends on. */
 export interface PlacerHost {
   readonly box: BoxId
   readonly zone: ZoneName
   now (): number
   random (): number
-  /** Sends word to a shard's owner; false where it can't be reached. */
-  send (owner: BoxId, shard: ShardId, word: ShardWord): boolean
+  /** Sends a message to a shard's owner; false if the owner is unreachable. */
+  send (owner: BoxId, shard: ShardId, message: ShardWord): boolean
   isReachable (owner: BoxId): boolean
   noteViolation (rule: string, detail: string): void
 }
 
-interface Placed {
+interface TrackedRequest {
   submission: Submission
   readonly plan: RoutePlan
   shard: ShardId | null
@@ -47,19 +47,20 @@
   resolve: ((placement: Placement) => void) | null
 }
 
-interface Belief {
+interface LoadEstimate {
   load: ShardLoad
-  sentSince: number
+  sentSinceReport: number
 }
 
-const silentOwnerMs = 2500
+/** An owner that has sent no load report for this time counts as unreachable, ms. */
+const ownerTimeoutMs = 2500
 
 export class Placer {
   #host: PlacerHost
   #shards: readonly PlacerShard[] = []
-  #beliefs = new Map<ShardId, Belief>()
-  #heardAt = new Map<BoxId, number>()
-  #requests = new Map<RequestId, Placed>()
+  #loadEstimates = new Map<ShardId, LoadEstimate>()
+  #lastReportAt = new Map<BoxId, number>()
+  #requests = new Map<RequestId, TrackedRequest>()
 
   constructor (host: PlacerHost) {
     this.#host = host
@@ -67,118 +68,118 @@
 
   get inFlight (): number { return this.#requests.size }
 
-  /** Asks for a place; `resolve` is called once. `mayWait` is the class's. */
+  /** Requests a place; `resolve` is called once. `mayWait`: whether the class is deferrable. */
   place (submission: Submission, mayWait: boolean, resolve: (placement: Placement) => void): void {
     const plan = new RoutePlan(submission.request, mayWait, this.#host.zone, () => this.#host.random())
-    const placed: Placed = { submission, plan, shard: null, owner: null, engine: null, resolve }
-    this.#requests.set(submission.request, placed)
-    this.#ask(placed)
+    const tracked: TrackedRequest = { submission, plan, shard: null, owner: null, engine: null, resolve }
+    this.#requests.set(submission.request, tracked)
+    this.#ask(tracked)
   }
 
   noteFirstToken (request: RequestId): void {
-    this.#tell(request, placed => ({ type: 'firstToken', request, attempt: placed.submission.attempt }))
+    this.#notifyOwner(request, tracked => ({ type: 'firstToken', request, attempt: tracked.submission.attempt }))
   }
 
-  /** A granted stream has ended; `backoffMs`: how long the engine wants no work. */
+  /** Reports the end of a granted stream. `backoffMs`: time for which the engine asked to get no further requests. */
   end (request: RequestId, how: StreamEnd, tokens: number, backoffMs = 0): void {
-    this.#tell(request, placed => ({ type: 'end', request, attempt: placed.submission.attempt, how, tokens, ...backoffMs > 0 ? { backoffMs } : {} }))
+    this.#notifyOwner(request, tracked => ({ type: 'end', request, attempt: tracked.submission.attempt, how, tokens, ...backoffMs > 0 ? { backoffMs } : {} }))
     this.#requests.delete(request)
   }
 
-  /** The caller left while the request waited. */
+  /** Withdraws a queued request whose caller has disconnected. */
   cancel (request: RequestId): void {
-    this.#tell(request, placed => ({ type: 'cancel', request, attempt: placed.submission.attempt }))
+    this.#notifyOwner(request, tracked => ({ type: 'cancel', request, attempt: tracked.submission.attempt }))
     this.#requests.delete(request)
   }
 
-  /** The answer of a shard's owner. */
+  /** Handles the reply of a shard's owner. */
   receive (shard: ShardId, answer: ShardAnswer): void {
-    const placed = this.#requests.get(answer.request)
-    const isCurrent = placed !== undefined && placed.submission.attempt === answer.attempt && placed.shard === shard && placed.resolve !== null
+    const tracked = this.#requests.get(answer.request)
+    const isCurrent = tracked !== undefined && tracked.submission.attempt === answer.attempt && tracked.shard === shard && tracked.resolve !== null
     if (!isCurrent) return this.#returnGrant(shard, answer)
     switch (answer.type) {
       case 'grant':
-        placed.engine = answer.engine
-        return this.#resolve(placed, { type: 'granted', engine: answer.engine, priority: answer.priority })
+        tracked.engine = answer.engine
+        return this.#resolve(tracked, { type: 'granted', engine: answer.engine, priority: answer.priority })
       case 'refuse':
-        placed.plan.noteRefusal(answer.reason, answer.retryAfterMs)
-        return this.#ask(placed)
+        tracked.plan.noteRefusal(answer.reason, answer.retryAfterMs)
+        return this.#ask(tracked)
     }
   }
 
-  /** The box that was asked doesn't own the shard. */
+  /** Handles the reply of a box that does not own the shard: the next `tick` submits the request again. */
   noteNotOwner (shard: ShardId, request: RequestId): void {
-    const placed = this.#requests.get(request)
-    if (placed === undefined || placed.shard !== shard || placed.resolve === null) return
-    placed.owner = null
+    const tracked = this.#requests.get(request)
+    if (tracked === undefined || tracked.shard !== shard || tracked.resolve === null) return
+    tracked.owner = null
   }
 
   noteLoads (from: BoxId, loads: readonly (readonly [ShardId, ShardLoad])[]): void {
-    this.#heardAt.set(from, this.#host.now())
-    for (const [id, load] of loads) this.#beliefs.set(id, { load, sentSince: 0 })
+    this.#lastReportAt.set(from, this.#host.now())
+    for (const [id, load] of loads) this.#loadEstimates.set(id, { load, sentSinceReport: 0 })
   }
 
-  /** Takes the shards and their owners as they are now; tells new owners what runs. */
+  /** Replaces the list of shards and owners; reports running streams to new owners. */
   setShards (shards: readonly PlacerShard[]): void {
     this.#shards = shards
     const known = new Set(shards.map(shard => shard.id))
-    for (const id of this.#beliefs.keys()) {
-      if (!known.has(id)) this.#beliefs.delete(id)
+    for (const id of this.#loadEstimates.keys()) {
+      if (!known.has(id)) this.#loadEstimates.delete(id)
     }
-    for (const placed of this.#requests.values()) this.#moveToOwner(placed)
+    for (const tracked of this.#requests.values()) this.#moveToOwner(tracked)
   }
 
-  /** A link to an owner has opened: it is told of everything that is its own. */
+  /** Resends all requests of an owner after the connection to it was established. */
   reopen (owner: BoxId): void {
-    this.#heardAt.set(owner, this.#host.now())
-    for (const placed of this.#requests.values()) {
-      if (placed.owner === owner) this.#tellAgain(placed, owner)
+    this.#lastReportAt.set(owner, this.#host.now())
+    for (const tracked of this.#requests.values()) {
+      if (tracked.owner === owner) this.#resend(tracked, owner)
     }
   }
 
-  /** Asks again for requests whose owner is gone or silent. */
+  /** Resubmits pending requests whose owner has changed or become unreachable. */
   tick (): void {
-    for (const placed of this.#requests.values()) {
-      if (placed.resolve === null || placed.shard === null) continue
-      const shard = this.#shards.find(one => one.id === placed.shard)
-      if (shard !== undefined && placed.owner === shard.owner && this.#isReachable(shard)) continue
-      this.#leaveOwner(placed)
-      this.#ask(placed)
+    for (const tracked of this.#requests.values()) {
+      if (tracked.resolve === null || tracked.shard === null) continue
+      const shard = this.#shards.find(one => one.id === tracked.shard)
+      if (shard !== undefined && tracked.owner === shard.owner && this.#isReachable(shard)) continue
+      this.#leaveOwner(tracked)
+      this.#ask(tracked)
     }
   }
 
-  #ask (placed: Placed): void {
-    const beliefs = this.#findShards(placed.submission.model)
-    for (let step = placed.plan.next(beliefs); ; step = placed.plan.next(beliefs)) {
-      if (step.type === 'refuse') return this.#refuse(placed, step.reason, step.retryAfterMs, beliefs)
+  #ask (tracked: TrackedRequest): void {
+    const shards = this.#listShards(tracked.submission.model)
+    for (let step = tracked.plan.next(shards); ; step = tracked.plan.next(shards)) {
+      if (step.type === 'refuse') return this.#refuse(tracked, step.reason, step.retryAfterMs, shards)
       const owner = this.#shards.find(shard => shard.id === step.shard)?.owner
-      if (owner !== undefined && this.#submit(placed, step.shard, owner)) return
+      if (owner !== undefined && this.#submit(tracked, step.shard, owner)) return
     }
   }
 
-  #submit (placed: Placed, shard: ShardId, owner: BoxId): boolean {
-    placed.shard = shard
-    placed.owner = owner
-    const leftMs = placed.submission.deadline - this.#host.now()
-    const belief = this.#beliefs.get(shard)
-    if (belief !== undefined) belief.sentSince += 1
-    return this.#host.send(owner, shard, { type: 'submit', submission: placed.submission, leftMs })
+  #submit (tracked: TrackedRequest, shard: ShardId, owner: BoxId): boolean {
+    tracked.shard = shard
+    tracked.owner = owner
+    const leftMs = tracked.submission.deadline - this.#host.now()
+    const estimate = this.#loadEstimates.get(shard)
+    if (estimate !== undefined) estimate.sentSinceReport += 1
+    return this.#host.send(owner, shard, { type: 'submit', submission: tracked.submission, leftMs })
   }
 
-  #refuse (placed: Placed, reason: RefusalReason, retryAfterMs: number, beliefs: readonly ShardBelief[]): void {
-    const unasked = placed.plan.findUnasked(beliefs)
-    if (unasked.length > 0) this.#host.noteViolation('no-shed-unasked', `${placed.submission.request} ${unasked.join(',')}`)
-    this.#requests.delete(placed.submission.request)
-    this.#resolve(placed, { type: 'refused', reason, retryAfterMs })
+  #refuse (tracked: TrackedRequest, reason: RefusalReason, retryAfterMs: number, shards: readonly ShardEstimate[]): void {
+    const notAsked = tracked.plan.findUnasked(shards)
+    if (notAsked.length > 0) this.#host.noteViolation('no-shed-unasked', `${tracked.submission.request} ${notAsked.join(',')}`)
+    this.#requests.delete(tracked.submission.request)
+    this.#resolve(tracked, { type: 'refused', reason, retryAfterMs })
   }
 
-  #resolve (placed: Placed, placement: Placement): void {
-    const { resolve } = placed
-    placed.resolve = null
+  #resolve (tracked: TrackedRequest, placement: Placement): void {
+    const { resolve } = tracked
+    tracked.resolve = null
     resolve?.(placement)
   }
 
-  // A grant that nobody waits for is given back, or its place would be lost.
+  // Releases a grant that no request is waiting for; otherwise the place would leak.
   #returnGrant (shard: ShardId, answer: ShardAnswer): void {
     if (answer.type !== 'grant') return
     const owner = this.#shards.find(one => one.id === shard)?.owner
@@ -186,53 +187,53 @@
     this.#host.send(owner, shard, { type: 'end', request: answer.request, attempt: answer.attempt, how: 'cancelled', tokens: 0 })
   }
 
-  #leaveOwner (placed: Placed): void {
-    if (placed.shard === null) return
-    if (placed.owner !== null) {
-      const { request, attempt } = placed.submission
-      this.#host.send(placed.owner, placed.shard, { type: 'cancel', request, attempt })
+  #leaveOwner (tracked: TrackedRequest): void {
+    if (tracked.shard === null) return
+    if (tracked.owner !== null) {
+      const { request, attempt } = tracked.submission
+      this.#host.send(tracked.owner, tracked.shard, { type: 'cancel', request, attempt })
     }
-    placed.plan.noteUnreachable(placed.shard)
-    // A grant of the owner that was left must not be taken for the next one's.
-    placed.submission = { ...placed.submission, attempt: placed.submission.attempt + 1 }
+    tracked.plan.noteUnreachable(tracked.shard)
+    // A late grant from the previous owner must not be mistaken for one from the next.
+    tracked.submission = { ...tracked.submission, attempt: tracked.submission.attempt + 1 }
   }
 
-  #moveToOwner (placed: Placed): void {
-    const owner = this.#shards.find(one => one.id === placed.shard)?.owner
-    if (owner === undefined || owner === placed.owner || placed.engine === null) return
-    placed.owner = owner
-    this.#tellAgain(placed, owner)
+  #moveToOwner (tracked: TrackedRequest): void {
+    const owner = this.#shards.find(one => one.id === tracked.shard)?.owner
+    if (owner === undefined || owner === tracked.owner || tracked.engine === null) return
+    tracked.owner = owner
+    this.#resend(tracked, owner)
   }
 
-  #tellAgain (placed: Placed, owner: BoxId): void {
-    if (placed.shard === null) return
-    const { submission, engine } = placed
-    if (engine !== null) this.#host.send(owner, placed.shard, { type: 'adopt', submission, engine })
-    else this.#host.send(owner, placed.shard, { type: 'submit', submission, leftMs: submission.deadline - this.#host.now() })
+  #resend (tracked: TrackedRequest, owner: BoxId): void {
+    if (tracked.shard === null) return
+    const { submission, engine } = tracked
+    if (engine !== null) this.#host.send(owner, tracked.shard, { type: 'adopt', submission, engine })
+    else this.#host.send(owner, tracked.shard, { type: 'submit', submission, leftMs: submission.deadline - this.#host.now() })
   }
 
-  #tell (request: RequestId, make: (placed: Placed) => ShardWord): void {
-    const placed = this.#requests.get(request)
-    if (placed?.shard == null || placed.owner === null) return
-    this.#host.send(placed.owner, placed.shard, make(placed))
+  #notifyOwner (request: RequestId, compose: (tracked: TrackedRequest) => ShardWord): void {
+    const tracked = this.#requests.get(request)
+    if (tracked?.shard == null || tracked.owner === null) return
+    this.#host.send(tracked.owner, tracked.shard, compose(tracked))
   }
 
-  #findShards (model: string): ShardBelief[] {
-    const found: ShardBelief[] = []
+  #listShards (model: string): ShardEstimate[] {
+    const found: ShardEstimate[] = []
     for (const shard of this.#shards) {
-      if (shard.models.includes(model)) found.push(this.#believe(shard))
+      if (shard.models.includes(model)) found.push(this.#composeEstimate(shard))
     }
     return found
   }
 
-  #believe (shard: PlacerShard): ShardBelief {
-    const belief = this.#beliefs.get(shard.id)
-    return { id: shard.id, zone: shard.zone, load: belief?.load ?? null, sentSince: belief?.sentSince ?? 0, isReachable: this.#isReachable(shard), isOwn: shard.owner === this.#host.box }
+  #composeEstimate (shard: PlacerShard): ShardEstimate {
+    const estimate = this.#loadEstimates.get(shard.id)
+    return { id: shard.id, zone: shard.zone, load: estimate?.load ?? null, sentSinceReport: estimate?.sentSinceReport ?? 0, isReachable: this.#isReachable(shard), isOwn: shard.owner === this.#host.box }
   }
 
   #isReachable (shard: PlacerShard): boolean {
     if (shard.owner === undefined || !this.#host.isReachable(shard.owner)) return false
-    const heardAt = this.#heardAt.get(shard.owner)
-    return heardAt === undefined || this.#host.now() - heardAt < silentOwnerMs
+    const lastReportAt = this.#lastReportAt.get(shard.owner)
+    return lastReportAt === undefined || this.#host.now() - lastReportAt < ownerTimeoutMs
   }
 }
--- a/src/core/request-class.ts
+++ b/src/core/request-class.ts
@@ -1,18 +1,18 @@
 import type { ClassName } from './ids.js'
 
-/** A class of requests as operators state it. Times are in milliseconds. */
+/** A class of requests as configured by operators. Times are in milliseconds. */
 export interface RequestClass {
   readonly name: ClassName
-  /** 0 is served first; a larger number never displaces a smaller one. */
+  /** 0 is served first; a class with a larger number never displaces one with a smaller number. */
   readonly priority: number
   /** Target for the first token, counted from arrival at the first box. */
   readonly firstTokenMs: number
-  /** Target between tokens, for 95 in 100. */
+  /** Target for the time between tokens, 95th percentile. */
   readonly betweenTokenMs: number
-  /** Target for the whole answer; null where the class has none. */
+  /** Target for the complete response; null if the class has none. */
   readonly wholeMs: number | null
-  /** True where a request may wait in the queue past its first-token target. */
+  /** True for a deferrable class: its requests may stay queued past their first-token target. False for an interactive class. */
   readonly mayWait: boolean
-  /** How long a request that may wait is kept in the queue. */
+  /** Time after which a queued deferrable request is refused. */
   readonly maxWaitMs: number
 }
--- a/src/core/retry-budget.ts
+++ b/src/core/retry-budget.ts
@@ -1,24 +1,24 @@
 /**
- * Bounds retries to a share of what succeeds, so that a pool that is half dead
- * is not flooded by them. An answer that has begun is resumed without asking
- * the budget: its work is done already, and each request has few attempts.
+ * Limits retries to a fraction of the successes, so that retries do not overload
+ * a pool in which many engines have failed. Responses that have begun are resumed
+ * outside the budget: the work is already done, and each request has few attempts.
  */
-const largest = 50
-const perSuccess = 0.1
-const perTry = 1
+const maxTokens = 50
+const tokensPerSuccess = 0.1
+const tokensPerRetry = 1
 
 export class RetryBudget {
-  #tokens = largest
+  #tokens = maxTokens
 
-  /** Every request that was answered well earns a part of a retry. */
+  /** Adds a fraction of a retry to the budget. */
   noteSuccess (): void {
-    this.#tokens = Math.min(largest, this.#tokens + perSuccess)
+    this.#tokens = Math.min(maxTokens, this.#tokens + tokensPerSuccess)
   }
 
-  /** Takes one retry from the budget; false where there is none left. */
+  /** Takes one retry from the budget; false if it is used up. */
   take (): boolean {
-    if (this.#tokens < perTry) return false
-    this.#tokens -= perTry
+    if (this.#tokens < tokensPerRetry) return false
+    this.#tokens -= tokensPerRetry
     return true
   }
 }
--- a/src/core/route-plan.ts
+++ b/src/core/route-plan.ts
@@ -1,37 +1,38 @@
 /**
- * A box's side of placing one request: which shard to ask, and what to do when
- * one refuses. A request that may not wait is refused only after every shard
- * that could pause lower work for it was asked.
+ * Chooses the shards to which a box submits one request, in order, until one
+ * grants it. An interactive request is refused only after every reachable shard
+ * that could pause lower streams for it has refused.
  */
 import type { RequestId, ShardId, ZoneName } from './ids.js'
 import type { RefusalReason } from './scheduler-action.js'
 import type { ShardLoad } from './shard-load.js'
 
-/** A shard that could take the request, as the box believes it to be. */
-export interface ShardBelief {
+/** A shard that could serve the request, with the last known load. */
+export interface ShardEstimate {
   readonly id: ShardId
   readonly zone: ZoneName
-  /** Its last word; null before any came. */
+  /** Its last load report; null before the first. */
   readonly load: ShardLoad | null
-  /** Sent there since that word. */
-  readonly sentSince: number
-  /** False where its owner can't be reached. */
+  /** Requests submitted to it since that report. */
+  readonly sentSinceReport: number
+  /** False if its owner is unreachable. */
   readonly isReachable: boolean
-  /** True where this box owns it: a request placed there crosses no wire. */
+  /** True if this box owns it, so that submitting needs no network round trip. */
   readonly isOwn: boolean
 }
 
-/** What to do next with a request. */
+/** The next step for a request. */
 export type RouteStep =
   | { readonly type: 'ask', readonly shard: ShardId }
   | { readonly type: 'refuse', readonly reason: RefusalReason, readonly retryAfterMs: number }
 
-const farPenalty = 0.15
-const nearPenalty = 0.1
-const noiseShare = 0.02
-const mostAsked = 6
-const mostAskedPatient = 3
-const firstRetryMs = 1000
+/** Penalties and noise are in the unit of the score: requests per place. */
+const otherZonePenalty = 0.15
+const sameZonePenalty = 0.1
+const maxNoise = 0.02
+const maxAsked = 6
+const maxAskedDeferrable = 3
+const defaultRetryAfterMs = 1000
 
 export class RoutePlan {
   readonly request: RequestId
@@ -50,48 +51,48 @@
     this.#random = random
   }
 
-  /** The shard that was asked last. */
+  /** The shard that was asked last; null before the first. */
   get shard (): ShardId | null { return this.#last }
 
   /** The first shard to ask, or the next after a refusal. */
-  next (shards: readonly ShardBelief[]): RouteStep {
+  next (shards: readonly ShardEstimate[]): RouteStep {
     const open = shards.filter(shard => shard.isReachable && !this.#asked.has(shard.id))
-    const wanted = this.#mustAsk(open)
-    const best = this.#findBest(wanted)
+    const candidates = this.#listCandidates(open)
+    const best = this.#findBest(candidates)
     if (best === undefined) return this.#refuse()
     this.#asked.add(best.id)
     this.#last = best.id
     return { type: 'ask', shard: best.id }
   }
 
-  /** A shard refused. */
+  /** Records a refusal; the shortest retry delay of all refusals is passed on. */
   noteRefusal (reason: RefusalReason, retryAfterMs: number): void {
     this.#reason = reason
     this.#retryAfterMs = Math.min(this.#retryAfterMs, retryAfterMs)
   }
 
-  /** A shard's owner could not be reached, or isn't the owner: it may be asked again. */
+  /** Makes a shard eligible again whose owner was unreachable or has changed. */
   noteUnreachable (shard: ShardId): void {
     this.#asked.delete(shard)
   }
 
-  /** Shards with lower work that were not asked: must be none when a request that may not wait is refused. */
-  findUnasked (shards: readonly ShardBelief[]): ShardId[] {
+  /** Shards with lower streams that were not asked; must be empty when an interactive request is refused. */
+  findUnasked (shards: readonly ShardEstimate[]): ShardId[] {
     if (this.#mayWait) return []
     return shards
       .filter(shard => shard.isReachable && !this.#asked.has(shard.id) && (shard.load?.patient ?? 0) > 0)
       .map(shard => shard.id)
   }
 
-  #mustAsk (open: readonly ShardBelief[]): readonly ShardBelief[] {
-    const most = this.#mayWait ? mostAskedPatient : mostAsked
-    if (this.#asked.size < most) return open
+  #listCandidates (open: readonly ShardEstimate[]): readonly ShardEstimate[] {
+    const limit = this.#mayWait ? maxAskedDeferrable : maxAsked
+    if (this.#asked.size < limit) return open
     if (this.#mayWait) return []
     return open.filter(shard => (shard.load?.patient ?? 0) > 0)
   }
 
-  #findBest (shards: readonly ShardBelief[]): ShardBelief | undefined {
-    let best: ShardBelief | undefined
+  #findBest (shards: readonly ShardEstimate[]): ShardEstimate | undefined {
+    let best: ShardEstimate | undefined
     let lowest = Infinity
     for (const shard of shards) {
       const score = this.#score(shard)
@@ -102,20 +103,20 @@
     return best
   }
 
-  // Work ahead for each place; own and near shards first, equal ones by lot.
-  #score (shard: ShardBelief): number {
-    const far = shard.isOwn ? 0 : shard.zone === this.#zone ? nearPenalty : farPenalty
-    const noise = this.#random() * noiseShare
+  // Load per place plus a distance penalty; the noise breaks ties at random. Queued requests count double.
+  #score (shard: ShardEstimate): number {
+    const distancePenalty = shard.isOwn ? 0 : shard.zone === this.#zone ? sameZonePenalty : otherZonePenalty
+    const noise = this.#random() * maxNoise
     const { load } = shard
-    if (load === null) return 0.5 + far + noise
+    if (load === null) return 0.5 + distancePenalty + noise
     if (load.places === 0) return 1e6 + noise
-    const patient = this.#mayWait ? load.patient + load.queuedPatient * 2 : 0
-    const ahead = load.quick + load.queued * 2 + shard.sentSince + patient
-    return ahead / load.places + far + noise
+    const deferrable = this.#mayWait ? load.patient + load.queuedPatient * 2 : 0
+    const ahead = load.quick + load.queued * 2 + shard.sentSinceReport + deferrable
+    return ahead / load.places + distancePenalty + noise
   }
 
   #refuse (): RouteStep {
-    const retryAfterMs = this.#retryAfterMs === Infinity ? firstRetryMs : this.#retryAfterMs
+    const retryAfterMs = this.#retryAfterMs === Infinity ? defaultRetryAfterMs : this.#retryAfterMs
     return { type: 'refuse', reason: this.#reason, retryAfterMs }
   }
 }
--- a/src/core/routes/check-document.ts
+++ b/src/core/routes/check-document.ts
@@ -1,6 +1,6 @@
 import type { RoutingDocument } from './route.js'
 
-/** Every reason for which a well-formed document must not be put in force, in words; empty where there is none. */
+/** Validates a well-formed document before it is activated; returns all errors, empty if it is valid. */
 export function findDocumentMistakes (document: RoutingDocument): string[] {
   return [...findRouteMistakes(document), ...findKeyMistakes(document)]
 }
@@ -9,15 +9,15 @@
   const mistakes: string[] = []
   const known = new Set<string>(services.map(service => service.name))
   if (known.size < services.length) mistakes.push('two services have the same name')
-  const places = new Map<string, string>()
+  const routesByAddress = new Map<string, string>()
   for (const route of routes) {
     for (const { service } of route.services) {
       if (!known.has(service)) mistakes.push(`route ${route.name} names the unknown service ${service}`)
     }
-    const place = `${route.host.toLowerCase()} ${route.prefix}`
-    const other = places.get(place)
+    const address = `${route.host.toLowerCase()} ${route.prefix}`
+    const other = routesByAddress.get(address)
     if (other !== undefined) mistakes.push(`routes ${other} and ${route.name} have the same host and prefix`)
-    places.set(place, route.name)
+    routesByAddress.set(address, route.name)
     const weight = route.services.reduce((sum, one) => sum + one.weight, 0)
     if (!(weight > 0)) mistakes.push(`the weights of route ${route.name} sum to ${weight}`)
     if (route.services.some(one => one.weight < 0)) mistakes.push(`route ${route.name} has a weight below 0`)
--- a/src/core/routes/index.ts
+++ b/src/core/routes/index.ts
@@ -1,4 +1,4 @@
-/** Routes and the document that holds them. */
+/** Routes and the routing document. */
 export * from './route.js'
 export { findDocumentMistakes } from './check-document.js'
 export { RouteTable, pickService } from './route-table.js'
--- a/src/core/routes/route-table.ts
+++ b/src/core/routes/route-table.ts
@@ -1,13 +1,13 @@
 import type { ServiceName } from '../ids.js'
 import type { KeyedWorkspace, Route, RoutedService, RoutingDocument } from './route.js'
 
-/** A routing document, indexed for look-ups. Never changes: a newer document makes another table. */
+/** A routing document with indexes for lookups. Immutable: a newer document gets a new table. */
 export class RouteTable {
   readonly document: RoutingDocument
   #byHost = new Map<string, Map<string, Route>>()
   #services = new Map<ServiceName, RoutedService>()
   #byKey = new Map<string, KeyedWorkspace>()
-  /** One more than the largest priority of a workspace. */
+  /** Largest priority of a workspace plus one. */
   readonly ranksPerRoute: number
 
   constructor (document: RoutingDocument) {
@@ -27,10 +27,10 @@
 
   get version (): number { return this.document.version }
 
-  /** True where requests need a key, but on public routes. */
+  /** True if requests need a key, except on public routes. */
   get needsKeys (): boolean { return this.document.workspaces !== null }
 
-  /** The route with the longest prefix that begins the path; the host may carry a port. */
+  /** The route with the longest matching prefix. `host` may include a port, `path` a query. */
   findRoute (host: string, path: string): Route | undefined {
     const routes = this.#byHost.get(host.replace(/:\d+$/, '').toLowerCase())
     if (routes === undefined) return undefined
@@ -45,17 +45,17 @@
 
   findService (name: ServiceName): RoutedService | undefined { return this.#services.get(name) }
 
-  /** The workspace that a key opens. */
+  /** The workspace that a key belongs to. */
   findWorkspace (key: string): KeyedWorkspace | undefined { return this.#byKey.get(key) }
 }
 
-/** Picks one of a route's services by weight; `draw` is from 0 up to 1. */
+/** Picks one of a route's services by weight. `draw`: a uniform random number in [0, 1). */
 export function pickService (route: Route, draw: number): ServiceName {
   const total = route.services.reduce((sum, one) => sum + one.weight, 0)
-  let left = draw * total
+  let remaining = draw * total
   for (const { service, weight } of route.services) {
-    left -= weight
-    if (left < 0) return service
+    remaining -= weight
+    if (remaining < 0) return service
   }
   return route.services[route.services.length - 1].service
 }
--- a/src/core/routes/route.ts
+++ b/src/core/routes/route.ts
@@ -1,119 +1,118 @@
 /**
- * The routing document: which service answers which request and under which
- * promises, whose keys open it, and what callers may send. It is replaced as a
- * whole, under a version that only rises.
+ * The routing document: routes to services with their guarantees, workspaces with
+ * their keys, and limits on callers. It is replaced as a whole; its version only
+ * increases.
  */
 import type { RouteName, ServiceName, WorkspaceName } from '../ids.js'
 
 /**
- * What may be done with a request: `repeatable` may run again, `once` may not,
- * `events` is answered with numbered events and may be continued elsewhere only
- * where its route is resumable.
+ * Whether a request can be retried: `repeatable` may run again, `once` may not;
+ * `events` is answered by a stream of numbered events, which may be resumed at
+ * another endpoint only if the route is resumable.
  */
 export type RouteKind = 'repeatable' | 'once' | 'events'
 
-/** A service with its share of a route's requests. */
+/** A service with its weight within a route. */
 export interface WeightedService {
   readonly service: ServiceName
   readonly weight: number
 }
 
-/** One route: the host and the beginning of the path that it takes. */
+/** A route, matched by host and path prefix. */
 export interface Route {
   readonly name: RouteName
   readonly host: string
-  /** Begins and ends with a slash; the longest that fits a path wins. */
+  /** Starts and ends with a slash; the longest prefix of a path wins. */
   readonly prefix: string
   readonly kind: RouteKind
-  /** The longest that a request is held, ms. */
+  /** Maximum time for a request, ms. */
   readonly timeoutMs: number
-  /** Target for the answer, or for its first event, ms. */
+  /** Target for the response, or for its first event, ms. */
   readonly targetMs: number
-  /** The longest pause between events that still counts as in time, ms; null where there are no events. */
+  /** Target for the longest gap between events, ms; null if the route has no events. */
   readonly pauseMs: number | null
   /** 0 is served first. */
   readonly priority: number
   readonly services: readonly WeightedService[]
-  /** Endpoints that one request may be sent to. */
+  /** Maximum number of endpoints that one request is sent to. */
   readonly mostAttempts: number
-  /** True where no key is asked for. */
+  /** True if no key is required. */
   readonly isPublic: boolean
-  /** True where a broken stream may be continued after its last event. */
+  /** True if an interrupted stream may be resumed after its last event. */
   readonly resumable: boolean
 }
 
-/** How engines hand what they keep of a prompt to one another. */
+/** Transfer of cached prompts between engines. */
 export interface PromptTransfer {
-  /** Size of what is kept of a token, bytes. */
+  /** Size of the cache entry of a token, bytes. */
   readonly tokenBytes: number
-  /** What an engine's link carries, bytes/ms. */
+  /** Bandwidth of an engine's link, bytes/ms. */
   readonly bytesPerMs: number
 }
 
-/** What is known of the engines of a service. */
+/** Properties of the engines of a service. */
 export interface EngineProfile {
-  /** Requests that run at once. */
+  /** Maximum number of concurrent requests. */
   readonly slots: number
-  /** Tokens that the memory holds, of running requests and cached prompts. */
+  /** Memory capacity for running requests and cached prompts, tokens. */
   readonly memoryTokens: number
-  /** Tokens in one event of a stream. */
+  /** Tokens per event of a stream. */
   readonly tokensPerEvent: number
-  /** Null where engines can't take prompts from one another. */
+  /** Null if engines cannot fetch cached prompts from one another. */
   readonly transfer: PromptTransfer | null
 }
 
-/** How many endpoints of a service may be ordered, and what they cost. */
+/** Bounds and prices for provisioning endpoints of a service. */
 export interface EndpointSizing {
-  /** Bounds in each zone, on both kinds together. */
+  /** Bounds per zone on spot and on-demand endpoints together. */
   readonly least: number
   readonly most: number
-  /** From an order to the first request, ms. */
+  /** Time from ordering an endpoint to its first request, ms. */
   readonly bootMs: number
-  /** Price of an endpoint that may be taken back, in that of an ordinary one; null where there are none. */
+  /** Price of a spot endpoint relative to an on-demand one; null if there are no spot endpoints. */
   readonly spotPrice: number | null
-  /** Price of an endpoint's second by zone; 1 where a zone is not named. */
+  /** Relative price of an endpoint per second by zone; 1 for zones that are not listed. */
   readonly zonePrices: ReadonlyMap<string, number>
 }
 
-/** A service that routes lead to. */
+/** A service that routes refer to. */
 export interface RoutedService {
   readonly name: ServiceName
-  /** Connections that one endpoint takes from all boxes together. */
+  /** Maximum number of connections to one endpoint from all boxes together. */
   readonly mostConnections: number
-  /** Null where endpoints are not ordered. */
+  /** Null if endpoints are not provisioned automatically. */
   readonly sizing: EndpointSizing | null
-  /** Null for a plain service. */
+  /** Null if the endpoints are not engines. */
   readonly engine: EngineProfile | null
 }
 
-/** Bounds on what a caller may send and how long it may take. */
+/** Limits on the sizes and durations of callers' requests. */
 export interface CallerLimits {
   readonly headerBytes: number
   readonly bodyBytes: number
   readonly headerMs: number
-  /** How long a connection may rest between requests, ms. */
+  /** Maximum idle time of a connection between requests, ms. */
   readonly idleMs: number
 }
 
-/** A workspace and the keys that open it. */
+/** A workspace and its keys. */
 export interface KeyedWorkspace {
   readonly name: WorkspaceName
   readonly keys: readonly string[]
-  /** Goes before the route's; null for none. */
+  /** Decides among requests of routes with equal priority, 0 first; null counts as the lowest. */
   readonly priority: number | null
 }
 
-/** Everything that routes requests, as one value. */
 export interface RoutingDocument {
   readonly version: number
   readonly routes: readonly Route[]
   readonly services: readonly RoutedService[]
   readonly limits: CallerLimits
-  /** Null where no request needs a key. */
+  /** Null if no request needs a key. */
   readonly workspaces: readonly KeyedWorkspace[] | null
 }
 
-/** Bounds that hold where a document names none. */
+/** Limits for documents that specify none. */
 export const defaultCallerLimits: CallerLimits = {
   headerBytes: 16 * 1024,
   bodyBytes: 4 * 2 ** 20,
@@ -121,16 +120,16 @@
   idleMs: 60_000
 }
 
-/** The lowest rank that endpoints know. */
-const lowestRank = 9
+/** The largest rank that endpoints support; it is served last. */
+const maxRank = 9
 
 /**
- * The rank of a request, 0 first. The kind of request goes first, as a question
- * that a caller waits for is never put back for a draft, whoever asks; among
- * those of one kind the workspace's priority decides. `ranksPerRoute`: one more
- * than the largest priority of a workspace.
+ * The scheduling rank of a request, 0 first. The route's priority dominates, so
+ * that a question that a caller waits for is never delayed by a draft, whichever
+ * workspace sends it; the workspace's priority decides within a route's priority.
+ * `ranksPerRoute`: largest priority of a workspace plus one.
  */
 export function rankRequest (route: Route, workspace: KeyedWorkspace | null, ranksPerRoute: number): number {
   const second = workspace?.priority ?? ranksPerRoute - 1
-  return Math.max(0, Math.min(lowestRank, route.priority * ranksPerRoute + second))
+  return Math.max(0, Math.min(maxRank, route.priority * ranksPerRoute + second))
 }
--- a/src/core/scheduler-action.ts
+++ b/src/core/scheduler-action.ts
@@ -1,9 +1,9 @@
 import type { BoxId, EngineId, RequestId } from './ids.js'
 
-/** Why a scheduler gives a request back unplaced. */
+/** Why a scheduler refuses a request. */
 export type RefusalReason = 'overloaded' | 'late' | 'no-engine' | 'queue-full'
 
-/** What a scheduler wants done. */
+/** Output of the scheduler. */
 export type SchedulerAction =
   | {
     readonly type: 'grant'
@@ -11,7 +11,7 @@
     readonly request: RequestId
     readonly attempt: number
     readonly engine: EngineId
-    /** Sent to the engine, which runs smaller numbers first. */
+    /** Passed to the engine, which runs smaller numbers first. */
     readonly priority: number
   }
   | {
@@ -20,12 +20,12 @@
     readonly request: RequestId
     readonly attempt: number
     readonly reason: RefusalReason
-    /** When to come back, from the measured drain, ms. */
+    /** Retry delay, from the measured rate at which the queue drains, ms. */
     readonly retryAfterMs: number
-    /** True where this scheduler still runs work of a lower class that could yield. */
+    /** True if this scheduler still runs a stream of a lower class that could be paused. */
     readonly lowerCouldYield: boolean
   }
-  /** A stream that the engine pauses because one of a higher class was granted. */
+  /** The engine pauses `request` because `to`, of a higher class, was granted. */
   | { readonly type: 'yield', readonly request: RequestId, readonly engine: EngineId, readonly to: RequestId }
-  /** An invariant did not hold. Counted and logged; never ends the process. */
+  /** An invariant was violated. Counted and logged; never terminates the process. */
   | { readonly type: 'violation', readonly rule: string, readonly detail: string }
--- a/src/core/scheduler-event.ts
+++ b/src/core/scheduler-event.ts
@@ -7,29 +7,29 @@
   | 'done'
   | 'cancelled'
   | 'engine-failed'
-  /** No connection could be made: no byte was written. */
+  /** The connection attempt failed: no byte was sent. */
   | 'engine-unreachable'
 
-/** An engine's own word on its load; old by a lag. */
+/** An engine's report of its load; it arrives with a delay. */
 export interface LoadReport {
   /** Streams in the running batch. */
   readonly running: number
-  /** Streams that wait or are paused at the engine. */
+  /** Streams that are queued or paused at the engine. */
   readonly waiting: number
-  /** Share of the KV memory in use, 0 to 1. */
+  /** Fraction of the KV cache in use, 0 to 1. */
   readonly kvUsed: number
-  /** Mean time of the last steps, ms. */
+  /** Mean time of the last decoding steps, ms. */
   readonly stepMs: number
   readonly leaving: boolean
 }
 
-/** What can happen to a scheduler. `at` is its clock in ms, never falling. */
+/** Input of a scheduler. `at`: monotonic time, ms. */
 export type SchedulerEvent =
   | { readonly type: 'submit', readonly at: number, readonly submission: Submission }
   | { readonly type: 'adopt', readonly at: number, readonly submission: Submission, readonly engine: EngineId }
   | { readonly type: 'cancel', readonly at: number, readonly request: RequestId, readonly attempt: number }
   | { readonly type: 'firstToken', readonly at: number, readonly request: RequestId, readonly attempt: number }
-  /** `backoffMs`: how long the engine wants no work, where it turned the request away. */
+  /** `backoffMs`: time for which the engine asked to get no requests when it rejected this one. */
   | { readonly type: 'end', readonly at: number, readonly request: RequestId, readonly attempt: number, readonly how: StreamEnd, readonly tokens: number, readonly backoffMs?: number }
   | { readonly type: 'report', readonly at: number, readonly engine: EngineId, readonly report: LoadReport }
   | { readonly type: 'evicted', readonly at: number, readonly engine: EngineId, readonly prefixes: readonly string[] | 'unknown' }
--- a/src/core/scheduler.ts
+++ b/src/core/scheduler.ts
@@ -1,15 +1,15 @@
 /**
- * The decision core: which engine takes a request, what waits, what is refused.
- * One scheduler decides for one shard of engines, on behalf of all boxes.
- * Events go in through `step`, typed actions come out; time and randomness are
- * arguments. State is private and changed only in `step`.
+ * Assigns requests to engines, queues them or refuses them. One scheduler serves
+ * one shard of engines on behalf of all boxes. `step` takes an event and returns
+ * typed actions; time and randomness are passed in, and state changes only there.
  *
- * The precedence rule, checked at every refusal and every yield:
- * 1. A request of a class that may not wait is refused only if no engine of
- *    the shard could run it by pausing streams of lower classes.
+ * Classes are interactive or deferrable (`mayWait`). The precedence rule, checked
+ * at every refusal and every yield:
+ * 1. An interactive request is refused only if no engine of the shard could run
+ *    it by pausing streams of lower classes.
  * 2. A stream is paused only for a request of a higher class.
- * 3. Requests that may wait use `floorPlaces`, which no other request can use,
- *    and whatever places are free. A stream of theirs is paused, never lost.
+ * 3. Deferrable requests have `floorPlaces` reserved for them and may also use any
+ *    free places. Their streams may be paused but are never dropped.
  */
 import type { BoxId, ClassName, EngineId, RequestId } from './ids.js'
 import type { RequestClass } from './request-class.js'
@@ -19,26 +19,26 @@
 import type { Submission } from './submission.js'
 import { sumLoad } from './shard-load.js'
 import type { ShardLoad } from './shard-load.js'
-import type { ClassQueue, Waiting } from './class-queue.js'
+import type { ClassQueue, QueuedRequest } from './class-queue.js'
 import { ClassQueues } from './class-queues.js'
 import { EngineSet } from './engine-set.js'
 import type { EngineState } from './engine-state.js'
-import { LeadTime } from './lead-time.js'
+import { FirstTokenDelay } from './first-token-delay.js'
 import { LengthEstimate } from './length-estimate.js'
-import { ServiceRate } from './service-rate.js'
-
-/** Least time after which a refused request is asked to come back, ms. */
-const leastRetryAfterMs = 250
-/** Part by which that time is spread, so that callers don't come back together. */
-const jitterShare = 0.5
-/** A stream is guessed to be as long as the middle one of its class and workspace. */
-const guessShare = 0.5
-/** A stream that was cut waits at most so long for another engine, ms. */
-const resumedWaitMs = 30_000
-/** What a prompt token counts beside a token written, in service received. */
+import { ServiceTime } from './service-time.js'
+
+/** Lower bound of the retry delay that is sent with a refusal, ms. */
+const minRetryAfterMs = 250
+/** Jitter as a fraction of the retry delay, so that callers do not retry in lockstep. */
+const retryJitter = 0.5
+/** Quantile of the observed lengths of a class and workspace that serves as the length estimate of a new stream. */
+const lengthQuantile = 0.5
+/** Time that an interrupted stream is queued for another engine before it is refused, ms. */
+const maxResumedWaitMs = 30_000
+/** Weight of a prompt token relative to a generated token in the service accounting. */
 const promptWeight = 0.25
 
-interface Placed {
+interface PlacedRequest {
   readonly engine: EngineState
   readonly submission: Submission
 }
@@ -49,11 +49,11 @@
   #classes = new Map<ClassName, RequestClass>()
   #engines = new EngineSet()
   #queues = new ClassQueues()
-  #placed = new Map<RequestId, Placed>()
-  #quickRate = new ServiceRate()
-  #patientRate = new ServiceRate()
+  #placed = new Map<RequestId, PlacedRequest>()
+  #interactiveTime = new ServiceTime()
+  #deferrableTime = new ServiceTime()
   #lengths = new LengthEstimate()
-  #leads = new Map<ClassName, LeadTime>()
+  #firstTokenDelays = new Map<ClassName, FirstTokenDelay>()
   #actions: SchedulerAction[] = []
   #now = 0
 
@@ -63,7 +63,7 @@
     this.#configure(config)
   }
 
-  /** Takes one event and returns what is to be done, in order. */
+  /** Applies one event; returns the resulting actions in order. */
   step (event: SchedulerEvent): SchedulerAction[] {
     this.#actions = []
     this.#now = Math.max(this.#now, event.at)
@@ -71,18 +71,18 @@
     return this.#actions
   }
 
-  /** What other boxes need to know of this shard. */
+  /** Load summary that is sent to other boxes. */
   get load (): ShardLoad { return sumLoad(this.#engines.listUsable(false), this.#queues.list) }
 
-  /** True where requests wait, so that ticks must come often. */
-  get hasWaiting (): boolean { return this.#queues.waiting > 0 }
+  /** True if requests are queued; the caller then has to send ticks often. */
+  get hasWaiting (): boolean { return this.#queues.size > 0 }
 
-  /** Requests waiting, by class. */
+  /** Number of queued requests by class. */
   get queueSizes (): ReadonlyMap<ClassName, number> {
     return new Map(this.#queues.list.map(queue => [queue.class.name, queue.size]))
   }
 
-  /** The engines, for status pages. */
+  /** The engines, for status output. */
   get engines (): readonly EngineState[] { return this.#engines.list }
 
   #handle (event: SchedulerEvent): void {
@@ -95,7 +95,7 @@
       case 'report': return this.#report(event.engine, event.report)
       case 'evicted': return this.#engines.find(event.engine)?.prefixes.evict(event.prefixes)
       case 'drain': return this.#drain(event.engine, event.leaving)
-      case 'boxLost': return this.#loseBox(event.box)
+      case 'boxLost': return this.#releaseBox(event.box)
       case 'configure': return this.#configure(event.config)
       case 'tick': return this.#tick()
       default: return assertNever(event)
@@ -103,94 +103,94 @@
   }
 
   #submit (submission: Submission): void {
-    const wanted = this.#classes.get(submission.class)
-    if (wanted === undefined) return this.#refuse(submission, 'no-engine')
-    this.#forget(submission.request)
-    const engine = this.#engines.choose(submission, wanted, this.#now)
-    if (engine !== undefined && !this.#queues.hasBefore(submission, wanted)) return this.#grant(submission, wanted, engine)
-    const refusal = this.#findRefusal(submission, wanted)
+    const requestClass = this.#classes.get(submission.class)
+    if (requestClass === undefined) return this.#refuse(submission, 'no-engine')
+    this.#release(submission.request)
+    const engine = this.#engines.choose(submission, requestClass, this.#now)
+    if (engine !== undefined && !this.#queues.hasPreceding(submission, requestClass)) return this.#grant(submission, requestClass, engine)
+    const refusal = this.#findRefusal(submission, requestClass)
     if (refusal !== undefined) return this.#refuse(submission, refusal)
-    this.#queues.push(submission, wanted, this.#now)
+    this.#queues.push(submission, requestClass, this.#now)
     this.#dispatch()
   }
 
   #adopt (submission: Submission, id: EngineId): void {
     const engine = this.#engines.find(id)
-    const wanted = this.#classes.get(submission.class)
-    if (engine === undefined || wanted === undefined) return
-    this.#forget(submission.request)
-    this.#place(submission, wanted, engine)
+    const requestClass = this.#classes.get(submission.class)
+    if (engine === undefined || requestClass === undefined) return
+    this.#release(submission.request)
+    this.#place(submission, requestClass, engine)
   }
 
-  #findRefusal (submission: Submission, wanted: RequestClass): RefusalReason | undefined {
-    const places = this.#engines.countPlaces(submission, wanted.mayWait)
+  #findRefusal (submission: Submission, requestClass: RequestClass): RefusalReason | undefined {
+    const places = this.#engines.countPlaces(submission, requestClass.mayWait)
     if (places === 0) return 'no-engine'
     if (submission.resumed) return undefined
-    if (wanted.mayWait) {
+    if (requestClass.mayWait) {
       const limit = this.#config.queuePerEngine * this.#engines.list.length
-      return this.#queues.open(wanted).size >= limit ? 'queue-full' : undefined
+      return this.#queues.getOrCreate(requestClass).size >= limit ? 'queue-full' : undefined
     }
-    const ahead = this.#queues.countAhead(submission, wanted)
-    const waitMs = this.#quickRate.predictWait(ahead, places) * this.#config.waitMargin
-    return this.#now + waitMs + this.#openLead(wanted.name).safeMs > submission.deadline ? 'overloaded' : undefined
+    const ahead = this.#queues.countAhead(submission, requestClass)
+    const waitMs = this.#interactiveTime.predictWait(ahead, places) * this.#config.waitMargin
+    return this.#now + waitMs + this.#getFirstTokenDelay(requestClass.name).upperMs > submission.deadline ? 'overloaded' : undefined
   }
 
-  #openLead (name: ClassName): LeadTime {
-    const known = this.#leads.get(name)
+  #getFirstTokenDelay (name: ClassName): FirstTokenDelay {
+    const known = this.#firstTokenDelays.get(name)
     if (known !== undefined) return known
-    const made = new LeadTime()
-    this.#leads.set(name, made)
-    return made
+    const created = new FirstTokenDelay()
+    this.#firstTokenDelays.set(name, created)
+    return created
   }
 
-  #grant (submission: Submission, wanted: RequestClass, engine: EngineState): void {
-    const yielding = wanted.mayWait ? undefined : engine.findYielding(wanted.priority)
-    if (yielding !== undefined) this.#noteYield(yielding.request, yielding.priority, submission, wanted, engine)
-    this.#place(submission, wanted, engine)
+  #grant (submission: Submission, requestClass: RequestClass, engine: EngineState): void {
+    const paused = requestClass.mayWait ? undefined : engine.findStreamToPause(requestClass.priority)
+    if (paused !== undefined) this.#emitYield(paused.request, paused.priority, submission, requestClass, engine)
+    this.#place(submission, requestClass, engine)
     this.#actions.push({
       type: 'grant',
       box: submission.box,
       request: submission.request,
       attempt: submission.attempt,
       engine: engine.id,
-      priority: wanted.priority
+      priority: requestClass.priority
     })
   }
 
-  #noteYield (request: RequestId, priority: number, to: Submission, wanted: RequestClass, engine: EngineState): void {
-    if (priority <= wanted.priority) this.#violate('yield-to-higher-only', `${request} yields to ${to.request}`)
+  #emitYield (request: RequestId, priority: number, to: Submission, requestClass: RequestClass, engine: EngineState): void {
+    if (priority <= requestClass.priority) this.#violate('yield-to-higher-only', `${request} yields to ${to.request}`)
     this.#actions.push({ type: 'yield', request, engine: engine.id, to: to.request })
   }
 
-  #place (submission: Submission, wanted: RequestClass, engine: EngineState): void {
-    const estimatedTokens = this.#lengths.quantile(wanted.name, submission.workspace, guessShare)
+  #place (submission: Submission, requestClass: RequestClass, engine: EngineState): void {
+    const estimatedTokens = this.#lengths.quantile(requestClass.name, submission.workspace, lengthQuantile)
     engine.add({
       request: submission.request,
       attempt: submission.attempt,
       box: submission.box,
-      class: wanted.name,
+      class: requestClass.name,
       workspace: submission.workspace,
-      priority: wanted.priority,
-      mayWait: wanted.mayWait,
+      priority: requestClass.priority,
+      mayWait: requestClass.mayWait,
       grantedAt: this.#now,
       estimatedTokens
     })
     engine.prefixes.add(submission.prefix)
     this.#placed.set(submission.request, { engine, submission })
     const service = submission.promptTokens * promptWeight + estimatedTokens
-    const queue = this.#queues.open(wanted)
+    const queue = this.#queues.getOrCreate(requestClass)
     queue.charge(submission.workspace, service)
     queue.served += service
   }
 
-  /** Gives free places to waiting requests, highest class first. */
+  /** Assigns free places to queued requests, highest class first. */
   #dispatch (): void {
     for (const peers of this.#queues.listByPriority()) {
       while (this.#dispatchOneOf(peers));
     }
   }
 
-  // Among classes of one priority, the least served goes first.
+  // Among classes of equal priority, the one that has received the least service goes first.
   #dispatchOneOf (peers: ClassQueue[]): boolean {
     if (peers.length > 1) peers.sort((a, b) => a.served - b.served)
     for (const queue of peers) {
@@ -213,8 +213,8 @@
   }
 
   #refuse (submission: Submission, reason: RefusalReason): void {
-    const wanted = this.#classes.get(submission.class)
-    const lowerCouldYield = wanted !== undefined && this.#engines.couldYield(submission, wanted)
+    const requestClass = this.#classes.get(submission.class)
+    const lowerCouldYield = requestClass !== undefined && this.#engines.canPauseLower(submission, requestClass)
     if (lowerCouldYield) this.#violate('no-shed-for-lower', `${submission.request} ${reason}`)
     this.#actions.push({
       type: 'refuse',
@@ -222,28 +222,28 @@
       request: submission.request,
       attempt: submission.attempt,
       reason,
-      retryAfterMs: this.#predictRetry(submission, wanted),
+      retryAfterMs: this.#predictRetry(submission, requestClass),
       lowerCouldYield
     })
   }
 
-  #predictRetry (submission: Submission, wanted: RequestClass | undefined): number {
-    const mayWait = wanted?.mayWait ?? false
-    const rate = mayWait ? this.#patientRate : this.#quickRate
-    const ahead = wanted === undefined ? 0 : this.#queues.open(wanted).size
-    const wait = rate.predictWait(ahead, this.#engines.countPlaces(submission, mayWait))
-    const base = Number.isFinite(wait) ? Math.max(leastRetryAfterMs, wait) : rate.meanMs
-    return Math.round(base * (1 + jitterShare * this.#random()))
+  #predictRetry (submission: Submission, requestClass: RequestClass | undefined): number {
+    const mayWait = requestClass?.mayWait ?? false
+    const serviceTime = mayWait ? this.#deferrableTime : this.#interactiveTime
+    const ahead = requestClass === undefined ? 0 : this.#queues.getOrCreate(requestClass).size
+    const predictedMs = serviceTime.predictWait(ahead, this.#engines.countPlaces(submission, mayWait))
+    const baseMs = Number.isFinite(predictedMs) ? Math.max(minRetryAfterMs, predictedMs) : serviceTime.meanMs
+    return Math.round(baseMs * (1 + retryJitter * this.#random()))
   }
 
   #cancel (request: RequestId, attempt: number): void {
-    const known = this.#queues.findWaiting(request) ?? this.#placed.get(request)?.submission
+    const known = this.#queues.findQueued(request) ?? this.#placed.get(request)?.submission
     if (known === undefined || known.attempt > attempt) return
-    this.#forget(request)
+    this.#release(request)
     this.#dispatch()
   }
 
-  #forget (request: RequestId): void {
+  #release (request: RequestId): void {
     this.#queues.remove(request)
     const placed = this.#placed.get(request)
     if (placed === undefined) return
@@ -256,7 +256,7 @@
     if (placed === undefined || placed.submission.attempt !== attempt) return
     placed.engine.health.addSuccess()
     const stream = placed.engine.streams.get(request)
-    if (stream !== undefined) this.#openLead(stream.class).add(this.#now - stream.grantedAt)
+    if (stream !== undefined) this.#getFirstTokenDelay(stream.class).add(this.#now - stream.grantedAt)
   }
 
   #end ({ request, attempt, how, tokens, backoffMs = 0 }: Extract<SchedulerEvent, { type: 'end' }>): void {
@@ -266,20 +266,20 @@
     const stream = placed.engine.remove(request)
     if (backoffMs > 0) placed.engine.health.addBackoff(this.#now + backoffMs)
     if (stream === undefined) return
-    const heldMs = this.#now - stream.grantedAt
-    const rate = stream.mayWait ? this.#patientRate : this.#quickRate
+    const serviceMs = this.#now - stream.grantedAt
+    const serviceTime = stream.mayWait ? this.#deferrableTime : this.#interactiveTime
     switch (how) {
       case 'done':
         placed.engine.health.addSuccess()
         this.#lengths.add(stream.class, stream.workspace, tokens)
-        rate.add(heldMs)
+        serviceTime.add(serviceMs)
         this.#queues.find(stream.class)?.charge(stream.workspace, tokens - stream.estimatedTokens)
         break
       case 'engine-failed':
         placed.engine.health.addFailure(this.#now)
         break
       case 'engine-unreachable':
-        placed.engine.health.addRefusal(this.#now)
+        placed.engine.health.addConnectionFailure(this.#now)
         break
       case 'cancelled':
         break
@@ -292,20 +292,20 @@
     const engine = this.#engines.find(id)
     if (engine === undefined) return
     engine.health.addReport(this.#now, report.stepMs)
-    engine.saysLeaving = report.leaving
+    engine.hasReportedLeaving = report.leaving
   }
 
   #drain (id: EngineId, leaving: boolean): void {
     const engine = this.#engines.find(id)
     if (engine === undefined) return
-    engine.drained = leaving
+    engine.isDrained = leaving
     this.#dispatch()
   }
 
-  #loseBox (box: BoxId): void {
-    this.#queues.removeOf(box)
+  #releaseBox (box: BoxId): void {
+    this.#queues.removeByBox(box)
     for (const [request, placed] of [...this.#placed]) {
-      if (placed.submission.box === box) this.#forget(request)
+      if (placed.submission.box === box) this.#release(request)
     }
     this.#dispatch()
   }
@@ -313,19 +313,19 @@
   #tick (): void {
     this.#engines.advance(this.#now, this.#config.ejectShare)
     this.#dispatch()
-    for (const queue of this.#queues.list) this.#dropLate(queue)
+    for (const queue of this.#queues.list) this.#refuseLate(queue)
   }
 
-  #dropLate (queue: ClassQueue): void {
+  #refuseLate (queue: ClassQueue): void {
     if (queue.size === 0) return
-    const late = this.#queues.takeAll(queue, entry => this.#isLate(entry, queue.class))
+    const late = this.#queues.removeWhere(queue, entry => this.#isLate(entry, queue.class))
     for (const submission of late) this.#refuse(submission, 'late')
   }
 
-  #isLate (entry: Waiting, of: RequestClass): boolean {
-    if (entry.submission.resumed) return this.#now - entry.since > resumedWaitMs
-    if (of.mayWait) return this.#now - entry.since > of.maxWaitMs
-    return this.#now + this.#openLead(of.name).safeMs > entry.submission.deadline
+  #isLate (entry: QueuedRequest, requestClass: RequestClass): boolean {
+    if (entry.submission.resumed) return this.#now - entry.enqueuedAt > maxResumedWaitMs
+    if (requestClass.mayWait) return this.#now - entry.enqueuedAt > requestClass.maxWaitMs
+    return this.#now + this.#getFirstTokenDelay(requestClass.name).upperMs > entry.submission.deadline
   }
 
   #configure (config: SchedulerConfig): void {
--- a/src/core/shard-load.ts
+++ b/src/core/shard-load.ts
@@ -1,35 +1,35 @@
 import type { ClassQueue } from './class-queue.js'
 import type { EngineState } from './engine-state.js'
 
-/** What boxes tell each other of a shard: five numbers, whatever its size. */
+/** Load summary of a shard that boxes exchange: five numbers at any shard size. */
 export interface ShardLoad {
-  /** Places that requests which may not wait can use. */
+  /** Places for interactive requests. */
   readonly places: number
-  /** Streams of classes that may not wait. */
+  /** Interactive streams. */
   readonly quick: number
-  /** Streams of classes that may wait, paused ones included. */
+  /** Deferrable streams, including paused ones. */
   readonly patient: number
-  /** Requests queued that may not wait. */
+  /** Queued interactive requests. */
   readonly queued: number
-  /** Requests queued that may wait. */
+  /** Queued deferrable requests. */
   readonly queuedPatient: number
 }
 
-/** The load of a shard's usable engines and its queues. */
+/** Sums the load of a shard's usable engines and its queues. */
 export function sumLoad (engines: readonly EngineState[], queues: readonly ClassQueue[]): ShardLoad {
   let places = 0
-  let quick = 0
-  let patient = 0
+  let interactive = 0
+  let deferrable = 0
   for (const engine of engines) {
     places += engine.spec.places
-    quick += engine.quick
-    patient += engine.load - engine.quick
+    interactive += engine.quick
+    deferrable += engine.load - engine.quick
   }
-  let queued = 0
-  let queuedPatient = 0
+  let queuedInteractive = 0
+  let queuedDeferrable = 0
   for (const queue of queues) {
-    if (queue.class.mayWait) queuedPatient += queue.size
-    else queued += queue.size
+    if (queue.class.mayWait) queuedDeferrable += queue.size
+    else queuedInteractive += queue.size
   }
-  return { places, quick, patient, queued, queuedPatient }
+  return { places, quick: interactive, patient: deferrable, queued: queuedInteractive, queuedPatient: queuedDeferrable }
 }
--- a/src/core/shard-map.ts
+++ b/src/core/shard-map.ts
@@ -1,12 +1,12 @@
 /**
- * How engines are parted into shards, and which box schedules each. Every box
- * works this out for itself from the configuration and the members it knows.
+ * Partitions engines into shards and assigns each shard to a box that schedules
+ * it. Every box computes this on its own from the configuration and its view of
+ * the membership.
  */
 import { chooseByHash, hashText } from './hash.js'
 import { brandId } from './ids.js'
 import type { BoxId, EngineId, ModelName, PoolName, ShardId, ZoneName } from './ids.js'
 
-/** An engine as it is parted. */
 export interface ShardEngine {
   readonly id: EngineId
   readonly pool: PoolName
@@ -19,7 +19,6 @@
   readonly zone: ZoneName
 }
 
-/** A shard: its engines, and what they serve. */
 export interface Shard {
   readonly id: ShardId
   readonly pool: PoolName
@@ -28,7 +27,7 @@
   readonly models: readonly ModelName[]
 }
 
-/** Parts engines into shards of about `perShard`, each within a pool and zone. */
+/** Partitions engines into shards of about `perShard` engines, each within one pool and zone. */
 export function partEngines (engines: Iterable<ShardEngine>, models: (pool: PoolName) => readonly ModelName[], perShard: number): Shard[] {
   const groups = new Map<string, ShardEngine[]>()
   for (const engine of engines) {
@@ -38,13 +37,12 @@
     groups.set(key, group)
   }
   const shards: Shard[] = []
-  for (const [key, group] of groups) shards.push(...partGroup(key, group, models(group[0].pool), perShard))
+  for (const [key, group] of groups) shards.push(...partitionGroup(key, group, models(group[0].pool), perShard))
   return shards
 }
 
-// Engines of a group go to the part with the highest hash, so that one more
-// part moves few engines.
-function partGroup (key: string, group: readonly ShardEngine[], models: readonly ModelName[], perShard: number): Shard[] {
+// Rendezvous hashing: adding a part moves few engines.
+function partitionGroup (key: string, group: readonly ShardEngine[], models: readonly ModelName[], perShard: number): Shard[] {
   const names = Array.from({ length: Math.ceil(group.length / perShard) }, (_, i) => String(i))
   const parts = new Map<string, EngineId[]>()
   for (const engine of group) {
@@ -58,10 +56,10 @@
 }
 
 /**
- * The box that schedules each shard: one of its zone where any is left, else
- * any; the highest hash wins, and no box of a zone owns many more than another.
- * Boxes whose views differ can both own a shard for a moment; the engine's own
- * batch limit and priorities hold meanwhile.
+ * Assigns each shard to a box of its zone, or to any box if the zone has none, by
+ * rendezvous hashing with an even upper bound per box. Boxes with different views
+ * of the membership may both own a shard temporarily; meanwhile the engine's own
+ * batch limit and priorities apply.
  */
 export function assignOwners (shards: readonly Shard[], boxes: readonly ShardBox[]): Map<ShardId, BoxId> {
   const owners = new Map<ShardId, BoxId>()
@@ -75,28 +73,28 @@
 
 function assignZone (shards: readonly Shard[], boxes: readonly BoxId[], owners: Map<ShardId, BoxId>): void {
   if (boxes.length === 0) return
-  const most = Math.ceil(shards.length / boxes.length)
+  const maxShards = Math.ceil(shards.length / boxes.length)
   const owned = new Map<BoxId, number>()
   for (const shard of [...shards].sort((a, b) => (a.id < b.id ? -1 : 1))) {
-    const free = boxes.filter(box => (owned.get(box) ?? 0) < most)
-    const owner = chooseByHash(shard.id, free)
+    const candidates = boxes.filter(box => (owned.get(box) ?? 0) < maxShards)
+    const owner = chooseByHash(shard.id, candidates)
     if (owner === undefined) continue
     owned.set(owner, (owned.get(owner) ?? 0) + 1)
     owners.set(shard.id, owner)
   }
 }
 
-/** How many shards a box uses. */
+/** Number of shards that a box submits requests to. */
 export interface SubsetSize {
   readonly near: number
   readonly farZones: number
   readonly perFarZone: number
 }
 
-/** Bounds that keep a box's traffic the same at any number of shards. */
+/** Keeps the traffic of a box independent of the number of shards. */
 export const defaultSubset: SubsetSize = { near: 6, farZones: 3, perFarZone: 1 }
 
-/** The shards that a box uses: some of its own zone, a few of some others. */
+/** The shards that a box submits to: some of its own zone and a few of other zones, by hash. */
 export function chooseSubset (box: ShardBox, shards: readonly Shard[], size: SubsetSize = defaultSubset): Shard[] {
   const order = (shard: Shard): number => hashText(`${box.id}|${shard.id}`)
   const sorted = [...shards].sort((a, b) => order(a) - order(b))
--- a/src/core/shard-word.ts
+++ b/src/core/shard-word.ts
@@ -3,7 +3,7 @@
 import type { StreamEnd } from './scheduler-event.js'
 import type { Submission } from './submission.js'
 
-/** Word from a box to the scheduler of a shard. */
+/** A message from a box to the scheduler of a shard. */
 export type ShardWord =
   | { readonly type: 'submit', readonly submission: Submission, readonly leftMs: number }
   | { readonly type: 'adopt', readonly submission: Submission, readonly engine: EngineId }
@@ -11,5 +11,5 @@
   | { readonly type: 'firstToken', readonly request: RequestId, readonly attempt: number }
   | { readonly type: 'end', readonly request: RequestId, readonly attempt: number, readonly how: StreamEnd, readonly tokens: number, readonly backoffMs?: number }
 
-/** A scheduler's answer to a box: a grant or a refusal. */
+/** A scheduler's reply to a box: a grant or a refusal. */
 export type ShardAnswer = Extract<SchedulerAction, { type: 'grant' | 'refuse' }>
--- a/src/core/sizing/size-planner.ts
+++ b/src/core/sizing/size-planner.ts
@@ -1,17 +1,17 @@
 /**
- * How many endpoints of a service there should be, in which zone and of which
- * kind. Endpoints that may be taken back bear the load, as they cost a part of
- * the others; they go a zone's all at once, so that there are enough in the
- * other zones for all. A few ordinary ones stay in each zone: a zone that is cut
- * off or whose others were just taken back goes on with them.
+ * Computes the target number of spot and on-demand endpoints of a service per zone.
+ * Spot endpoints serve the load, as they cost a fraction of on-demand ones. They are
+ * reclaimed for a whole zone at once, so the other zones must be able to carry the
+ * full load. A few on-demand endpoints remain in each zone, for when it is
+ * partitioned or its spot endpoints have just been reclaimed.
  *
- * An endpoint helps some seconds after it was ordered, and bursts last little
- * longer: what is wanted goes by the most that was seen for a while, and before
- * much was seen all that may be had is wanted.
+ * An endpoint takes some seconds to start, and bursts last little longer. The target
+ * therefore follows the peak load of a recent window, and before enough load has
+ * been observed it is the maximum.
  */
 import type { ServiceName, ZoneName } from '../ids.js'
 import type { EndpointSizing } from '../routes/index.js'
-import { PeakWindow } from './peak-window.js'
+import { SlidingMax } from './sliding-max.js'
 
 /** Endpoints of one kind in one zone. */
 export interface EndpointGroup {
@@ -20,88 +20,88 @@
   readonly isSpot: boolean
 }
 
-/** What a zone has that takes work. */
+/** Endpoints of a zone that accept requests. */
 export interface ZoneSight {
   readonly zone: ZoneName
   readonly ordinary: number
   readonly spot: number
 }
 
-/** What the planner goes by. */
+/** Input of the planner. */
 export interface SizingSight {
-  /** On a rising clock, ms. */
+  /** Monotonic time, ms. */
   readonly at: number
   readonly sizing: EndpointSizing
-  /** Requests that one endpoint works on at once. */
+  /** Concurrent requests per endpoint. */
   readonly slots: number
   readonly zones: readonly ZoneSight[]
-  /** Requests at endpoints, running or waiting there. */
+  /** Requests that are running or queued at endpoints. */
   readonly running: number
-  /** Time in which what waits in boxes came in, ms: how far they are behind. */
+  /** Backlog of the boxes: the time over which the requests queued in them have arrived, ms. */
   readonly heldMs: number
 }
 
-/** A wish with its reason, for the log. */
+/** The target of a group, and the reason for the log. */
 export interface GroupWish extends EndpointGroup {
   readonly count: number
   readonly why: string
 }
 
-/** Part of the places that is to be taken at the highest load: beyond it, prompts that are read put off the events of what runs beside them. */
-const fill = 0.35
-/** The load is the highest of so long, ms: the users' bursts come some ten seconds apart, and an endpoint that was sent back takes seconds to come again. */
-const holdMs = 20_000
-const holdSteps = 20
-/** Before so much was seen, all that may be had is wanted, ms. */
-const learnMs = 20_000
-/** Callers that wait for so long in boxes show that there is too little of everything, ms. */
-const behindMs = 500
-/** Ordinary endpoints that a zone keeps at least: what it goes on with once the others were taken back. */
-const leastOrdinary = 1
-/** Once so much of the cheap ones of a zone takes work, the ordinary ones are sent back. */
-const readyShare = 0.75
+/** Target fraction of occupied slots at peak load. Above it, prefill of prompts delays the events of running streams. */
+const targetUtilization = 0.35
+/** Window over which the peak load is taken, ms: bursts come about ten seconds apart, and an endpoint that was released takes seconds to start again. */
+const loadWindowMs = 20_000
+const loadWindowSteps = 20
+/** Time from the first load during which the maximum is requested, ms. */
+const warmUpMs = 20_000
+/** A backlog above this shows that capacity is insufficient, ms. */
+const backlogThresholdMs = 500
+/** Minimum number of on-demand endpoints per zone, which serve it after its spot endpoints were reclaimed. */
+const minOnDemand = 1
+/** Fraction of the spot target of a zone that must accept requests before its surplus on-demand endpoints are released. */
+const spotReadyShare = 0.75
 
 export class SizePlanner {
   readonly service: ServiceName
-  #load = new PeakWindow(holdMs, holdSteps)
-  #firstAt: number | null = null
-  /** Zones whose ordinary endpoints were sent back to the base. */
-  #reduced = new Set<ZoneName>()
+  #load = new SlidingMax(loadWindowMs, loadWindowSteps)
+  #firstLoadAt: number | null = null
+  /** Zones whose on-demand endpoints were reduced to the base number. */
+  #reducedZones = new Set<ZoneName>()
 
   constructor (service: ServiceName) {
     this.service = service
   }
 
-  /** What is wanted now, for each zone and kind. */
-  plan (sight: SizingSight): GroupWish[] {
-    this.#firstAt ??= sight.running > 0 ? sight.at : null
-    this.#load.note(sight.at, sight.running + (sight.heldMs > behindMs ? Infinity : 0))
-    const { least, most, spotPrice } = sight.sizing
-    const perZone = Math.max(least, Math.min(most, this.#countPerZone(sight)))
-    const base = Math.min(perZone, leastOrdinary)
-    return sight.zones.flatMap(zone => spotPrice === null ? [this.#wish(zone, false, perZone, sight)] : this.#planZone(zone, perZone, base, sight))
+  /** The current targets by zone and kind. */
+  plan (input: SizingSight): GroupWish[] {
+    this.#firstLoadAt ??= input.running > 0 ? input.at : null
+    this.#load.add(input.at, input.running + (input.heldMs > backlogThresholdMs ? Infinity : 0))
+    const { least, most, spotPrice } = input.sizing
+    const perZone = Math.max(least, Math.min(most, this.#countPerZone(input)))
+    const base = Math.min(perZone, minOnDemand)
+    return input.zones.flatMap(zone => spotPrice === null ? [this.#composeTarget(zone, false, perZone, input)] : this.#planZone(zone, perZone, base, input))
   }
 
-  // With one zone's cheap endpoints gone, the others bear the load.
+  // Sized so that the remaining zones carry the load if one zone loses its spot endpoints.
   #countPerZone ({ at, zones, slots, sizing }: SizingSight): number {
-    if (this.#firstAt === null || at - this.#firstAt < learnMs) return sizing.most
+    if (this.#firstLoadAt === null || at - this.#firstLoadAt < warmUpMs) return sizing.most
     const others = Math.max(1, zones.length - 1)
-    return Math.ceil(this.#load.peak / (slots * fill) / others)
+    return Math.ceil(this.#load.max / (slots * targetUtilization) / others)
   }
 
-  #planZone (zone: ZoneSight, perZone: number, base: number, sight: SizingSight): GroupWish[] {
+  #planZone (zone: ZoneSight, perZone: number, base: number, input: SizingSight): GroupWish[] {
     const spot = Math.max(0, perZone - base)
-    if (zone.spot >= spot * readyShare) this.#reduced.add(zone.zone)
-    const isReduced = this.#reduced.has(zone.zone)
-    // Bounds are on both kinds together: what stays of the ordinary ones for now takes its place.
-    const room = isReduced ? spot : Math.min(spot, Math.max(0, sight.sizing.most - zone.ordinary))
-    if (!isReduced && zone.spot >= room * readyShare && room < spot) this.#reduced.add(zone.zone)
-    const ordinary = isReduced ? base : Math.max(base, zone.ordinary)
-    return [this.#wish(zone, true, room, sight), this.#wish(zone, false, ordinary, sight)]
+    if (zone.spot >= spot * spotReadyShare) this.#reducedZones.add(zone.zone)
+    const isReduced = this.#reducedZones.has(zone.zone)
+    // The bounds apply to both kinds together, so on-demand endpoints that still remain reduce the spot target.
+    const spotTarget = isReduced ? spot : Math.min(spot, Math.max(0, input.sizing.most - zone.ordinary))
+    if (!isReduced && zone.spot >= spotTarget * spotReadyShare && spotTarget < spot) this.#reducedZones.add(zone.zone)
+    const onDemand = isReduced ? base : Math.max(base, zone.ordinary)
+    return [this.#composeTarget(zone, true, spotTarget, input), this.#composeTarget(zone, false, onDemand, input)]
   }
 
-  #wish ({ zone }: ZoneSight, isSpot: boolean, count: number, { running, heldMs }: SizingSight): GroupWish {
-    const why = `load=${running}:peak=${this.#load.peak}:held=${Math.round(heldMs)}`
+  #composeTarget ({ zone }: ZoneSight, isSpot: boolean, count: number, { running, heldMs }: SizingSight): GroupWish {
+    const why = `load=${running}:peak=${this.#load.max}:held=${Math.round(heldMs)}`
     return { service: this.service, zone, isSpot, count, why }
   }
 }
--- a/src/core/slow-engines.ts
+++ b/src/core/slow-engines.ts
@@ -4,10 +4,11 @@
 const recoveredFactor = 1.5
 
 /**
- * Marks engines whose time per token is twice their peers' median, at most
- * `share` of them. A marked one is unmarked when it is near the median again.
+ * Marks engines whose time per token exceeds `slowFactor` times the median, at
+ * most the fraction `share` of them. An engine is unmarked once it is below
+ * `recoveredFactor` times the median. Needs measurements of at least three engines.
  */
-export function findSlow (engines: readonly EngineState[], share: number): void {
+export function markSlow (engines: readonly EngineState[], share: number): void {
   const times: number[] = []
   for (const engine of engines) {
     const time = engine.health.tokenMs
--- a/src/core/submission.ts
+++ b/src/core/submission.ts
@@ -1,21 +1,21 @@
 import type { BoxId, ClassName, EngineId, ModelName, RequestId, WorkspaceName } from './ids.js'
 
-/** What a box tells a scheduler of a request it wants placed. */
+/** A request that a box submits to a scheduler. */
 export interface Submission {
   readonly request: RequestId
-  /** Rises with each try at the same request; late word of an older one is dropped. */
+  /** Incremented with each attempt at the same request; late messages of older attempts are ignored. */
   readonly attempt: number
   readonly box: BoxId
   readonly class: ClassName
   readonly workspace: WorkspaceName
   readonly model: ModelName
   readonly promptTokens: number
-  /** Digest of the prompt's beginning, or null where it is short. */
+  /** Digest of the prompt's prefix; null for short prompts. */
   readonly prefix: string | null
-  /** Time on the scheduler's clock by which the first token is wanted, ms. */
+  /** Deadline of the first token on the scheduler's clock, ms. */
   readonly deadline: number
-  /** Engines that failed this request already. */
+  /** Engines that have already failed this request. */
   readonly exclude: readonly EngineId[]
-  /** True where tokens were given already: such a request is never shed. */
+  /** True if tokens were already delivered: such a request is never shed. */
   readonly resumed: boolean
 }
--- a/src/core/workspace-limit.ts
+++ b/src/core/workspace-limit.ts
@@ -1,29 +1,29 @@
-/** One box's share of a workspace's limits: token buckets that refill by time. */
+/** Enforces one box's share of a workspace's limits, with token buckets. */
 
-/** The limits of a workspace over all boxes. */
+/** The limits of a workspace across all boxes. */
 export interface WorkspaceLimits {
   readonly requestsPerSecond: number
   readonly tokensPerMinute: number
   readonly streams: number
 }
 
-/** What was found when a request asked to be let in. */
+/** Whether a request is admitted. */
 export type LimitAnswer =
   | { readonly type: 'in' }
   | { readonly type: 'over', readonly retryAfterMs: number }
 
 const burstSeconds = 1
 const minuteMs = 60_000
-const retryStreamsMs = 1000
+const streamRetryAfterMs = 1000
 
-/** A bucket that refills at a rate. Its level may fall under zero by one charge. */
+/** A token bucket whose level may be overdrawn by one charge. */
 class Bucket {
   #level = 0
   #at: number | null = null
 
-  refill (at: number, perMs: number, most: number): void {
-    if (this.#at === null) this.#level = most
-    else this.#level = Math.min(most, this.#level + (at - this.#at) * perMs)
+  refill (at: number, perMs: number, capacity: number): void {
+    if (this.#at === null) this.#level = capacity
+    else this.#level = Math.min(capacity, this.#level + (at - this.#at) * perMs)
     this.#at = at
   }
 
@@ -40,19 +40,19 @@
   #demand = 0
   #demandAt = 0
 
-  /** Requests in flight here. */
+  /** Number of requests in flight on this box. */
   get streams (): number { return this.#streams }
 
   /** Sets this box's share of the limits, 0 to 1. */
   set share (share: number) { this.#share = share }
   get share (): number { return this.#share }
 
-  /** Requests asked for a second, smoothed: what shares are divided by. */
+  /** Request rate per second, averaged with a time constant of 5 s; the basis for dividing limits. */
   getDemand (at: number): number {
     return this.#demand * Math.exp((this.#demandAt - at) / 5000)
   }
 
-  /** Lets a request in, or says when to come back. */
+  /** Admits a request, or returns a retry delay. */
   enter (at: number, limits: WorkspaceLimits, tokens: number): LimitAnswer {
     this.#noteDemand(at)
     const perMs = limits.requestsPerSecond * this.#share / 1000
@@ -61,14 +61,14 @@
     this.#tokens.refill(at, tokensPerMs, tokensPerMs * minuteMs / 6)
     if (this.#requests.level < 1) return { type: 'over', retryAfterMs: (1 - this.#requests.level) / perMs }
     if (this.#tokens.level <= 0) return { type: 'over', retryAfterMs: (1 - this.#tokens.level) / tokensPerMs }
-    if (this.#streams >= Math.max(1, limits.streams * this.#share)) return { type: 'over', retryAfterMs: retryStreamsMs }
+    if (this.#streams >= Math.max(1, limits.streams * this.#share)) return { type: 'over', retryAfterMs: streamRetryAfterMs }
     this.#requests.charge(1)
     this.#tokens.charge(tokens)
     this.#streams += 1
     return { type: 'in' }
   }
 
-  /** A request that was let in has ended; `tokens` is what it took beyond its estimate. */
+  /** Releases an admitted request. `tokens`: difference between its actual and estimated tokens. */
   leave (tokens: number): void {
     this.#streams -= 1
     this.#tokens.charge(tokens)
@@ -80,20 +80,21 @@
   }
 }
 
-const evenShare = 0.2
+const evenFraction = 0.2
 
 /**
- * Divides a limit among boxes by their demand, a fifth of it evenly, so that a
- * box without demand can begin at once. The shares add up to 1.
+ * This box's share of a limit: a fifth of the limit is divided evenly among all
+ * boxes, the rest by demand, so that a box without recent demand can serve at
+ * once. The shares of all boxes add up to 1.
  */
-export function divideLimit (own: number, others: readonly number[]): number {
-  const boxes = others.length + 1
-  const total = others.reduce((sum, one) => sum + one, own)
-  const byDemand = total === 0 ? 1 / boxes : own / total
-  return evenShare / boxes + (1 - evenShare) * byDemand
+export function divideLimit (ownDemand: number, otherDemands: readonly number[]): number {
+  const boxes = otherDemands.length + 1
+  const total = otherDemands.reduce((sum, one) => sum + one, ownDemand)
+  const byDemand = total === 0 ? 1 / boxes : ownDemand / total
+  return evenFraction / boxes + (1 - evenFraction) * byDemand
 }
 
-/** A box as it counts for dividing limits. */
+/** A box among which limits are divided. */
 export interface LimitSharer {
   readonly id: string
   readonly zone: string
@@ -101,9 +102,9 @@
 }
 
 /**
- * The boxes among which limits are divided. A box that is gone gives its share
- * up, unless its whole zone is gone: that zone is taken to be cut off and to
- * spend its last share, so both sides together stay within the limit.
+ * The boxes among which limits are divided. A box that has failed is left out,
+ * unless its whole zone has: that zone is assumed to be partitioned and still
+ * using its last shares, so that both sides together stay within the limit.
  */
 export function listSharers (boxes: readonly LimitSharer[]): LimitSharer[] {
   const present = new Set(boxes.filter(box => !box.isGone).map(box => box.zone))
