--- a/test/crash-watch.test.ts
+++ b/test/crash-watch.test.ts
@@ -1,7 +1,8 @@
 /**
- * What is held against a request under which endpoints ended. Beside one that
- * ended 21 endpoints in twelve seconds, a dozen that harmed nobody were sent four
- * times and lost four endpoints: the ends alone don't tell them apart.
+ * Evidence against requests during which endpoints crashed. Guards against
+ * quarantining harmless requests: while one request crashed 21 endpoints in twelve
+ * seconds, a dozen harmless ones were each sent four times and lost four endpoints,
+ * so the number of crashes alone does not tell them apart.
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
@@ -10,102 +11,102 @@
 import type { CrashNews, EndpointEnd, Fingerprint, Ruling } from '../src/core/index.js'
 
 const request = brandId<Fingerprint>('request')
-const other = brandId<Fingerprint>('other')
+const otherRequest = brandId<Fingerprint>('other')
 const endpoints = 12
-function listV1 (): ReadonlySet<string> { return new Set(['desk v1']) }
+function listVersion1 (): ReadonlySet<string> { return new Set(['desk v1']) }
 
-/** Ends at these times, s; `ms`: how long each of the named requests had run there. */
-function composeEnds (times: readonly number[], runs: Readonly<Record<string, number>>, name = 'e', software = 'v1'): EndpointEnd[] {
+/** Crashes at these times, s. `runs`: how long each request had been running, ms. */
+function composeCrashes (times: readonly number[], runs: Readonly<Record<string, number>>, name = 'e', software = 'v1'): EndpointEnd[] {
   return times.map((at, i) => ({ endpoint: brandId(`${name}${i}`), born: 1000 + at, service: brandId('desk'), software, ageMs: 60_000 - at * 1000, runs: Object.entries(runs).map(([fingerprint, ms]) => [brandId(fingerprint), ms]) }))
 }
 
-function createWatch (ends: readonly EndpointEnd[], at = 60_000): CrashWatch {
+function createWatch (crashes: readonly EndpointEnd[], at = 60_000): CrashWatch {
   const watch = new CrashWatch(() => endpoints)
-  watch.merge({ ends, entries: [] }, at)
+  watch.merge({ ends: crashes, entries: [] }, at)
   return watch
 }
 
-const cases: readonly { name: string, ends: readonly EndpointEnd[], ruling: Ruling['type'] }[] = [
-  { name: 'three ends of short runs', ends: composeEnds([10, 11, 12], { request: 60 }), ruling: 'refused' },
-  { name: 'two ends of short runs', ends: composeEnds([10, 11], { request: 60 }), ruling: 'suspect' },
-  { name: 'three ends of runs of three seconds', ends: composeEnds([10, 20, 30], { request: 3000 }), ruling: 'suspect' },
-  { name: 'six ends of runs of three seconds', ends: composeEnds([1, 5, 10, 15, 20, 25], { request: 3000 }), ruling: 'refused' },
-  { name: 'six ends of runs of three seconds, beside others now and then', ends: [...composeEnds([1, 5, 10, 15, 20, 25], { request: 3000 }), ...composeEnds([2, 6, 12, 18, 24, 28, 33, 38], { other: 300 }, 'others')], ruling: 'refused' },
-  { name: 'six ends of runs of three seconds, while all endpoints end all the time', ends: [...composeEnds([1, 5, 10, 15, 20, 25], { request: 3000 }), ...composeEnds(Array.from({ length: 120 }, (_, i) => i / 4), { other: 300 }, 'others')], ruling: 'suspect' },
-  { name: 'three ends, each beside a rack of four that failed without it', ends: [...composeEnds([10, 20, 30], { request: 400 }), ...composeEnds([10, 10, 10, 10, 20, 20, 20, 20, 30, 30, 30, 30], { other: 400 }, 'rack')], ruling: 'suspect' },
-  { name: 'an endpoint that ends every two seconds, thrice under it', ends: Array.from({ length: 12 }, (_, i) => ({ ...composeEnds([2 * i], i % 4 === 0 ? { request: 200 } : { other: 200 })[0] })), ruling: 'suspect' },
-  { name: 'another request that was at all these ends, and at more', ends: [...composeEnds([10, 11, 12], { request: 60, other: 60 }), ...composeEnds([13], { other: 60 }, 'more')], ruling: 'suspect' },
-  { name: 'ends of another request', ends: composeEnds([10, 11, 12], { other: 60 }), ruling: 'free' },
-  { name: 'one that was answered since', ends: composeEnds([10, 11, 12], { request: 60 }).map(end => ({ ...end, runs: [[request, null]] })), ruling: 'free' }
+const cases: readonly { name: string, crashes: readonly EndpointEnd[], ruling: Ruling['type'] }[] = [
+  { name: 'three crashes during short runs', crashes: composeCrashes([10, 11, 12], { request: 60 }), ruling: 'refused' },
+  { name: 'two crashes during short runs', crashes: composeCrashes([10, 11], { request: 60 }), ruling: 'suspect' },
+  { name: 'three crashes during runs of three seconds', crashes: composeCrashes([10, 20, 30], { request: 3000 }), ruling: 'suspect' },
+  { name: 'six crashes during runs of three seconds', crashes: composeCrashes([1, 5, 10, 15, 20, 25], { request: 3000 }), ruling: 'refused' },
+  { name: 'six crashes during runs of three seconds, with occasional other crashes', crashes: [...composeCrashes([1, 5, 10, 15, 20, 25], { request: 3000 }), ...composeCrashes([2, 6, 12, 18, 24, 28, 33, 38], { other: 300 }, 'others')], ruling: 'refused' },
+  { name: 'six crashes during runs of three seconds, while all endpoints crash constantly', crashes: [...composeCrashes([1, 5, 10, 15, 20, 25], { request: 3000 }), ...composeCrashes(Array.from({ length: 120 }, (_, i) => i / 4), { other: 300 }, 'others')], ruling: 'suspect' },
+  { name: 'three crashes, each together with a rack of four endpoints that did not run it', crashes: [...composeCrashes([10, 20, 30], { request: 400 }), ...composeCrashes([10, 10, 10, 10, 20, 20, 20, 20, 30, 30, 30, 30], { other: 400 }, 'rack')], ruling: 'suspect' },
+  { name: 'an endpoint that crashes every two seconds, three times while running it', crashes: Array.from({ length: 12 }, (_, i) => ({ ...composeCrashes([2 * i], i % 4 === 0 ? { request: 200 } : { other: 200 })[0] })), ruling: 'suspect' },
+  { name: 'another request that was running during all of these crashes and one more', crashes: [...composeCrashes([10, 11, 12], { request: 60, other: 60 }), ...composeCrashes([13], { other: 60 }, 'more')], ruling: 'suspect' },
+  { name: 'crashes during another request', crashes: composeCrashes([10, 11, 12], { other: 60 }), ruling: 'free' },
+  { name: 'a request that has been answered since', crashes: composeCrashes([10, 11, 12], { request: 60 }).map(end => ({ ...end, runs: [[request, null]] })), ruling: 'free' }
 ]
 
-for (const { name, ends, ruling } of cases) {
-  test(`${name}: ${ruling}`, () => assert.equal(createWatch(ends).rule(request, listV1, 60_000).type, ruling))
+for (const { name, crashes, ruling } of cases) {
+  test(`${name}: ${ruling}`, () => assert.equal(createWatch(crashes).rule(request, listVersion1, 60_000).type, ruling))
 }
 
-test('both of two requests at the same ends are held harmful only after six', () => {
-  const five = composeEnds([10, 11, 12, 13, 14], { request: 60, other: 60 })
-  assert.equal(createWatch(five).rule(other, listV1, 60_000).type, 'suspect')
-  const watch = createWatch([...five, ...composeEnds([15], { request: 60 }, 'alone')])
-  assert.deepEqual([request, other].map(one => watch.rule(one, listV1, 60_000).type), ['refused', 'suspect'])
+test('two requests running during the same crashes are considered harmful only from the sixth crash', () => {
+  const five = composeCrashes([10, 11, 12, 13, 14], { request: 60, other: 60 })
+  assert.equal(createWatch(five).rule(otherRequest, listVersion1, 60_000).type, 'suspect')
+  const watch = createWatch([...five, ...composeCrashes([15], { request: 60 }, 'alone')])
+  assert.deepEqual([request, otherRequest].map(one => watch.rule(one, listVersion1, 60_000).type), ['refused', 'suspect'])
 })
 
-const harmful = composeEnds([10, 11, 12], { request: 60 })
-/** What is heard after a request was put in quarantine, and what may be done with it then. */
-const later: readonly { name: string, at: number, labels?: readonly string[], hear: (watch: CrashWatch, at: number) => unknown, ruling: Ruling['type'], again?: number }[] = [
-  { name: 'software that it has not ended', at: 61_000, labels: ['desk v1', 'desk v2'], hear: () => {}, ruling: 'trial' },
-  { name: 'a trial that ended the new software too', at: 61_000, labels: ['desk v1', 'desk v2'], hear: (watch, at) => watch.merge({ ends: composeEnds([60], { request: 60 }, 'new', 'v2'), entries: [] }, at), ruling: 'refused' },
-  { name: 'a trial that the new software answered', at: 61_000, labels: ['desk v1', 'desk v2'], hear: (watch, at) => watch.noteAnswered(request, 'desk v2', at), ruling: 'sound' },
-  { name: 'the same, with the old software alone left', at: 61_000, hear: (watch, at) => watch.noteAnswered(request, 'desk v2', at), ruling: 'refused' },
-  { name: 'its time is over', at: 700_000, hear: () => {}, ruling: 'trial' },
-  { name: 'its time is over, and the trial ended one more', at: 700_000, hear: (watch, at) => watch.merge({ ends: [{ ...harmful[0], endpoint: brandId('late'), ageMs: 0 }], entries: [] }, at), ruling: 'refused' },
-  { name: 'its time is over, and it was answered', at: 700_000, hear: (watch, at) => watch.noteAnswered(request, 'desk v1', at), ruling: 'free' },
-  { name: 'an operator lifted it', at: 61_000, hear: (watch, at) => watch.lift(request, at), ruling: 'free' },
-  { name: 'more ends of sends that were under way', at: 61_000, hear: (watch, at) => watch.merge({ ends: composeEnds([13, 14], { request: 60 }, 'under-way'), entries: [] }, at), ruling: 'refused' }
+const harmful = composeCrashes([10, 11, 12], { request: 60 })
+/** Events after a request was quarantined, and the resulting ruling. */
+const followUps: readonly { name: string, at: number, labels?: readonly string[], apply: (watch: CrashWatch, at: number) => unknown, ruling: Ruling['type'], again?: number }[] = [
+  { name: 'there is software that it has not crashed', at: 61_000, labels: ['desk v1', 'desk v2'], apply: () => {}, ruling: 'trial' },
+  { name: 'a trial crashed the new software too', at: 61_000, labels: ['desk v1', 'desk v2'], apply: (watch, at) => watch.merge({ ends: composeCrashes([60], { request: 60 }, 'new', 'v2'), entries: [] }, at), ruling: 'refused' },
+  { name: 'the new software answered a trial', at: 61_000, labels: ['desk v1', 'desk v2'], apply: (watch, at) => watch.noteAnswered(request, 'desk v2', at), ruling: 'sound' },
+  { name: 'the new software answered a trial, but only the old one is left', at: 61_000, apply: (watch, at) => watch.noteAnswered(request, 'desk v2', at), ruling: 'refused' },
+  { name: 'the refusal has expired', at: 700_000, apply: () => {}, ruling: 'trial' },
+  { name: 'the refusal has expired, and the trial crashed another endpoint', at: 700_000, apply: (watch, at) => watch.merge({ ends: [{ ...harmful[0], endpoint: brandId('late'), ageMs: 0 }], entries: [] }, at), ruling: 'refused' },
+  { name: 'the refusal has expired, and the request was answered', at: 700_000, apply: (watch, at) => watch.noteAnswered(request, 'desk v1', at), ruling: 'free' },
+  { name: 'an operator lifted it', at: 61_000, apply: (watch, at) => watch.lift(request, at), ruling: 'free' },
+  { name: 'attempts already in flight crash more endpoints', at: 61_000, apply: (watch, at) => watch.merge({ ends: composeCrashes([13, 14], { request: 60 }, 'under-way'), entries: [] }, at), ruling: 'refused' }
 ]
 
-for (const { name, at, labels = ['desk v1'], hear, ruling } of later) {
+for (const { name, at, labels = ['desk v1'], apply, ruling } of followUps) {
   test(`in quarantine, then ${name}: ${ruling}`, () => {
     const watch = createWatch(harmful)
-    hear(watch, at)
+    apply(watch, at)
     assert.equal(watch.rule(request, () => new Set(labels), at).type, ruling)
   })
 }
 
-test('a request is refused for ten minutes, then for twenty, and what was under way adds nothing', () => {
+test('a request is refused for ten minutes, then for twenty; crashes from attempts in flight do not extend this', () => {
   const watch = createWatch(harmful)
-  watch.merge({ ends: composeEnds([13, 14], { request: 60 }, 'under-way'), entries: [] }, 60_000)
+  watch.merge({ ends: composeCrashes([13, 14], { request: 60 }, 'under-way'), entries: [] }, 60_000)
   assert.deepEqual(watch.list(60_000).entries.map(({ round, leftMs }) => [round, leftMs]), [[1, 600_000]])
   watch.merge({ ends: [{ ...harmful[0], endpoint: brandId('late'), ageMs: 0 }], entries: [] }, 700_000)
   assert.deepEqual(watch.list(700_000).entries.map(({ round, leftMs }) => [round, leftMs]), [[2, 1_200_000]])
 })
 
-test('what is kept stays bounded against new harmful requests without end', () => {
+test('the state stays bounded under an endless stream of new harmful requests', () => {
   const watch = new CrashWatch(() => endpoints)
-  for (let i = 0; i < 3000; i++) watch.merge({ ends: composeEnds([0, 0, 0], { [`request-${i}`]: 5 }, `e${i}-`).map(end => ({ ...end, ageMs: 0 })), entries: [] }, i * 100)
+  for (let i = 0; i < 3000; i++) watch.merge({ ends: composeCrashes([0, 0, 0], { [`request-${i}`]: 5 }, `e${i}-`).map(end => ({ ...end, ageMs: 0 })), entries: [] }, i * 100)
   const { ends, entries } = watch.list(300_000)
   assert.ok(ends.length <= 200 && entries.length <= 1000, `${ends.length} ends, ${entries.length} entries`)
   assert.ok(watch.find(brandId('request-2999')) !== undefined)
 })
 
-const run = fc.tuple(fc.constantFrom('a', 'b', 'c').map(name => brandId<Fingerprint>(name)), fc.option(fc.integer({ min: 1, max: 500 }), { nil: null }))
-const end = fc.record({ number: fc.integer({ min: 0, max: 6 }), runs: fc.array(run, { maxLength: 3 }) })
-const words: fc.Arbitrary<EndpointEnd[]> = fc.array(end, { maxLength: 12 }).map(list => list.map(({ number, runs }) => ({ endpoint: brandId(`e${number}`), born: 1, service: brandId('desk'), software: 'v1', ageMs: 0, runs })))
+const drawRun = fc.tuple(fc.constantFrom('a', 'b', 'c').map(name => brandId<Fingerprint>(name)), fc.option(fc.integer({ min: 1, max: 500 }), { nil: null }))
+const drawCrash = fc.record({ number: fc.integer({ min: 0, max: 6 }), runs: fc.array(drawRun, { maxLength: 3 }) })
+const drawReports: fc.Arbitrary<EndpointEnd[]> = fc.array(drawCrash, { maxLength: 12 }).map(list => list.map(({ number, runs }) => ({ endpoint: brandId(`e${number}`), born: 1, service: brandId('desk'), software: 'v1', ageMs: 0, runs })))
 
-function sortNews ({ ends, entries }: CrashNews): unknown {
-  const told = ends.map(({ endpoint, runs }) => [endpoint, [...runs].sort()] as const).sort()
-  return [told, entries.map(({ fingerprint, state }) => [fingerprint, state]).sort()]
+function sortUpdate ({ ends, entries }: CrashNews): unknown {
+  const crashes = ends.map(({ endpoint, runs }) => [endpoint, [...runs].sort()] as const).sort()
+  return [crashes, entries.map(({ fingerprint, state }) => [fingerprint, state]).sort()]
 }
 
-test('boxes that heard the same words in any order, and passed on only what was news, know the same ends', () => {
-  fc.assert(fc.property(words, fc.integer(), (list, seed) => {
-    const shuffled = [...list].sort((a, b) => (JSON.stringify(a).length * seed) % 7 - (JSON.stringify(b).length * seed) % 7)
-    const [one, two, third] = [0, 0, 0].map(() => new CrashWatch(() => endpoints))
-    const passed = list.map(word => one.merge({ ends: [word], entries: [] }, 1000))
-    for (const word of shuffled) two.merge({ ends: [word], entries: [] }, 1000)
-    for (const news of passed) third.merge(news, 1000)
-    const known = sortNews({ ...one.list(1000), entries: [] })
-    assert.deepEqual(sortNews({ ...two.list(1000), entries: [] }), known)
-    assert.deepEqual(sortNews({ ...third.list(1000), entries: [] }), known)
+test('boxes that receive the same reports in any order, or only the changes passed on, know the same crashes', () => {
+  fc.assert(fc.property(drawReports, fc.integer(), (reports, seed) => {
+    const shuffled = [...reports].sort((a, b) => (JSON.stringify(a).length * seed) % 7 - (JSON.stringify(b).length * seed) % 7)
+    const [ordered, reordered, relayed] = [0, 0, 0].map(() => new CrashWatch(() => endpoints))
+    const updates = reports.map(report => ordered.merge({ ends: [report], entries: [] }, 1000))
+    for (const report of shuffled) reordered.merge({ ends: [report], entries: [] }, 1000)
+    for (const update of updates) relayed.merge(update, 1000)
+    const known = sortUpdate({ ...ordered.list(1000), entries: [] })
+    assert.deepEqual(sortUpdate({ ...reordered.list(1000), entries: [] }), known)
+    assert.deepEqual(sortUpdate({ ...relayed.list(1000), entries: [] }), known)
   }), { numRuns: 500 })
 })
--- a/test/routes.test.ts
+++ b/test/routes.test.ts
@@ -45,9 +45,9 @@
 })
 
 const mistaken: readonly { name: string, document: RoutingDocument, found: RegExp | null }[] = [
-  { name: 'a sound document', document: createDocument(routes), found: null },
+  { name: 'a valid document', document: createDocument(routes), found: null },
   { name: 'an unknown service', document: createDocument([createRoute('a', { services: [{ service: brandId('nobody'), weight: 1 }] })]), found: /unknown service nobody/ },
-  { name: 'two routes in one place', document: createDocument([createRoute('a'), createRoute('b', { prefix: '/a/', host: 'CAMP.example' })]), found: /same host and prefix/ },
+  { name: 'two routes with the same host and prefix', document: createDocument([createRoute('a'), createRoute('b', { prefix: '/a/', host: 'CAMP.example' })]), found: /same host and prefix/ },
   { name: 'weights of 0', document: createDocument([createRoute('a', { services: [{ service: brandId('desk'), weight: 0 }] })]), found: /sum to 0/ },
   { name: 'a negative weight', document: createDocument([createRoute('a', { services: [{ service: brandId('desk'), weight: 3 }, { service: brandId('desk'), weight: -1 }] })]), found: /below 0/ },
   { name: 'no time-out', document: createDocument([createRoute('a', { timeoutMs: 0 })]), found: /time-out of route a is 0/ },
@@ -55,7 +55,7 @@
 ]
 
 for (const { name, document, found } of mistaken) {
-  test(`${name}: ${found === null ? 'taken' : 'refused'}`, () => {
+  test(`${name}: ${found === null ? 'accepted' : 'rejected'}`, () => {
     const mistakes = findDocumentMistakes(document)
     if (found === null) assert.deepEqual(mistakes, [])
     else assert.match(mistakes.join('\n'), found)
@@ -70,7 +70,7 @@
 
 const ranks: readonly (readonly [route: number, workspace: number | null, rank: number])[] = [[0, 0, 0], [0, 1, 1], [0, null, 1], [1, 0, 2], [2, 1, 5], [9, 1, 9]]
 
-test('the kind of request goes before the workspace, so that no draft puts back a question', () => {
+test('the priority of the route precedes that of the workspace, so that no draft delays a question', () => {
   for (const [priority, of, rank] of ranks) {
     const workspace: KeyedWorkspace | null = of === null ? null : { name: brandId('w'), keys: [], priority: of }
     assert.equal(rankRequest(createRoute('a', { priority }), workspace, 2), rank, `${priority} ${of}`)
--- a/test/scheduler.test.ts
+++ b/test/scheduler.test.ts
@@ -9,16 +9,16 @@
 const lookup: RequestClass = { ...quick, name: brandId<ClassName>('lookup') }
 const draft: RequestClass = { ...quick, name: brandId<ClassName>('draft'), priority: 4, mayWait: true, firstTokenMs: 10_000, maxWaitMs: 60_000 }
 
-function build (engines = 1, places = 2, floorPlaces = 1): Scheduler {
+function createScheduler (engines = 1, places = 2, floorPlaces = 1): Scheduler {
   const specs: EngineSpec[] = Array.from({ length: engines }, (_, i) => ({ id: brandId<EngineId>(`e${i}`), models: [model], places, floorPlaces, prefillMs: 50 }))
   return new Scheduler({ ...defaultTuning, classes: [quick, lookup, draft], engines: specs }, () => 0.5)
 }
 
-function submit (request: string, of: RequestClass, at = 0, more: Partial<Submission> = {}): SchedulerEvent {
+function submit (request: string, requestClass: RequestClass, at = 0, more: Partial<Submission> = {}): SchedulerEvent {
   return {
     type: 'submit',
     at,
-    submission: { request: brandId<RequestId>(request), attempt: 1, box: brandId<BoxId>('b'), class: of.name, workspace: brandId<WorkspaceName>('w'), model, promptTokens: 100, prefix: null, deadline: at + of.firstTokenMs, exclude: [], resumed: false, ...more }
+    submission: { request: brandId<RequestId>(request), attempt: 1, box: brandId<BoxId>('b'), class: requestClass.name, workspace: brandId<WorkspaceName>('w'), model, promptTokens: 100, prefix: null, deadline: at + requestClass.firstTokenMs, exclude: [], resumed: false, ...more }
   }
 }
 
@@ -26,11 +26,11 @@
   return { type: 'end', at, request: brandId<RequestId>(request), attempt: 1, how, tokens: 20 }
 }
 
-function tell (actions: readonly SchedulerAction[]): string[] {
-  return actions.map(tellOne)
+function describeActions (actions: readonly SchedulerAction[]): string[] {
+  return actions.map(describeAction)
 }
 
-function tellOne (action: SchedulerAction): string {
+function describeAction (action: SchedulerAction): string {
   switch (action.type) {
     case 'grant': return `grant ${action.request} ${action.engine}`
     case 'refuse': return `refuse ${action.request} ${action.reason}`
@@ -39,18 +39,18 @@
   }
 }
 
-/** Steps in order, each with what it must lead to. */
+/** Events in order, each with the expected actions. */
 interface Case {
   readonly name: string
   readonly engines?: number
   readonly steps: readonly (readonly [SchedulerEvent, readonly string[]])[]
 }
 
-const id = (name: string): EngineId => brandId<EngineId>(name)
+const nameEngine = (name: string): EngineId => brandId<EngineId>(name)
 
 const cases: readonly Case[] = [
   {
-    name: 'an engine that asked to back off gets nothing until that is over, though another stream of it goes on well',
+    name: 'an engine that asked for a back-off gets no requests until it expires, even if another of its streams succeeds',
     engines: 2,
     steps: [
       [submit('d1', draft), ['grant d1 e0']],
@@ -65,7 +65,7 @@
     ]
   },
   {
-    name: 'a quick request pauses a draft, never the other way round',
+    name: 'an interactive request pauses a draft, never the reverse',
     steps: [
       [submit('d1', draft), ['grant d1 e0']],
       [submit('d2', draft), ['grant d2 e0']],
@@ -76,7 +76,7 @@
     ]
   },
   {
-    name: 'quick requests never take the floor place, and are refused only for their own excess',
+    name: 'interactive requests never use the reserved place and are refused only for their own excess',
     steps: [
       [submit('q1', quick), ['grant q1 e0']],
       [submit('q2', quick), ['grant q2 e0']],
@@ -86,7 +86,7 @@
     ]
   },
   {
-    name: 'a place that frees goes to the quick request that waits, not to an older draft',
+    name: 'a freed place goes to the queued interactive request, not to an older draft',
     steps: [
       [submit('q1', quick), ['grant q1 e0']],
       [submit('q2', quick), ['grant q2 e0']],
@@ -98,7 +98,7 @@
     ]
   },
   {
-    name: 'a waiting request is given up on at once when its target cannot be met',
+    name: 'a queued request is refused as soon as its target cannot be met',
     steps: [
       [submit('q1', quick), ['grant q1 e0']],
       [submit('q2', quick), ['grant q2 e0']],
@@ -108,7 +108,7 @@
     ]
   },
   {
-    name: 'word of an older attempt changes nothing',
+    name: 'events of an older attempt are ignored',
     steps: [
       [submit('q1', quick, 0, { attempt: 7 }), ['grant q1 e0']],
       [end('q1', 10), []],
@@ -117,19 +117,19 @@
     ]
   },
   {
-    name: 'a leaving engine gets no new work',
+    name: 'a draining engine gets no new requests',
     engines: 2,
     steps: [
-      [{ type: 'drain', at: 0, engine: id('e0'), leaving: true }, []],
+      [{ type: 'drain', at: 0, engine: nameEngine('e0'), leaving: true }, []],
       [submit('q1', quick), ['grant q1 e1']],
       [submit('q2', quick), ['grant q2 e1']],
       [submit('q3', quick), ['refuse q3 overloaded']],
-      [{ type: 'drain', at: 1, engine: id('e0'), leaving: false }, []],
+      [{ type: 'drain', at: 1, engine: nameEngine('e0'), leaving: false }, []],
       [submit('q4', quick, 2), ['grant q4 e0']]
     ]
   },
   {
-    name: 'an engine that refuses connections is out at once, and probed after its back-off',
+    name: 'an engine that refuses connections is ejected at once and probed after its back-off',
     steps: [
       [submit('q1', quick), ['grant q1 e0']],
       [end('q1', 10, 'engine-unreachable'), []],
@@ -142,15 +142,15 @@
     ]
   },
   {
-    name: 'an engine that failed a request is not asked for it again',
+    name: 'a request is not sent again to an engine that failed it',
     engines: 2,
     steps: [
-      [submit('q1', quick, 0, { exclude: [id('e0')] }), ['grant q1 e1']],
-      [submit('q2', quick, 0, { exclude: [id('e0'), id('e1')] }), ['refuse q2 no-engine']]
+      [submit('q1', quick, 0, { exclude: [nameEngine('e0')] }), ['grant q1 e1']],
+      [submit('q2', quick, 0, { exclude: [nameEngine('e0'), nameEngine('e1')] }), ['refuse q2 no-engine']]
     ]
   },
   {
-    name: 'the requests of a box that is lost free their places',
+    name: 'requests of a lost box release their places',
     steps: [
       [submit('q1', quick), ['grant q1 e0']],
       [submit('q2', quick), ['grant q2 e0']],
@@ -159,15 +159,15 @@
     ]
   },
   {
-    name: 'a stream that a new owner is told of takes its place',
+    name: 'a stream that is adopted by a new owner occupies a place',
     steps: [
-      [{ ...(submit('q1', quick) as Extract<SchedulerEvent, { type: 'submit' }>), type: 'adopt', engine: id('e0') }, []],
+      [{ ...(submit('q1', quick) as Extract<SchedulerEvent, { type: 'submit' }>), type: 'adopt', engine: nameEngine('e0') }, []],
       [submit('q2', quick), ['grant q2 e0']],
       [submit('q3', quick), ['refuse q3 overloaded']]
     ]
   },
   {
-    name: 'a draft whose queue is full is told so',
+    name: 'a draft is refused when its queue is full',
     steps: [
       [submit('d0', draft), ['grant d0 e0']],
       [submit('d1', draft), ['grant d1 e0']],
@@ -180,13 +180,13 @@
 
 for (const { name, engines, steps } of cases) {
   test(name, () => {
-    const scheduler = build(engines)
-    for (const [event, expected] of steps) assert.deepEqual(tell(scheduler.step(event)), expected, JSON.stringify(event))
+    const scheduler = createScheduler(engines)
+    for (const [event, expected] of steps) assert.deepEqual(describeActions(scheduler.step(event)), expected, JSON.stringify(event))
   })
 }
 
-test('classes of one priority take turns, whatever the burst of one of them', () => {
-  const scheduler = build(1, 2, 0)
+test('classes of equal priority alternate, even during a burst of one of them', () => {
+  const scheduler = createScheduler(1, 2, 0)
   scheduler.step(submit('a', quick))
   scheduler.step(submit('b', quick))
   for (let i = 0; i < 5; i++) scheduler.step(submit(`q${i}`, quick, 0, { deadline: 1e9 }))
@@ -202,37 +202,37 @@
   assert.equal(order.filter(request => request.startsWith('l')).length, 2)
 })
 
-test('workspaces of one class take turns, whatever the burst of one of them', () => {
-  const scheduler = build(1, 1, 0)
+test('workspaces of one class alternate, even during a burst of one of them', () => {
+  const scheduler = createScheduler(1, 1, 0)
   scheduler.step(submit('a', quick))
   for (let i = 0; i < 6; i++) scheduler.step(submit(`big${i}`, quick, 0, { deadline: 1e9 }))
   scheduler.step(submit('small', quick, 0, { deadline: 1e9, workspace: brandId<WorkspaceName>('small') }))
-  const first = tell(scheduler.step(end('a', 1)))
+  const first = describeActions(scheduler.step(end('a', 1)))
   const request = first[0].split(' ')[1]
-  const second = tell(scheduler.step(end(request, 2)))
+  const second = describeActions(scheduler.step(end(request, 2)))
   assert.ok([...first, ...second].some(line => line.includes('small')), `${first} ${second}`)
 })
 
-test('an engine that is slow by its peers is kept for requests that may wait', () => {
-  const scheduler = build(4, 2, 1)
-  const report = (engine: string, stepMs: number, at: number): SchedulerEvent => ({ type: 'report', at, engine: id(engine), report: { running: 1, waiting: 0, kvUsed: 0, stepMs, leaving: false } })
+test('an engine slower than its peers serves deferrable requests only', () => {
+  const scheduler = createScheduler(4, 2, 1)
+  const report = (engine: string, stepMs: number, at: number): SchedulerEvent => ({ type: 'report', at, engine: nameEngine(engine), report: { running: 1, waiting: 0, kvUsed: 0, stepMs, leaving: false } })
   for (let at = 0; at < 20; at++) {
     for (const engine of ['e0', 'e1', 'e2', 'e3']) scheduler.step(report(engine, engine === 'e3' ? 150 : 30, at))
   }
   scheduler.step({ type: 'tick', at: 2000 })
-  const grants = Array.from({ length: 7 }, (_, i) => tell(scheduler.step(submit(`q${i}`, quick, 2000)))).flat()
+  const grants = Array.from({ length: 7 }, (_, i) => describeActions(scheduler.step(submit(`q${i}`, quick, 2000)))).flat()
   assert.ok(grants.slice(0, 6).every(line => line.startsWith('grant') && !line.endsWith('e3')), grants.join(' '))
   assert.ok(!grants[6]?.startsWith('grant'))
 })
 
-test('a cached prefix draws a request only while it saves more than it costs', () => {
-  const scheduler = build(2, 8, 0)
+test('a cached prefix attracts a request only if it saves more than it costs', () => {
+  const scheduler = createScheduler(2, 8, 0)
   const long = { promptTokens: 2000, prefix: 'p' }
-  assert.deepEqual(tell(scheduler.step(submit('a', quick, 0, long))), ['grant a e0'])
-  assert.deepEqual(tell(scheduler.step(submit('b', quick, 0, { promptTokens: 10 }))), ['grant b e1'])
-  assert.deepEqual(tell(scheduler.step(submit('c', quick, 0, long))), ['grant c e0'])
-  scheduler.step({ type: 'evicted', at: 1, engine: id('e0'), prefixes: ['p'] })
-  assert.deepEqual(tell(scheduler.step(submit('d', quick, 1, long))), ['grant d e1'])
+  assert.deepEqual(describeActions(scheduler.step(submit('a', quick, 0, long))), ['grant a e0'])
+  assert.deepEqual(describeActions(scheduler.step(submit('b', quick, 0, { promptTokens: 10 }))), ['grant b e1'])
+  assert.deepEqual(describeActions(scheduler.step(submit('c', quick, 0, long))), ['grant c e0'])
+  scheduler.step({ type: 'evicted', at: 1, engine: nameEngine('e0'), prefixes: ['p'] })
+  assert.deepEqual(describeActions(scheduler.step(submit('d', quick, 1, long))), ['grant d e1'])
 })
 
 const histories = [
@@ -241,17 +241,17 @@
 ]
 
 for (const { name, engines, from, count, steps } of histories) {
-  test(`the precedence rule holds in ${count} random histories of ${name}, and accepted drafts finish`, () => {
+  test(`the precedence rule holds in ${count} random histories of ${name}, and admitted drafts finish`, () => {
     let refused = 0
     let yielded = 0
-    let patient = 0
+    let deferrableFinished = 0
     for (let seed = from; seed < from + count; seed++) {
       const report = new SchedulerHistory(seed, engines).run(steps)
       assert.deepEqual(report.violations, [], `seed ${seed}`)
       refused += report.refused
       yielded += report.yielded
-      patient += report.patientFinished
+      deferrableFinished += report.patientFinished
     }
-    assert.ok(refused > count && yielded > count && patient > count, `${refused} refused, ${yielded} yielded, ${patient} patient`)
+    assert.ok(refused > count && yielded > count && deferrableFinished > count, `${refused} refused, ${yielded} yielded, ${deferrableFinished} drafts finished`)
   })
 }
--- a/test/support/limit-model.ts
+++ b/test/support/limit-model.ts
@@ -1,7 +1,7 @@
 /**
- * Boxes before endpoints that name rate limits, in virtual time: the searches,
- * desks and books of gateways, and the registry that gives permits. Callers come
- * at random; those that are refused come back once, when they were told to.
+ * Simulation in virtual time of boxes that send requests to rate-limited endpoints:
+ * the endpoint search and limit tracking of gateways, and the registry that issues
+ * permits. Requests arrive at random; a refused one is retried once, after Retry-After.
  */
 import { Fleet, NoticeBook, PermitIssuer, brandId } from '../../src/core/index.js'
 import type { EndpointRecord, EndpointView } from '../../src/core/index.js'
@@ -19,13 +19,13 @@
 /** A kind of request. */
 export interface KindShape {
   readonly priority: number
-  /** Requests a second, over all boxes. */
+  /** Requests per second, across all boxes. */
   readonly perSecond: number
-  /** When it ends, ms; never where it is left out. */
+  /** Time at which its requests stop, ms; absent: never. */
   readonly until?: number
 }
 
-/** What an endpoint asks of a box that it turns away. */
+/** Back-off of `ms` that an endpoint requests when it rejects a request, which it does with probability `share`. */
 export interface ModelBackoff {
   readonly share: number
   readonly ms: number
@@ -37,13 +37,13 @@
   readonly endpoints: number
   readonly kinds: readonly KindShape[]
   readonly lengthMs: number
-  /** Requests a second that an endpoint names at a time, null for no limit. */
+  /** Rate limit that an endpoint announces at a time, requests per second; null for no limit. */
   readonly limitOf: (endpoint: number, at: number) => number | null
-  /** Whether a box reaches the registry that gives permits; true where it is left out. */
+  /** Whether a box reaches the registry that issues permits; absent: true. */
   readonly isReached?: (box: number, at: number) => boolean
-  /** Whether a box stands still; false where it is left out. */
+  /** Whether a box is frozen; absent: false. */
   readonly isFrozen?: (box: number, at: number) => boolean
-  /** When another registry takes over; it knows what the others told, and gives nothing for `electionMs`. */
+  /** Time of a failover to another registry, ms; it knows all notices and issues no permits for `electionMs`. */
   readonly failoverAt?: number
   readonly backoffOf?: (endpoint: number, at: number) => ModelBackoff | null
 }
@@ -56,29 +56,29 @@
   readonly priority: number
 }
 
-/** How a request ended. */
-export interface ModelEnd {
+/** The outcome of a request. */
+export interface ModelOutcome {
   readonly arrivedAt: number
   readonly priority: number
   readonly box: number
-  /** From arrival until it was sent, ms; null where it was refused. */
+  /** Time from arrival until it was sent, ms; null if it was refused. */
   readonly waitMs: number | null
-  /** When its caller was told to come back, ms after it was refused. */
-  readonly afterMs: number | null
-  /** True for one that came back after it was refused. */
-  readonly isReturn: boolean
+  /** Retry-After of a refusal, ms. */
+  readonly retryAfterMs: number | null
+  /** True for the retry of a refused request. */
+  readonly isRetry: boolean
 }
 
 const targetMs = 400
 const answerMs = 20
-/** One way between a box and a registry, and from a box over its hub to the others, ms. */
+/** One-way latency between a box and a registry, and latency of notices from a box via its hub to the others, ms. */
 const linkMs = 1
-const spreadMs = 60
-const sweepMs = 40
-const lookMs = 15
+const noticeDelayMs = 60
+const sweepIntervalMs = 40
+const pollMs = 15
 const electionMs = 700
-/** A registry keeps the part of a box that it doesn't reach from then on, ms. */
-const silentMs = 1500
+/** Time after which the registry sets aside the share of an unreachable box, ms. */
+const silenceTimeoutMs = 1500
 
 interface ModelBox {
   readonly index: number
@@ -94,9 +94,9 @@
   isEnded = false
   readonly search: EndpointSearch<ModelSearcher>
   #send: (view: EndpointView) => void
-  #refuse: (afterMs: number | null) => void
+  #refuse: (retryAfterMs: number | null) => void
 
-  constructor (host: ExchangeHost<ModelSearcher>, order: Order, send: (view: EndpointView) => void, refuse: (afterMs: number | null) => void) {
+  constructor (host: ExchangeHost<ModelSearcher>, order: Order, send: (view: EndpointView) => void, refuse: (retryAfterMs: number | null) => void) {
     this.order = order
     this.#send = send
     this.#refuse = refuse
@@ -116,16 +116,16 @@
 
 export class LimitModel {
   readonly arrivals: Arrival[] = []
-  readonly ends: ModelEnd[] = []
-  /** Messages between boxes and the registry, both ways. */
+  readonly outcomes: ModelOutcome[] = []
+  /** Number of messages between boxes and the registry, both ways. */
   messages = 0
   #shape: LimitShape
   #queue = new EventQueue()
   #random: () => number
   #boxes: ModelBox[]
   #records: EndpointRecord[]
-  #book = new NoticeBook()
-  #issuer = new PermitIssuer(this.#book)
+  #notices = new NoticeBook()
+  #issuer = new PermitIssuer(this.#notices)
 
   constructor (shape: LimitShape) {
     this.#shape = shape
@@ -137,19 +137,19 @@
   run (): this {
     const { kinds, lengthMs, failoverAt } = this.#shape
     for (const kind of kinds) this.#scheduleNext(kind)
-    for (const box of this.#boxes) this.#tend(box)
-    if (failoverAt !== undefined) this.#queue.after(failoverAt, () => { this.#issuer = new PermitIssuer(this.#book) })
+    for (const box of this.#boxes) this.#poll(box)
+    if (failoverAt !== undefined) this.#queue.after(failoverAt, () => { this.#issuer = new PermitIssuer(this.#notices) })
     this.#queue.runUntil(lengthMs)
     return this
   }
 
-  /** The most arrivals at an endpoint in any `windowMs` that ends in a stretch of time. */
+  /** Maximum number of arrivals at an endpoint in any window of `windowMs` that ends between `from` and `until`. */
   countMost (endpoint: number, windowMs: number, from: number, until = Infinity, first = -Infinity): number {
     const times = this.arrivals.filter(one => one.endpoint === endpoint && one.at >= first).map(one => one.at)
     return countMost(times, windowMs, from, until)
   }
 
-  /** Arrivals at an endpoint in a stretch of time. */
+  /** Number of arrivals at an endpoint between `from` and `until`. */
   count (endpoint: number, from: number, until: number): number {
     return this.arrivals.filter(one => one.endpoint === endpoint && one.at >= from && one.at < until).length
   }
@@ -159,8 +159,8 @@
   #createBox (index: number): ModelBox {
     const now = (): number => this.#now
     const log = new EventLog(`box-${index}`, () => {})
-    const book = new NoticeBook()
-    const fleet = new Fleet(this.#records[0].zone, () => true, id => book.find(id))
+    const notices = new NoticeBook()
+    const fleet = new Fleet(this.#records[0].zone, () => true, id => notices.find(id))
     fleet.configure([{ ...engineService, engine: null }])
     fleet.applyRecords(this.#records)
     const held = new Set<ModelSearcher>()
@@ -171,10 +171,10 @@
       now,
       countBoxes: () => this.#shape.boxes,
       countHeld: (_service, priority) => [...held].filter(({ order }) => order.work.priority <= priority).length,
-      noteNews: () => this.#queue.after(spreadMs / 2, () => this.#tellHub(index)),
-      askIssuer: message => this.#ask(index, message),
+      noteNews: () => this.#queue.after(noticeDelayMs / 2, () => this.#sendNotices(index)),
+      askIssuer: message => this.#requestPermits(index, message),
       setIssuer: () => {}
-    }, book)
+    }, notices)
     const guard = { rule: () => ({ type: 'free' }), composeNarrowing: () => null } as unknown as ExchangeHost<ModelSearcher>['guard']
     const host = {
       fleet,
@@ -188,14 +188,14 @@
     return { index, fleet, limits, held, host }
   }
 
-  // What a gateway does now and then: looks at its calls and at what waits, the most urgent first.
-  #tend (box: ModelBox): void {
-    this.#queue.after(lookMs, () => {
+  // Periodic work of a gateway: checks its pending calls and retries held requests, most urgent first.
+  #poll (box: ModelBox): void {
+    this.#queue.after(pollMs, () => {
       if (!this.#isFrozen(box.index)) {
-        box.limits.check(this.#now - sweepMs / 2)
+        box.limits.check(this.#now - sweepIntervalMs / 2)
         for (const one of [...box.held].sort((a, b) => a.order.work.priority - b.order.work.priority)) one.search.retry()
       }
-      this.#tend(box)
+      this.#poll(box)
     })
   }
 
@@ -207,20 +207,20 @@
     })
   }
 
-  #arrive (index: number, priority: number, isReturn: boolean): void {
-    if (this.#isFrozen(index)) return void this.#queue.after(lookMs, () => this.#arrive(index, priority, isReturn))
+  #arrive (index: number, priority: number, isRetry: boolean): void {
+    if (this.#isFrozen(index)) return void this.#queue.after(pollMs, () => this.#arrive(index, priority, isRetry))
     const box = this.#boxes[index]
     const arrivedAt = this.#now
     const order = { work: createWork({ priority, targetMs }), service: desk, arrivedAt, holdUntil: arrivedAt + 5 * targetMs } as unknown as Order
     box.limits.noteArrival(order.work, arrivedAt)
-    const end = (waitMs: number | null, afterMs: number | null): void => { this.ends.push({ arrivedAt, priority, box: index, waitMs, afterMs, isReturn }) }
+    const addOutcome = (waitMs: number | null, retryAfterMs: number | null): void => { this.outcomes.push({ arrivedAt, priority, box: index, waitMs, retryAfterMs, isRetry }) }
     const searcher = new ModelSearcher(box.host, order, view => {
-      end(this.#now - arrivedAt, null)
+      addOutcome(this.#now - arrivedAt, null)
       this.#serve(box, view, priority)
-    }, afterMs => {
-      end(null, afterMs)
-      // Callers come back over any box.
-      if (afterMs !== null && !isReturn) this.#queue.after(afterMs, () => this.#arrive(Math.floor(this.#random() * this.#shape.boxes), priority, true))
+    }, retryAfterMs => {
+      addOutcome(null, retryAfterMs)
+      // Retries may arrive at any box.
+      if (retryAfterMs !== null && !isRetry) this.#queue.after(retryAfterMs, () => this.#arrive(Math.floor(this.#random() * this.#shape.boxes), priority, true))
     })
     searcher.search.start()
   }
@@ -241,23 +241,23 @@
   #isFrozen (box: number): boolean { return this.#shape.isFrozen?.(box, this.#now) ?? false }
   #isReached (box: number): boolean { return this.#shape.isReached?.(box, this.#now) ?? true }
 
-  // Notices go from a box to its hub, and on to all boxes that are reached from there.
-  #tellHub (index: number): void {
-    if (!this.#isReached(index)) return void this.#queue.after(spreadMs, () => this.#tellHub(index))
-    this.#book.merge(this.#boxes[index].limits.listUntold(), this.#now, brandId(`box-${index}`))
-    this.#queue.after(spreadMs / 2, () => {
-      for (const box of this.#boxes) if (this.#isReached(box.index)) box.limits.mergeNotices(this.#book.notices, brandId('hub'))
+  // Notices go from a box to its hub, and from there to all reachable boxes.
+  #sendNotices (index: number): void {
+    if (!this.#isReached(index)) return void this.#queue.after(noticeDelayMs, () => this.#sendNotices(index))
+    this.#notices.merge(this.#boxes[index].limits.listUntold(), this.#now, brandId(`box-${index}`))
+    this.#queue.after(noticeDelayMs / 2, () => {
+      for (const box of this.#boxes) if (this.#isReached(box.index)) box.limits.mergeNotices(this.#notices.notices, brandId('hub'))
     })
   }
 
-  #ask (index: number, message: RouteMessage): boolean {
+  #requestPermits (index: number, message: RouteMessage): boolean {
     if (message.type !== 'ask-permits') return false
     if (!this.#isReached(index)) return true
     this.messages += 1
     this.#queue.after(linkMs, () => {
       const { failoverAt } = this.#shape
       if (failoverAt !== undefined && this.#now >= failoverAt && this.#now < failoverAt + electionMs) return
-      this.#book.merge([message.notice], this.#now, brandId(`box-${index}`))
+      this.#notices.merge([message.notice], this.#now, brandId(`box-${index}`))
       this.#issuer.setShare(this.#computeShare())
       const grants = this.#issuer.give(message.notice.endpoint, message.wants, this.#now)
       const closed = this.#issuer.listClosedFor(message.notice.endpoint, grants, this.#now)
@@ -270,7 +270,7 @@
   }
 
   #computeShare (): number {
-    const silent = this.#boxes.filter(({ index }) => !this.#isReached(index) && this.#shape.isReached?.(index, this.#now - silentMs) === false).length
+    const silent = this.#boxes.filter(({ index }) => !this.#isReached(index) && this.#shape.isReached?.(index, this.#now - silenceTimeoutMs) === false).length
     return (this.#boxes.length - silent) / this.#boxes.length
   }
 }
--- a/test/support/pool-model.ts
+++ b/test/support/pool-model.ts
@@ -1,47 +1,47 @@
 /**
- * Boxes that share engines, in virtual time: the balancer's own decisions, loads
- * that boxes hear of one another late, and engines that read prompts in the order
- * in which they came. No sockets, no clock.
+ * Simulation in virtual time of boxes that share engines: the balancer's actual
+ * decisions, load reports that reach other boxes with a delay, and engines that
+ * prefill prompts in order of arrival. No sockets, no clock.
  */
 import { Fleet, LoadBook, brandId, subtractOwn } from '../../src/core/index.js'
 import type { BoxLoad, EndpointRecord, EndpointView, Placed, RoutedService, ServiceName, Work, ZoneName } from '../../src/core/index.js'
 import { createRandom } from '../../src/runtime/index.js'
 
-/** A kind of request: its rank, its target and the size of its middle prompt. */
+/** A kind of request; `promptTokens` is the mean prompt size. */
 export interface ModelKind {
   readonly name: string
   readonly level: number
   readonly targetMs: number
   readonly pauseMs: number
   readonly promptTokens: number
-  /** A caller leaves where nothing came for so long, ms. */
-  readonly leaveMs: number
-  /** Requests a second, over all boxes. */
+  /** Time without a response after which a caller disconnects, ms. */
+  readonly callerTimeoutMs: number
+  /** Requests per second, across all boxes. */
   readonly rate: number
 }
 
-/** What a history is played with. Times in ms. */
+/** Parameters of a simulation. Times in ms. */
 export interface PoolShape {
   readonly kinds: readonly ModelKind[]
   readonly boxes: number
   readonly engines: number
-  /** Tokens that an engine reads in a ms. */
-  readonly engineRate: number
-  /** How late boxes hear of one another; Infinity for never. */
-  readonly wordMs: number
+  /** Prefill rate of an engine. */
+  readonly tokensPerMs: number
+  /** Delay of load reports between boxes; Infinity for none. */
+  readonly loadDelayMs: number
   readonly lengthMs: number
-  /** How many times the usual comes at a time, of a kind. */
-  times (at: number, kind: string): number
+  /** Factor on the arrival rate of a kind at a time. */
+  loadFactor (at: number, kind: string): number
 }
 
-/** What became of one request. */
+/** A simulated request and its progress. */
 export interface ModelRequest {
   readonly kind: ModelKind
   readonly tokens: number
   readonly at: number
-  /** When it was refused, or its caller left before an engine began with it; null where neither came about. */
+  /** Time at which it was refused, or its caller disconnected while it was held; else null. */
   deniedAt: number | null
-  /** When it was sent to an engine. */
+  /** Time at which it was sent to an engine. */
   sentAt: number | null
   firstAt: number | null
 }
@@ -52,7 +52,7 @@
 }
 
 interface ModelEngine {
-  /** When it has read all that was sent to it. */
+  /** Time at which it has prefilled all prompts sent to it. */
   freeAt: number
 }
 
@@ -65,11 +65,11 @@
 }
 
 const tickMs = 5
-/** How often boxes look at what they hold: as the waiting line does. */
-const lookMs = 15
-/** How long a stream goes on after its first event. */
+/** Interval at which boxes retry held requests, the same as in a gateway. */
+const pollMs = 15
+/** Duration of a stream after its first event. */
 const streamMs = 400
-const clump = 4
+const batchSize = 4
 const service = brandId<ServiceName>('assistant')
 
 export class PoolModel {
@@ -79,7 +79,7 @@
   #boxes: ModelBox[]
   #engines = new Map<string, ModelEngine>()
   #reading: Reading[] = []
-  #told: { readonly at: number, readonly loads: readonly BoxLoad[] }[] = []
+  #sentLoads: { readonly at: number, readonly loads: readonly BoxLoad[] }[] = []
 
   constructor (shape: PoolShape, seed: number) {
     this.#shape = shape
@@ -94,22 +94,22 @@
     })
   }
 
-  /** Plays the history; the requests tell what came of it. */
-  play (): readonly ModelRequest[] {
+  /** Runs the simulation; returns all requests. */
+  run (): readonly ModelRequest[] {
     for (let at = 0; at < this.#shape.lengthMs; at += tickMs) {
-      this.#read(at)
-      this.#hear(at)
-      if (at % lookMs === 0) for (const box of this.#boxes) this.#look(box, at)
+      this.#advanceReading(at)
+      this.#deliverLoads(at)
+      if (at % pollMs === 0) for (const box of this.#boxes) this.#pollHeld(box, at)
       for (const kind of this.#shape.kinds) this.#arrive(kind, at)
     }
     return this.requests
   }
 
   #arrive (kind: ModelKind, at: number): void {
-    const chance = kind.rate * this.#shape.times(at, kind.name) * tickMs / 1000 / clump
-    for (let left = chance; left > 0; left -= 1) {
-      if (this.#random() >= left) continue
-      for (let i = 0; i < clump; i++) this.#ask(kind, at)
+    const expected = kind.rate * this.#shape.loadFactor(at, kind.name) * tickMs / 1000 / batchSize
+    for (let remaining = expected; remaining > 0; remaining -= 1) {
+      if (this.#random() >= remaining) continue
+      for (let i = 0; i < batchSize; i++) this.#ask(kind, at)
     }
   }
 
@@ -129,9 +129,9 @@
     box.fleet.noteHeld(composeWork(request), true)
   }
 
-  #look (box: ModelBox, at: number): void {
+  #pollHeld (box: ModelBox, at: number): void {
     for (const request of box.held) {
-      if (at - request.at < request.kind.leaveMs) continue
+      if (at - request.at < request.kind.callerTimeoutMs) continue
       request.deniedAt = at
       box.fleet.noteHeld(composeWork(request), false)
     }
@@ -151,14 +151,14 @@
     const { view, plan } = choice
     request.sentAt = at
     const engine = this.#engines.get(view.id) as ModelEngine
-    engine.freeAt = Math.max(at, engine.freeAt) + request.tokens / this.#shape.engineRate
+    engine.freeAt = Math.max(at, engine.freeAt) + request.tokens / this.#shape.tokensPerMs
     const placed = view.place(work, plan, at)
     fleet.noteBegun(work, at)
     this.#reading.push({ request, view, placed, firstAt: engine.freeAt, endsAt: engine.freeAt + streamMs })
     return true
   }
 
-  #read (at: number): void {
+  #advanceReading (at: number): void {
     for (const { request, view, placed, firstAt, endsAt } of this.#reading) {
       if (request.firstAt === null && firstAt <= at) {
         request.firstAt = firstAt
@@ -169,18 +169,18 @@
     this.#reading = this.#reading.filter(one => one.endsAt > at)
   }
 
-  // Every box hears what all had some time ago.
-  #hear (at: number): void {
-    const { wordMs } = this.#shape
-    if (wordMs === Infinity) return
-    this.#told.push({ at, loads: this.#boxes.map(({ fleet }) => fleet.composeLoad(at)) })
-    const [told] = this.#told
-    if (at - told.at < wordMs) return
-    this.#told.shift()
+  // Every box gets the loads that all boxes had `loadDelayMs` ago.
+  #deliverLoads (at: number): void {
+    const { loadDelayMs } = this.#shape
+    if (loadDelayMs === Infinity) return
+    this.#sentLoads.push({ at, loads: this.#boxes.map(({ fleet }) => fleet.composeLoad(at)) })
+    const [sent] = this.#sentLoads
+    if (at - sent.at < loadDelayMs) return
+    this.#sentLoads.shift()
     const book = new LoadBook()
-    told.loads.forEach((load, i) => book.note(brandId(`box-${i}`), brandId('zone-a'), load, at))
+    sent.loads.forEach((load, i) => book.note(brandId(`box-${i}`), brandId('zone-a'), load, at))
     const totals = book.sumOwn(at)
-    this.#boxes.forEach(({ fleet }, i) => fleet.noteOthers(subtractOwn(totals, told.loads[i]), at))
+    this.#boxes.forEach(({ fleet }, i) => fleet.noteOthers(subtractOwn(totals, sent.loads[i]), at))
   }
 }
 
