--- a/src/registry/services-in-force.ts
+++ b/src/registry/active-services.ts
@@ -3,7 +3,7 @@
 import type { Dialect } from '../protocol/index.js'
 
 /** The services of the document in force, read once for each version, and only where they are asked for. */
-export class ServicesInForce {
+export class ActiveServices {
   #dialect: Dialect
   #findNewest: () => VersionedText | null
   #version = 0
--- a/src/registry/crash-desk.ts
+++ b/src/registry/crash-replicator.ts
@@ -9,49 +9,49 @@
 import type { EventLog } from '../runtime/index.js'
 
 /** What the desk needs of its box. */
-export interface CrashDeskHost {
+export interface CrashReplicatorHost {
   readonly log: EventLog
   now (): number
   countEndpoints (service: ServiceName): number
   /** Tells gateways and the other registries. */
-  spread (news: CrashNews): void
+  broadcast (news: CrashNews): void
   save (entries: readonly QuarantineEntry[]): void
 }
 
-export class CrashDesk {
-  #host: CrashDeskHost
-  #watch: CrashWatch
-  #untold: Gatherer<CrashNews>
+export class CrashReplicator {
+  #host: CrashReplicatorHost
+  #crashes: CrashWatch
+  #unsent: Gatherer<CrashNews>
 
-  constructor (host: CrashDeskHost) {
+  constructor (host: CrashReplicatorHost) {
     this.#host = host
-    this.#watch = new CrashWatch(host.countEndpoints)
-    this.#untold = new Gatherer(gatherNewsMs, news => host.spread(joinNews(news)))
+    this.#crashes = new CrashWatch(host.countEndpoints)
+    this.#unsent = new Gatherer(gatherNewsMs, news => host.broadcast(joinNews(news)))
   }
 
   /** Everything that is known. */
-  get news (): CrashNews { return this.#watch.list(this.#host.now()) }
+  get state (): CrashNews { return this.#crashes.list(this.#host.now()) }
 
   /** Takes what was saved before this process started. */
-  restore (entries: readonly QuarantineEntry[]): void { this.#watch.merge({ ends: [], entries }, this.#host.now()) }
+  restore (entries: readonly QuarantineEntry[]): void { this.#crashes.merge({ ends: [], entries }, this.#host.now()) }
 
   /** Takes what another box tells. */
-  merge (news: CrashNews): void { this.#spread(this.#watch.merge(news, this.#host.now())) }
+  merge (news: CrashNews): void { this.#broadcast(this.#crashes.merge(news, this.#host.now())) }
 
   /** Lifts a quarantine by an operator's word; false where there is none. */
   lift (fingerprint: Fingerprint): boolean {
-    const news = this.#watch.lift(fingerprint, this.#host.now())
+    const news = this.#crashes.lift(fingerprint, this.#host.now())
     if (news === null) return false
     this.#host.log.info('quarantine-lifted', { fingerprint })
-    this.#spread(news)
+    this.#broadcast(news)
     return true
   }
 
-  #spread (news: CrashNews): void {
+  #broadcast (news: CrashNews): void {
     if (news.ends.length === 0 && news.entries.length === 0) return
-    this.#untold.add(news)
+    this.#unsent.add(news)
     if (news.entries.length === 0) return
     for (const entry of news.entries) this.#host.log.warn('quarantine', describeEntry(entry))
-    this.#host.save(this.news.entries)
+    this.#host.save(this.state.entries)
   }
 }
--- a/src/registry/document-announcer.ts
+++ b/src/registry/document-announcer.ts
@@ -12,14 +12,14 @@
   findNewest (): VersionedText | null
   /** True where nothing newer was accepted, but for what is on its way. */
   isCurrent (): boolean
-  tellGateways (message: RouteMessage): void
+  broadcastToGateways (message: RouteMessage): void
 }
 
 export class DocumentAnnouncer {
   #host: AnnouncerHost
   #recent = new RecentDocuments()
   /** Gateways were told that the document is the newest, under the present leader. */
-  #toldCurrent = false
+  #hasAnnouncedCurrent = false
 
   constructor (host: AnnouncerHost) {
     this.#host = host
@@ -28,23 +28,23 @@
   get newest (): VersionedText | null { return this.#recent.newest }
 
   /** The document in force for one who has the version `held`, 0 for none; null where there is no newer one. */
-  pack (held: number): PackedDocument | null { return this.#recent.pack(held) }
+  pack (heldVersion: number): PackedDocument | null { return this.#recent.pack(heldVersion) }
 
   /** Takes word that another leads, or none. */
-  noteRole (): void { this.#toldCurrent = false }
+  noteRole (): void { this.#hasAnnouncedCurrent = false }
 
   /** Looks at what is applied, and tells what is news of it. */
-  announce (): void {
+  announceChanges (): void {
     const newest = this.#host.findNewest()
-    const isNews = newest !== null && this.#recent.add(newest)
-    if (isNews) {
+    const isNew = newest !== null && this.#recent.add(newest)
+    if (isNew) {
       this.#host.log.info('document-in-force', { version: newest.version, bytes: newest.text.length })
       this.#host.metrics.gauge('document-version', newest.version)
     }
     const isCurrent = this.#host.isCurrent()
     // A gateway that has just started waits for a registry that is sure.
-    if (isNews || (isCurrent && !this.#toldCurrent)) this.#host.tellGateways(this.composeVersion())
-    this.#toldCurrent = isCurrent
+    if (isNew || (isCurrent && !this.#hasAnnouncedCurrent)) this.#host.broadcastToGateways(this.composeVersion())
+    this.#hasAnnouncedCurrent = isCurrent
   }
 
   composeVersion (): RouteMessage {
--- a/src/registry/duty-caller.ts
+++ b/src/registry/duty-client.ts
@@ -12,74 +12,74 @@
 import type { OutsideCall } from '../protocol/index.js'
 
 /** How a call ended; `not-held`: it was not made, as the duty is not this box's any more. */
-export type DutyEnd =
+export type DutyCallResult =
   | { readonly type: 'answered', readonly status: number }
   | { readonly type: 'failed', readonly reason: string }
   | { readonly type: 'not-held' }
 
 /** A connection that takes longer won't come about, ms: many times the way to the platform. */
-const connectMs = 400
+const connectTimeoutMs = 400
 
-export class DutyCaller {
+export class DutyClient {
   #address: Address
   /** A call that is answered later is reset, ms. */
-  readonly callMs: number
-  #open = new Set<Socket>()
-  #unsureAt = -Infinity
+  readonly callTimeoutMs: number
+  #sockets = new Set<Socket>()
+  #lastUnknownOutcomeAt = -Infinity
 
   constructor (address: Address, callMs: number) {
     this.#address = address
-    this.callMs = callMs
+    this.callTimeoutMs = callMs
   }
 
   /** The longest that a call takes from its start to its end, ms. */
-  get longestMs (): number { return connectMs + this.callMs }
+  get maxDurationMs (): number { return connectTimeoutMs + this.callTimeoutMs }
 
   /** Calls under way. */
-  get openCount (): number { return this.#open.size }
+  get openCount (): number { return this.#sockets.size }
 
   /** When a call last ended of which it isn't known whether it may still arrive, on the process's rising clock, ms. */
-  get unsureAt (): number { return this.#unsureAt }
+  get lastUnknownOutcomeAt (): number { return this.#lastUnknownOutcomeAt }
 
   /** Makes a call. `compose`: the call as it may go out at this moment; null where it may not. */
-  call (compose: () => OutsideCall | null): Promise<DutyEnd> {
+  call (compose: () => OutsideCall | null): Promise<DutyCallResult> {
     return new Promise(resolve => {
       const socket = connect(this.#address)
-      this.#open.add(socket)
+      this.#sockets.add(socket)
       let isWritten = false
-      let timer = setTimeout(() => end({ type: 'failed', reason: 'no connection' }), connectMs)
-      const end = (result: DutyEnd): void => {
+      let timer = setTimeout(() => finish({ type: 'failed', reason: 'no connection' }), connectTimeoutMs)
+      const finish = (result: DutyCallResult): void => {
         clearTimeout(timer)
-        if (!this.#open.delete(socket)) return
-        if (isWritten && result.type !== 'answered') this.#unsureAt = performance.now()
+        if (!this.#sockets.delete(socket)) return
+        if (isWritten && result.type !== 'answered') this.#lastUnknownOutcomeAt = performance.now()
         resolve(result)
         if (result.type === 'answered') socket.destroy()
         else resetSocket(socket)
       }
-      socket.on('error', error => end({ type: 'failed', reason: error.message }))
+      socket.on('error', error => finish({ type: 'failed', reason: error.message }))
       socket.once('connect', () => {
         clearTimeout(timer)
         const call = compose()
-        if (call === null) return end({ type: 'not-held' })
+        if (call === null) return finish({ type: 'not-held' })
         isWritten = true
-        timer = setTimeout(() => end({ type: 'failed', reason: 'no answer' }), this.callMs)
-        send(socket, call, end)
+        timer = setTimeout(() => finish({ type: 'failed', reason: 'no answer' }), this.callTimeoutMs)
+        send(socket, call, finish)
       })
     })
   }
 
   /** Resets all that is under way. */
   close (): void {
-    for (const socket of this.#open) resetSocket(socket)
+    for (const socket of this.#sockets) resetSocket(socket)
   }
 }
 
-function send (socket: Socket, { method, path, headers, body }: OutsideCall, end: (result: DutyEnd) => void): void {
+function send (socket: Socket, { method, path, headers, body }: OutsideCall, finish: (result: DutyCallResult) => void): void {
   const request = httpRequest({ createConnection: () => socket, method, path, headers: { ...headers, 'content-length': Buffer.byteLength(body), connection: 'close' } }, answer => {
     answer.resume()
-    answer.on('end', () => end({ type: 'answered', status: answer.statusCode ?? 0 }))
-    answer.on('error', error => end({ type: 'failed', reason: error.message }))
+    answer.on('end', () => finish({ type: 'answered', status: answer.statusCode ?? 0 }))
+    answer.on('error', error => finish({ type: 'failed', reason: error.message }))
   })
-  request.on('error', error => end({ type: 'failed', reason: error.message }))
+  request.on('error', error => finish({ type: 'failed', reason: error.message }))
   request.end(body)
 }
--- a/src/registry/endpoint-orders.ts
+++ b/src/registry/endpoint-scaler.ts
@@ -7,11 +7,11 @@
 import type { EndpointRecord, GroupWish, LoadTotals, RoutedService, ServiceName, SizingSight, ZoneName, ZoneSight } from '../core/index.js'
 import type { DutyCall } from '../protocol/index.js'
 import type { EventLog, Metrics } from '../runtime/index.js'
-import type { DutyEnd } from './duty-caller.js'
-import { describeEnd } from './usage-reporter.js'
+import type { DutyCallResult } from './duty-client.js'
+import { describeResult } from './usage-reporter.js'
 
 /** What the orders need of their box. */
-export interface EndpointOrdersHost {
+export interface EndpointScalerHost {
   readonly log: EventLog
   readonly metrics: Metrics
   now (): number
@@ -23,59 +23,59 @@
 }
 
 /** What was last told of a group. */
-interface Told {
+interface SentOrder {
   count: number
-  at: number
+  sentAt: number
   /** True where the other side took it. */
-  isTaken: boolean
-  isUnderWay: boolean
+  isAccepted: boolean
+  isPending: boolean
 }
 
 /** How often it is worked out what is wanted, ms. */
-const planMs = 500
+const planIntervalMs = 500
 /** After the other side refused, or didn't answer, it is told again after so long, ms: what was taken away may be had again after some seconds. */
-const againMs = 1000
+const retryIntervalMs = 1000
 /** A smaller number is told no sooner after the last, ms: what is sent back takes seconds to come again. */
-const lessMs = 3000
+const scaleDownIntervalMs = 3000
 /** What is still short of the number so long beyond the time that endpoints take to start is told again, ms. */
-const shortMs = 1500
+const bootGraceMs = 1500
 
-export class EndpointOrders {
-  #host: EndpointOrdersHost
+export class EndpointScaler {
+  #host: EndpointScalerHost
   #planners = new Map<ServiceName, SizePlanner>()
-  #told = new Map<string, Told>()
+  #lastOrders = new Map<string, SentOrder>()
   #plannedAt = -Infinity
 
-  constructor (host: EndpointOrdersHost) {
+  constructor (host: EndpointScalerHost) {
     this.#host = host
   }
 
   /** Tells what is due; to be called a few times a second by the holder alone. */
-  step (call: (call: DutyCall) => Promise<DutyEnd>): void {
+  step (call: (call: DutyCall) => Promise<DutyCallResult>): void {
     const at = this.#host.now()
-    if (at - this.#plannedAt < planMs) return
+    if (at - this.#plannedAt < planIntervalMs) return
     this.#plannedAt = at
     const loads = this.#host.sumLoads()
     for (const service of this.#host.listServices()) {
-      const sight = this.#look(service, loads, at)
-      if (sight === null) continue
-      for (const wish of this.#open(service.name).plan(sight)) this.#follow(wish, sight, call)
+      const observed = this.#observe(service, loads, at)
+      if (observed === null) continue
+      for (const wish of this.#findPlanner(service.name).plan(observed)) this.#sendIfDue(wish, observed, call)
     }
   }
 
   /** Forgets what was told: another may have told otherwise since. */
   reset (): void {
-    this.#told.clear()
+    this.#lastOrders.clear()
     this.#planners.clear()
   }
 
-  #open (service: ServiceName): SizePlanner {
+  #findPlanner (service: ServiceName): SizePlanner {
     const planner = this.#planners.get(service) ?? new SizePlanner(service)
     this.#planners.set(service, planner)
     return planner
   }
 
-  #look ({ name, sizing, engine }: RoutedService, loads: LoadTotals, at: number): SizingSight | null {
+  #observe ({ name, sizing, engine }: RoutedService, loads: LoadTotals, at: number): SizingSight | null {
     if (sizing === null) return null
     const records = this.#host.listRecords().filter(({ service }) => service === name)
     if (records.length === 0) return null
@@ -87,36 +87,36 @@
     return { at, sizing, slots: engine?.slots ?? Math.max(...records.map(({ slots }) => slots)), zones: countByZone(records), running, heldMs: rate === 0 ? 0 : heldTokens / rate * 1000 }
   }
 
-  #follow (wish: GroupWish, sight: SizingSight, call: (call: DutyCall) => Promise<DutyEnd>): void {
+  #sendIfDue (wish: GroupWish, observed: SizingSight, call: (call: DutyCall) => Promise<DutyCallResult>): void {
     const key = `${wish.service} ${wish.zone} ${wish.isSpot}`
-    const told = this.#told.get(key)
-    if (told !== undefined && !isDue(told, wish, sight)) return
-    const next: Told = { count: wish.count, at: sight.at, isTaken: false, isUnderWay: true }
-    this.#told.set(key, next)
-    void this.#order(wish, next, call)
+    const last = this.#lastOrders.get(key)
+    if (last !== undefined && !isDue(last, wish, observed)) return
+    const next: SentOrder = { count: wish.count, sentAt: observed.at, isAccepted: false, isPending: true }
+    this.#lastOrders.set(key, next)
+    void this.#send(wish, next, call)
   }
 
-  async #order (wish: GroupWish, told: Told, call: (call: DutyCall) => Promise<DutyEnd>): Promise<void> {
+  async #send (wish: GroupWish, order: SentOrder, call: (call: DutyCall) => Promise<DutyCallResult>): Promise<void> {
     const { service, zone, isSpot, count, why } = wish
-    const end = await call({ type: 'order-endpoints', service, zone, isSpot, count })
-    told.isUnderWay = false
-    told.isTaken = end.type === 'answered' && end.status >= 200 && end.status < 300
-    const fields = { service, zone, kind: isSpot ? 'spot' : 'ordinary', count, why, end: describeEnd(end) }
-    if (told.isTaken) this.#host.log.info('endpoints-ordered', fields)
+    const result = await call({ type: 'order-endpoints', service, zone, isSpot, count })
+    order.isPending = false
+    order.isAccepted = result.type === 'answered' && result.status >= 200 && result.status < 300
+    const fields = { service, zone, kind: isSpot ? 'spot' : 'ordinary', count, why, end: describeResult(result) }
+    if (order.isAccepted) this.#host.log.info('endpoints-ordered', fields)
     else this.#host.log.warn('endpoints-not-ordered', fields)
-    this.#host.metrics.count('endpoint-orders', { end: describeEnd(end) })
+    this.#host.metrics.count('endpoint-orders', { end: describeResult(result) })
   }
 }
 
-function isDue (told: Told, wish: GroupWish, { at, sizing, zones }: SizingSight): boolean {
-  if (told.isUnderWay) return false
-  const sinceMs = at - told.at
-  if (!told.isTaken) return sinceMs >= againMs
-  if (wish.count > told.count) return true
-  if (wish.count < told.count) return sinceMs >= lessMs
-  const sight = zones.find(({ zone }) => zone === wish.zone)
-  const have = (wish.isSpot ? sight?.spot : sight?.ordinary) ?? 0
-  return have < wish.count && sinceMs >= sizing.bootMs + shortMs
+function isDue (last: SentOrder, wish: GroupWish, { at, sizing, zones }: SizingSight): boolean {
+  if (last.isPending) return false
+  const sinceMs = at - last.sentAt
+  if (!last.isAccepted) return sinceMs >= retryIntervalMs
+  if (wish.count > last.count) return true
+  if (wish.count < last.count) return sinceMs >= scaleDownIntervalMs
+  const counts = zones.find(({ zone }) => zone === wish.zone)
+  const current = (wish.isSpot ? counts?.spot : counts?.ordinary) ?? 0
+  return current < wish.count && sinceMs >= sizing.bootMs + bootGraceMs
 }
 
 function countByZone (records: readonly EndpointRecord[]): ZoneSight[] {
--- a/src/registry/index.ts
+++ b/src/registry/index.ts
@@ -1,7 +1,7 @@
 /** The program that keeps the routing document and the directory of endpoints. */
 export { RegistryBox } from './registry-box.js'
-export type { RegistrySurroundings } from './registry-surroundings.js'
-export { isSavedPrompt } from './saved-kinds.js'
+export type { RegistryDependencies as RegistrySurroundings } from './registry-dependencies.js'
+export { isSavedPrompt } from './saved-item-guards.js'
 export { PromptBatches, listBatches } from './prompt-batches.js'
-export { EndpointDesk } from './endpoint-desk.js'
+export { EndpointTracker as EndpointDesk } from './endpoint-tracker.js'
 export { LoadHub } from './load-hub.js'
--- a/src/registry/known-hosts.ts
+++ b/src/registry/known-hosts.ts
@@ -5,14 +5,14 @@
 
 /** The other registries that a registry knows, each called until it is forgotten. Seeds are never forgotten. */
 export class KnownHosts {
-  #own: string
+  #ownHost: string
   #linkPort: number
   #links: LinkPool<RouteMessage>
   #hosts = new Set<string>()
   #seeds: readonly string[] = []
 
-  constructor (own: string, linkPort: number, links: LinkPool<RouteMessage>) {
-    this.#own = own
+  constructor (ownHost: string, linkPort: number, links: LinkPool<RouteMessage>) {
+    this.#ownHost = ownHost
     this.#linkPort = linkPort
     this.#links = links
   }
@@ -23,22 +23,22 @@
   /** Takes other seeds, as addresses for operators; those known before stay known. */
   setSeeds (addresses: readonly string[]): void {
     this.#seeds = addresses.map(address => parseAddress(address).host)
-    for (const host of this.#seeds) this.meet(host)
+    for (const host of this.#seeds) this.add(host)
   }
 
   /** Meets the members of the log: seeds may all be gone by the time that a box starts again. */
-  meetMembers (replica: Replica | null): void {
+  addMembers (replica: Replica | null): void {
     if (replica === null) return
-    for (const member of [...replica.members.voters, ...replica.members.learners]) this.meet(getReplicaHost(member))
+    for (const member of [...replica.members.voters, ...replica.members.learners]) this.add(getReplicaHost(member))
   }
 
-  meet (host: string): void {
-    if (host === this.#own || this.#hosts.has(host)) return
+  add (host: string): void {
+    if (host === this.#ownHost || this.#hosts.has(host)) return
     this.#hosts.add(host)
     this.#links.dial(host, this.#linkPort)
   }
 
-  forget (host: string): void {
+  remove (host: string): void {
     if (this.#seeds.includes(host)) return
     this.#hosts.delete(host)
     this.#links.hangUp(host, this.#linkPort)
--- /dev/null
+++ b/src/registry/leader-client.ts
@@ -0,0 +1,140 @@
+/**
+ * Documents on their way to the leader: proposed here where this registry
+ * leads, else passed on over a link. While no leader is known the call waits,
+ * as long as its caller would.
+ */
+import type { KeeperLog, ReplicaId, VersionedText } from '../coordination/index.js'
+import type { Link, PutEnd, RouteMessage } from '../protocol/index.js'
+
+/** What the calls need of their box. */
+export interface LeaderClientHost {
+  readonly log: KeeperLog
+  findLink (replica: ReplicaId): Link<RouteMessage> | undefined
+}
+
+/** How a read ended. */
+export interface ReadResult {
+  readonly isConfirmed: boolean
+  readonly document: VersionedText | null
+}
+
+type AnswerMessage = Extract<RouteMessage, { type: 'put-end' | 'read-end' }>
+
+/** Operators try elsewhere after a second without an answer; the answer must be there before, ms. */
+const callTimeoutMs = 850
+/** Pause before the leader is looked for again, ms. */
+const retryPauseMs = 40
+
+const unconfirmed: ReadResult = { isConfirmed: false, document: null }
+
+export class LeaderClient {
+  #host: LeaderClientHost
+  #lastCall = 0
+  #pendingCalls = new Map<number, (answer: AnswerMessage | null) => void>()
+
+  constructor (host: LeaderClientHost) {
+    this.#host = host
+  }
+
+  /** Puts a document in force; an older or equal version is held without a change. */
+  async put (document: VersionedText): Promise<PutEnd> {
+    const deadline = performance.now() + callTimeoutMs
+    while (performance.now() < deadline) {
+      const newest = this.#host.log.state.routing.newest
+      if (newest !== null && newest.version >= document.version) return 'held'
+      const end = await this.#tryPut(document, deadline)
+      if (end !== null) return end
+      await pause(retryPauseMs)
+    }
+    return 'unknown'
+  }
+
+  /** Reads the newest document; unsure where no quorum confirms it in time. */
+  async read (): Promise<ReadResult> {
+    const deadline = performance.now() + callTimeoutMs
+    while (performance.now() < deadline) {
+      const end = await this.#tryRead(deadline)
+      if (end.isConfirmed) return end
+      await pause(retryPauseMs)
+    }
+    return unconfirmed
+  }
+
+  /** Puts a document that another registry passed on; only the leader may take it. */
+  async putLocally (document: VersionedText): Promise<PutEnd | null> {
+    const { log } = this.#host
+    if (!log.isLeader) return null
+    const end = await log.propose({ part: 'routing', command: { type: 'put', document } })
+    switch (end.type) {
+      case 'applied': return (end.result as { type: 'taken' | 'held' }).type
+      case 'lost': return 'unknown'
+      case 'rejected': return null
+    }
+  }
+
+  async readLocally (): Promise<ReadResult> {
+    const { log } = this.#host
+    if (!log.isLeader || !await log.read()) return unconfirmed
+    return { isConfirmed: true, document: log.state.routing.newest }
+  }
+
+  /** Answers a call that another registry passed on. */
+  async serve (link: Link<RouteMessage>, message: Extract<RouteMessage, { type: 'put' | 'read' }>): Promise<void> {
+    const { call } = message
+    if (message.type === 'put') return void link.send({ type: 'put-end', call, end: await this.putLocally(message.document) ?? 'not-leader' })
+    const { isConfirmed: sure, document } = await this.readLocally()
+    const isNewer = document !== null && document.version > message.version
+    link.send({ type: 'read-end', call, sure, document: isNewer ? document : null })
+  }
+
+  /** Takes the leader's answer to a call that was passed on. */
+  handleAnswer (answer: AnswerMessage): void {
+    this.#pendingCalls.get(answer.call)?.(answer)
+  }
+
+  // Null where the leader is not known, or said that it leads no more.
+  async #tryPut (document: VersionedText, deadline: number): Promise<PutEnd | null> {
+    if (this.#host.log.isLeader) return await withDeadline(this.putLocally(document), deadline, 'unknown')
+    const answer = await this.#callLeader(call => ({ type: 'put', call, document }), deadline)
+    if (answer === null) return null
+    if (answer.type !== 'put-end') return 'unknown'
+    return answer.end === 'not-leader' ? null : answer.end
+  }
+
+  async #tryRead (deadline: number): Promise<ReadResult> {
+    const { log } = this.#host
+    if (log.isLeader) return await withDeadline(this.readLocally(), deadline, unconfirmed)
+    const local = log.state.routing.newest
+    const answer = await this.#callLeader(call => ({ type: 'read', call, version: local?.version ?? 0 }), deadline)
+    if (answer === null || answer.type !== 'read-end' || !answer.sure) return unconfirmed
+    return { isConfirmed: true, document: answer.document ?? local }
+  }
+
+  #callLeader (compose: (call: number) => RouteMessage, deadline: number): Promise<AnswerMessage | null> {
+    const { leader } = this.#host.log
+    const link = leader === null ? undefined : this.#host.findLink(leader)
+    if (link === undefined) return Promise.resolve(null)
+    this.#lastCall += 1
+    const call = this.#lastCall
+    return new Promise(resolve => {
+      const timer = setTimeout(() => finish(null), Math.max(0, deadline - performance.now()))
+      const finish = (answer: AnswerMessage | null): void => {
+        clearTimeout(timer)
+        this.#pendingCalls.delete(call)
+        resolve(answer)
+      }
+      this.#pendingCalls.set(call, finish)
+      link.send(compose(call))
+    })
+  }
+}
+
+function pause (ms: number): Promise<void> {
+  return new Promise(resolve => setTimeout(resolve, ms))
+}
+
+function withDeadline<T> (result: Promise<T>, deadline: number, fallback: T): Promise<T> {
+  let timer: NodeJS.Timeout
+  const timeout = new Promise<T>(resolve => { timer = setTimeout(() => resolve(fallback), Math.max(0, deadline - performance.now())) })
+  return Promise.race([result, timeout]).finally(() => clearTimeout(timer))
+}
--- a/src/registry/load-hub.ts
+++ b/src/registry/load-hub.ts
@@ -24,13 +24,13 @@
 }
 
 /** A gateway that tells this hub its work: its newest word, and where it came from. */
-interface Teller extends WordNumber {
+interface ReportingGateway extends WordNumber {
   readonly host: string
   readonly port: number
 }
 
 /** Another hub's newest word, and where it came from. */
-interface OtherHub extends WordNumber {
+interface PeerHub extends WordNumber {
   readonly host: string
 }
 
@@ -40,7 +40,7 @@
   | { readonly type: 'tell' }
 
 /** Totals are told no more often than this, ms: below what an engine reads a prompt in. */
-const leastIntervalMs = 10
+const minIntervalMs = 10
 /** Part of a core's time, in ms for each gateway and interval, that telling may take: about 1,000 datagrams a second in all. */
 const intervalPerGatewayMs = 1
 /**
@@ -49,44 +49,44 @@
  */
 const intervalPerEndpointMs = 0.8
 /** Totals older than this are worth little, ms. */
-const mostIntervalMs = 300
+const maxIntervalMs = 300
 /** Without a change words go out this often, ms: they are also the sign that the hub lives, for which a gateway waits some four of them. */
-const beatMs = 100
+const heartbeatMs = 100
 /** The same between hubs, ms: three fit into the time after which what waits no longer counts. */
-const hubBeatMs = 180
+const peerHeartbeatMs = 180
 /** All hubs are told the whole sum this often, and gateways the speeds of engines, ms: hubs without gateways too, as one of them may be chosen at any time. */
-const wholeMs = 500
+const fullSumIntervalMs = 500
 /** Datagrams that wait to be read; more are dropped, as the network may. */
-const mostWaiting = 5000
+const maxQueuedInputs = 5000
 
 export class LoadHub {
   #host: LoadHubHost
   #datagrams: DatagramPort
-  #inbox = new Inbox<Input>(mostWaiting)
-  #book = new LoadBook()
+  #inbox = new Inbox<Input>(maxQueuedInputs)
+  #loads = new LoadBook()
   /** Prompts for the other hubs, of the own gateways, and for the own gateways, of all. */
-  #promptsToHubs = new PromptRelay()
+  #promptsToPeers = new PromptRelay()
   #promptsToGateways = new PromptRelay()
   /** What engines hold, as all gateways told it. */
   readonly prompts = new PromptBook()
   /** What endpoints say of themselves, as all gateways told it. */
   readonly notices = new NoticeBook()
-  #noticesToHubs = new NoticeTeller(this.notices)
+  #noticesToPeers = new NoticeTeller(this.notices)
   #noticesToGateways = new NoticeTeller(this.notices)
-  #tellers = new Map<BoxId, Teller>()
-  #others = new Map<BoxId, OtherHub>()
+  #gateways = new Map<BoxId, ReportingGateway>()
+  #peers = new Map<BoxId, PeerHub>()
   /** On which all hubs listen. */
   #port = 0
-  #allToldAt = -Infinity
-  #gapsToldAt = -Infinity
-  #start = randomInt(startLimit)
-  #number = 0
+  #fullSumSentAt = -Infinity
+  #gapsSentAt = -Infinity
+  #incarnation = randomInt(startLimit)
+  #sequence = 0
   /** When it was last looked at what is to be told. */
-  #lookedAt = -Infinity
-  #toGateways = new LastWord(beatMs)
-  #toHubs = new LastWord(hubBeatMs)
-  #news = new SumTeller()
-  #endpointsTold = 0
+  #publishedAt = -Infinity
+  #lastToGateways = new LastMessage(heartbeatMs)
+  #lastToPeers = new LastMessage(peerHeartbeatMs)
+  #sumEncoder = new SumTeller()
+  #publishedEndpointCount = 0
   #isScheduled = false
   /** True where no gateway tells this hub its work, and the others know. */
   #isIdle = true
@@ -99,12 +99,12 @@
       receive: (bytes, from, port) => this.#inbox.offer({ type: 'datagram', bytes, host: from, port }),
       noteFault: error => host.log.warn('load-port-fault', { error: error.message })
     })
-    this.#inbox.run(input => this.#take(input))
+    this.#inbox.run(input => this.#handle(input))
   }
 
   /** Begins to listen; resolves with the port. */
   listen (host: string, port: number): Promise<number> {
-    this.#timer = setInterval(() => this.#inbox.post({ type: 'tick' }), beatMs / 2)
+    this.#timer = setInterval(() => this.#inbox.post({ type: 'tick' }), heartbeatMs / 2)
     this.#port = port
     return this.#datagrams.open(host, port)
   }
@@ -112,7 +112,7 @@
   /** The work of all boxes, as it stands here. */
   sumLoads (): LoadTotals {
     const now = this.#host.now()
-    return this.#book.sumAll(this.#book.sumOwn(now), now)
+    return this.#loads.sumAll(this.#loads.sumOwn(now), now)
   }
 
   /** What endpoints say of themselves, for operators. */
@@ -137,65 +137,65 @@
   }
 
   get #intervalMs (): number {
-    const wantedMs = Math.max(this.#tellers.size * intervalPerGatewayMs, this.#endpointsTold * intervalPerEndpointMs)
-    return Math.min(mostIntervalMs, Math.max(leastIntervalMs, wantedMs))
+    const loadDependentMs = Math.max(this.#gateways.size * intervalPerGatewayMs, this.#publishedEndpointCount * intervalPerEndpointMs)
+    return Math.min(maxIntervalMs, Math.max(minIntervalMs, loadDependentMs))
   }
 
-  #take (input: Input): void {
+  #handle (input: Input): void {
     switch (input.type) {
       case 'datagram': return this.#receive(input.bytes, input.host, input.port)
       case 'tick': return this.#tick()
-      case 'tell': return this.#tell()
+      case 'tell': return this.#publish()
     }
   }
 
   #receive (bytes: Buffer, host: string, port: number): void {
-    const word = decodeLoadWord(bytes)
-    if (word === null) return this.#receiveSum(bytes, host)
-    const { box, zone, start, number, load } = word
-    if (!isNewerWord(word, this.#tellers.get(box))) return
-    this.takeNotices(word.notices, box)
-    if (load === null) return this.#release(box)
+    const report = decodeLoadWord(bytes)
+    if (report === null) return this.#receivePeerSum(bytes, host)
+    const { box, zone, start, number, load } = report
+    if (!isNewerWord(report, this.#gateways.get(box))) return
+    this.mergeNotices(report.notices, box)
+    if (load === null) return this.#removeGateway(box)
     // Who is new knows no engine's speed.
-    if (!this.#tellers.has(box)) this.#gapsToldAt = -Infinity
-    this.#tellers.set(box, { host, port, start, number })
+    if (!this.#gateways.has(box)) this.#gapsSentAt = -Infinity
+    this.#gateways.set(box, { host, port, start, number })
     this.#isIdle = false
     const now = this.#host.now()
-    this.#book.note(box, zone, load, now)
-    this.#promptsToHubs.take(load.prompts, now)
-    this.#takePrompts(load.prompts, now)
-    this.#schedule()
+    this.#loads.note(box, zone, load, now)
+    this.#promptsToPeers.take(load.prompts, now)
+    this.#mergePrompts(load.prompts, now)
+    this.#schedulePublish()
   }
 
   // Another hub tells the box's work from now on: here it would count twice.
-  #release (box: BoxId): void {
-    if (!this.#tellers.delete(box)) return
-    this.#book.forget(box)
+  #removeGateway (box: BoxId): void {
+    if (!this.#gateways.delete(box)) return
+    this.#loads.forget(box)
     this.#host.log.info('gateway-moved', { gateway: box })
-    this.#schedule()
+    this.#schedulePublish()
   }
 
-  #receiveSum (bytes: Buffer, host: string): void {
-    const word = decodeHubWord(bytes)
-    if (word === null || !isNewerWord(word, this.#others.get(word.hub))) return
-    const { hub, start, number, news } = word
+  #receivePeerSum (bytes: Buffer, host: string): void {
+    const message = decodeHubWord(bytes)
+    if (message === null || !isNewerWord(message, this.#peers.get(message.hub))) return
+    const { hub, start, number, news: sum } = message
     // Who is new knows nothing of the words before.
-    if (this.#others.get(hub)?.start !== start) this.#allToldAt = -Infinity
-    this.#others.set(hub, { start, number, host })
+    if (this.#peers.get(hub)?.start !== start) this.#fullSumSentAt = -Infinity
+    this.#peers.set(hub, { start, number, host })
     const now = this.#host.now()
-    this.#book.noteSum(hub, news, now)
-    this.#takePrompts(news.prompts, now)
-    this.takeNotices(word.notices, hub)
-    if (this.#tellers.size > 0) this.#schedule()
+    this.#loads.noteSum(hub, sum, now)
+    this.#mergePrompts(sum.prompts, now)
+    this.mergeNotices(message.notices, hub)
+    if (this.#gateways.size > 0) this.#schedulePublish()
   }
 
   /** Takes what endpoints say of themselves, as another box knows it. */
-  takeNotices (notices: readonly EndpointNotice[], from: BoxId): void {
+  mergeNotices (notices: readonly EndpointNotice[], from: BoxId): void {
     const now = this.#host.now()
     for (const notice of this.notices.merge(notices.filter(({ endpoint }) => this.#host.findService(endpoint) !== undefined), now, from)) {
-      this.#noticesToHubs.note(notice, now)
+      this.#noticesToPeers.note(notice, now)
       this.#noticesToGateways.note(notice, now)
-      this.#schedule()
+      this.#schedulePublish()
     }
   }
 
@@ -204,90 +204,90 @@
     for (const { id, stage } of records) if (stage === 'gone') this.notices.forget(id)
   }
 
-  #takePrompts (prompts: readonly ReadPrompt[], at: number): void {
+  #mergePrompts (prompts: readonly ReadPrompt[], at: number): void {
     this.prompts.note(this.#promptsToGateways.take(prompts, at))
   }
 
   #tick (): void {
     const now = this.#host.now()
-    for (const box of this.#book.forgetSilent(now)) {
-      this.#others.delete(box)
-      if (this.#tellers.delete(box)) this.#host.log.warn('gateway-silent', { gateway: box })
+    for (const box of this.#loads.forgetSilent(now)) {
+      this.#peers.delete(box)
+      if (this.#gateways.delete(box)) this.#host.log.warn('gateway-silent', { gateway: box })
     }
-    if (this.#toGateways.isDue(now) || this.#toHubs.isDue(now)) this.#tell()
+    if (this.#lastToGateways.isDue(now) || this.#lastToPeers.isDue(now)) this.#publish()
   }
 
   // Changes of one interval share a datagram.
-  #schedule (): void {
+  #schedulePublish (): void {
     if (this.#isScheduled) return
     this.#isScheduled = true
-    const waitMs = Math.max(0, this.#lookedAt + this.#intervalMs - this.#host.now())
+    const waitMs = Math.max(0, this.#publishedAt + this.#intervalMs - this.#host.now())
     setTimeout(() => this.#inbox.post({ type: 'tell' }), waitMs)
   }
 
-  #tell (): void {
+  #publish (): void {
     this.#isScheduled = false
     if (this.#closed || this.#isIdle) return
     // Without gateways of its own the hub says so once.
-    this.#isIdle = this.#tellers.size === 0
+    this.#isIdle = this.#gateways.size === 0
     const now = this.#host.now()
-    this.#lookedAt = now
-    const own = this.#book.sumOwn(now)
-    this.#tellHubs({ ...own, prompts: this.#promptsToHubs.draw() }, now)
-    const sum = this.#book.sumAll(own, now)
-    this.#endpointsTold = sum.loads.length
-    this.#tellGateways({ ...sum, prompts: this.#promptsToGateways.draw() }, now)
+    this.#publishedAt = now
+    const ownTotals = this.#loads.sumOwn(now)
+    this.#sendToPeers({ ...ownTotals, prompts: this.#promptsToPeers.draw() }, now)
+    const allTotals = this.#loads.sumAll(ownTotals, now)
+    this.#publishedEndpointCount = allTotals.loads.length
+    this.#sendToGateways({ ...allTotals, prompts: this.#promptsToGateways.draw() }, now)
   }
 
-  #tellGateways (sum: LoadTotals, now: number): void {
-    const tellsGaps = now - this.#gapsToldAt >= wholeMs
-    const news = encodeNews({ ...sum, isWhole: true, gone: [], gaps: tellsGaps ? sum.gaps : null })
+  #sendToGateways (totals: LoadTotals, now: number): void {
+    const hasGaps = now - this.#gapsSentAt >= fullSumIntervalMs
+    const encodedTotals = encodeNews({ ...totals, isWhole: true, gone: [], gaps: hasGaps ? totals.gaps : null })
     const notices = this.#noticesToGateways.draw(now)
-    if (!this.#toGateways.take(news, now, tellsGaps || sum.prompts.length > 0 || notices.length > 0)) return
-    if (tellsGaps) this.#gapsToldAt = now
-    const told = encodeNotices(notices)
-    const word = { start: this.#start, number: this.#nextNumber(), intervalMs: this.#intervalMs }
-    for (const { host, port, number } of this.#tellers.values()) {
-      this.#datagrams.send(encodeTotalsWord({ ...word, ownNumber: number }, news, told), host, port)
+    if (!this.#lastToGateways.update(encodedTotals, now, hasGaps || totals.prompts.length > 0 || notices.length > 0)) return
+    if (hasGaps) this.#gapsSentAt = now
+    const encodedNotices = encodeNotices(notices)
+    const header = { start: this.#incarnation, number: this.#nextSequence(), intervalMs: this.#intervalMs }
+    for (const { host, port, number } of this.#gateways.values()) {
+      this.#datagrams.send(encodeTotalsWord({ ...header, ownNumber: number }, encodedTotals, encodedNotices), host, port)
     }
   }
 
   // Hubs that have gateways are told at once, the others now and then.
-  #tellHubs (own: LoadTotals, now: number): void {
-    const tellsAll = now - this.#allToldAt >= wholeMs
-    const notices = this.#noticesToHubs.draw(now)
-    if (!this.#toHubs.take(encodeNews({ ...own, isWhole: true, gone: [] }), now, own.prompts.length > 0 || notices.length > 0) && !tellsAll) return
-    if (tellsAll) this.#allToldAt = now
-    const hosts = tellsAll ? this.#host.listOthers() : [...this.#others.values()].map(other => other.host)
+  #sendToPeers (ownTotals: LoadTotals, now: number): void {
+    const isFull = now - this.#fullSumSentAt >= fullSumIntervalMs
+    const notices = this.#noticesToPeers.draw(now)
+    if (!this.#lastToPeers.update(encodeNews({ ...ownTotals, isWhole: true, gone: [] }), now, ownTotals.prompts.length > 0 || notices.length > 0) && !isFull) return
+    if (isFull) this.#fullSumSentAt = now
+    const hosts = isFull ? this.#host.listOthers() : [...this.#peers.values()].map(other => other.host)
     if (hosts.length === 0) return
-    const bytes = encodeHubWord({ hub: this.#host.id, start: this.#start, number: this.#nextNumber(), news: this.#news.compose(own, tellsAll), notices })
+    const bytes = encodeHubWord({ hub: this.#host.id, start: this.#incarnation, number: this.#nextSequence(), news: this.#sumEncoder.compose(ownTotals, isFull), notices })
     for (const host of hosts) this.#datagrams.send(bytes, host, this.#port)
   }
 
-  #nextNumber (): number {
-    this.#number += 1
-    return this.#number
+  #nextSequence (): number {
+    this.#sequence += 1
+    return this.#sequence
   }
 }
 
 /** What was last told to some, so that it is told again only once it has changed, or as a sign of life. */
-class LastWord {
-  #beatMs: number
+class LastMessage {
+  #maxSilenceMs: number
   #bytes: Buffer | null = null
-  #at = -Infinity
+  #sentAt = -Infinity
 
   /** `beatMs`: how often it is told at least. */
-  constructor (beatMs: number) {
-    this.#beatMs = beatMs
+  constructor (maxSilenceMs: number) {
+    this.#maxSilenceMs = maxSilenceMs
   }
 
-  isDue (at: number): boolean { return at - this.#at >= this.#beatMs }
+  isDue (at: number): boolean { return at - this.#sentAt >= this.#maxSilenceMs }
 
   /** True where these bytes are to be told now; `hasNews`: even if they are the same. */
-  take (bytes: Buffer, at: number, hasNews: boolean): boolean {
-    if (!hasNews && !this.isDue(at) && this.#bytes?.equals(bytes) === true) return false
+  update (bytes: Buffer, at: number, mustSend: boolean): boolean {
+    if (!mustSend && !this.isDue(at) && this.#bytes?.equals(bytes) === true) return false
     this.#bytes = bytes
-    this.#at = at
+    this.#sentAt = at
     return true
   }
 }
--- a/src/registry/open-log.ts
+++ b/src/registry/open-log.ts
@@ -6,23 +6,23 @@
 /** Pause before a disk that refuses is tried again, ms. */
 const diskRetryMs = 150
 /** The second part of the ids of the replicas that begin a log. */
-const firstDisk = 'first'
+const initialDiskId = 'first'
 
 /** What the log needs of its box, beside what the settings say. */
-type LogHost = Omit<Parameters<typeof KeeperLog.open>[1], 'timing' | 'snapshotEvery'>
+type KeeperLogHost = Omit<Parameters<typeof KeeperLog.open>[1], 'timing' | 'snapshotEvery'>
 
 /** Opens a registry's log; a disk that refuses is tried again until it gives way. `isSeed`: whether the registry may be among those that begin it. */
-export async function openRegistryLog (settings: RegistrySettings, isSeed: boolean, log: EventLog, box: LogHost): Promise<KeeperLog> {
+export async function openRegistryLog (settings: RegistrySettings, isSeed: boolean, log: EventLog, box: KeeperLogHost): Promise<KeeperLog> {
   const { data, host, first, heartbeatMs, electionMs, snapshotEvery } = settings
   const patience = {
     retryMs: diskRetryMs,
     noteFault: (error: Error) => log.error('disk-refuses', { error: error.message }),
     noteWell: () => log.info('disk-writes-again')
   }
-  const place = { folder: data, name: host, patience, ...(first && isSeed ? { firstPart: firstDisk } : {}) }
+  const storage = { folder: data, name: host, patience, ...(first && isSeed ? { firstPart: initialDiskId } : {}) }
   for (;;) {
     try {
-      return await KeeperLog.open(place, { ...box, timing: { heartbeatMs, electionMs }, snapshotEvery })
+      return await KeeperLog.open(storage, { ...box, timing: { heartbeatMs, electionMs }, snapshotEvery })
     } catch (error) {
       log.error('disk-not-opened', { error: (error as Error).message })
       await new Promise(resolve => setTimeout(resolve, diskRetryMs))
@@ -34,8 +34,8 @@
  * Starts the replica. The seeds of the first start all begin the same log, without
  * a word between them; every other empty disk waits to be let in.
  */
-export async function beginLog (keeper: KeeperLog, seeds: readonly string[], isFirst: boolean, log: EventLog): Promise<void> {
-  const voters = seeds.map(host => `${host}#${firstDisk}` as ReplicaId).sort()
+export async function startLog (keeper: KeeperLog, seeds: readonly string[], isFirst: boolean, log: EventLog): Promise<void> {
+  const voters = seeds.map(host => `${host}#${initialDiskId}` as ReplicaId).sort()
   const members: Members = { voters, learners: [] }
   if (isFirst && await keeper.form(members)) log.info('log-formed', { voters: voters.join(',') })
   keeper.startReplica()
--- a/src/registry/operator-desk.ts
+++ b/src/registry/operator-server.ts
@@ -11,15 +11,15 @@
 import type { EventLog } from '../runtime/index.js'
 
 /** What the desk needs of its box. */
-export interface DeskHost {
+export interface OperatorServerHost {
   readonly dialect: Dialect
   readonly log: EventLog
   /** Puts a document in force, wherever the leader is. */
   put (document: VersionedText): Promise<PutEnd>
   /** The newest document; `sure` is false where another may be newer. */
-  read (): Promise<{ readonly sure: boolean, readonly document: VersionedText | null }>
+  read (): Promise<{ readonly isConfirmed: boolean, readonly document: VersionedText | null }>
   /** Takes an endpoint's word and spreads it. */
-  noteEndpoint (word: EndpointRecord): void
+  registerEndpoint (record: EndpointRecord): void
   /** Requests that are not sent, or were not until just now. */
   listQuarantine (): readonly QuarantineEntry[]
   /** Has one of them sent again; false where there is none. */
@@ -32,26 +32,26 @@
 }
 
 /** Callers come back after this where nothing can be said now, s: an election takes about that long. */
-const retryAfterS = '0.5'
+const retryAfterSeconds = '0.5'
 /** Calls that rest longer between requests find their connection closed, ms. */
-const idleMs = 20_000
+const idleTimeoutMs = 20_000
 /** Time to receive a call whole, ms. */
-const receiveMs = 10_000
+const receiveTimeoutMs = 10_000
 
 interface Answer {
   readonly status: number
   readonly body: string
 }
 
-export class OperatorDesk {
-  #host: DeskHost
+export class OperatorServer {
+  #host: OperatorServerHost
   #server: Server
   #maxBodyBytes: number
 
-  constructor (host: DeskHost, maxBodyBytes: number) {
+  constructor (host: OperatorServerHost, maxBodyBytes: number) {
     this.#host = host
     this.#maxBodyBytes = maxBodyBytes
-    this.#server = createServer({ keepAliveTimeout: idleMs, requestTimeout: receiveMs, headersTimeout: receiveMs }, (request, response) => {
+    this.#server = createServer({ keepAliveTimeout: idleTimeoutMs, requestTimeout: receiveTimeoutMs, headersTimeout: receiveTimeoutMs }, (request, response) => {
       void this.#serve(request, response)
     })
     this.#server.on('clientError', (_error, socket) => socket.destroy())
@@ -75,9 +75,9 @@
     let answer: Answer
     try {
       const body = await readBody(request, this.#maxBodyBytes)
-      answer = body === null ? { status: 413, body: 'the body is too large' } : await this.#carryOut(call, body)
+      answer = body === null ? { status: 413, body: 'the body is too large' } : await this.#execute(call, body)
     } catch (error) {
-      answer = this.#explain(call.type, error as Error)
+      answer = this.#composeError(call.type, error as Error)
     }
     this.#host.noteCall(call.type, answer.status, performance.now() - startedAt)
     if (response.destroyed) return
@@ -85,21 +85,21 @@
       'content-type': answer.status === 200 ? 'application/json' : 'text/plain',
       'content-length': Buffer.byteLength(answer.body)
     }
-    if (answer.status === 503) headers['retry-after'] = retryAfterS
+    if (answer.status === 503) headers['retry-after'] = retryAfterSeconds
     response.writeHead(answer.status, headers)
     response.end(answer.body)
   }
 
-  async #carryOut (call: ReturnType<Dialect['readRegistryCall']>, body: Buffer): Promise<Answer> {
+  async #execute (call: ReturnType<Dialect['readRegistryCall']>, body: Buffer): Promise<Answer> {
     const { dialect } = this.#host
     switch (call.type) {
       case 'put-document': return await this.#put(body)
       case 'read-document': return await this.#read()
       case 'register':
-        this.#host.noteEndpoint(dialect.decodeRegistration(call.endpoint, body.toString('utf8')))
+        this.#host.registerEndpoint(dialect.decodeRegistration(call.endpoint, body.toString('utf8')))
         return { status: 200, body: '{}' }
       case 'deregister':
-        this.#host.noteEndpoint(dialect.composeGone(call.endpoint, 'gone'))
+        this.#host.registerEndpoint(dialect.composeGone(call.endpoint, 'gone'))
         return { status: 200, body: '{}' }
       case 'list-quarantine': return { status: 200, body: JSON.stringify(this.#host.listQuarantine()) }
       case 'lift-quarantine':
@@ -126,12 +126,12 @@
   }
 
   async #read (): Promise<Answer> {
-    const { sure, document } = await this.#host.read()
+    const { isConfirmed: sure, document } = await this.#host.read()
     if (!sure || document === null) return { status: 503, body: sure ? 'there is no document yet' : 'another box may have a newer document' }
     return { status: 200, body: document.text }
   }
 
-  #explain (call: string, error: Error): Answer {
+  #composeError (call: string, error: Error): Answer {
     if (error instanceof DocumentError) {
       this.#host.log.warn('call-refused', { call, mistakes: error.mistakes.length, first: error.mistakes[0] })
       return { status: 400, body: error.mistakes.join('\n') }
@@ -142,12 +142,12 @@
 }
 
 // Null where the body exceeds the limit; throws where the caller left.
-async function readBody (request: IncomingMessage, most: number): Promise<Buffer | null> {
+async function readBody (request: IncomingMessage, maxBytes: number): Promise<Buffer | null> {
   const chunks: Buffer[] = []
   let size = 0
   for await (const chunk of request as AsyncIterable<Buffer>) {
     size += chunk.length
-    if (size > most) return null
+    if (size > maxBytes) return null
     chunks.push(chunk)
   }
   return Buffer.concat(chunks)
--- a/src/registry/permit-counter.ts
+++ b/src/registry/permit-server.ts
@@ -9,7 +9,7 @@
 import type { LoadHub } from './load-hub.js'
 
 /** What the counter needs of its box. */
-export interface PermitCounterHost {
+export interface PermitServerHost {
   readonly log: EventLog
   readonly hub: LoadHub
   now (): number
@@ -21,18 +21,18 @@
 }
 
 /** A part of each limit is kept for a gateway that fell silent for so long, ms. */
-const keepPartMs = 20_000
+const reservedShareMs = 20_000
 /** How often limits that nobody asks about are looked for, ms. */
-const tidyMs = 10_000
+const cleanupIntervalMs = 10_000
 
-export class PermitCounter {
-  #host: PermitCounterHost
+export class PermitServer {
+  #host: PermitServerHost
   #issuer: PermitIssuer
   /** Gateways that fell silent, and when. They may be cut off, and spend their own part. */
-  #silent = new Map<BoxId, number>()
-  #tidiedAt = -Infinity
+  #silentSince = new Map<BoxId, number>()
+  #cleanedUpAt = -Infinity
 
-  constructor (host: PermitCounterHost) {
+  constructor (host: PermitServerHost) {
     this.#host = host
     this.#issuer = new PermitIssuer(host.hub.notices)
   }
@@ -41,30 +41,30 @@
   noteRole (): void { this.#issuer.reset() }
 
   /** A gateway has presented itself. */
-  noteMet (gateway: BoxId): void { this.#silent.delete(gateway) }
+  noteConnected (gateway: BoxId): void { this.#silentSince.delete(gateway) }
 
   /** The link of a gateway ended; `wasSilent`: as nothing was heard of it, so that it may live. */
-  noteLost (gateway: BoxId, wasSilent: boolean): void {
-    if (wasSilent) this.#silent.set(gateway, this.#host.now())
+  noteDisconnected (gateway: BoxId, wasSilent: boolean): void {
+    if (wasSilent) this.#silentSince.set(gateway, this.#host.now())
   }
 
   /** Answers a gateway that wants to send to an endpoint with a limit. */
   answer (link: Link<RouteMessage>, { call, notice, wants }: Extract<RouteMessage, { type: 'ask-permits' }>): void {
     const { hub } = this.#host
-    hub.takeNotices([notice], brandId(link.peer))
+    hub.mergeNotices([notice], brandId(link.peer))
     if (!this.#host.isLeader()) return void link.send({ type: 'permits-elsewhere', call, leader: this.#host.findLeader() })
     const now = this.#host.now()
     this.#issuer.setShare(this.#computeShare(now))
     const grants = this.#issuer.give(notice.endpoint, wants, now)
     link.send({ type: 'permits', call, grants, closed: this.#issuer.listClosedFor(notice.endpoint, grants, now) })
-    if (now - this.#tidiedAt < tidyMs) return
-    this.#tidiedAt = now
+    if (now - this.#cleanedUpAt < cleanupIntervalMs) return
+    this.#cleanedUpAt = now
     this.#issuer.tidy(now)
   }
 
   #computeShare (now: number): number {
-    for (const [gateway, at] of this.#silent) if (now - at > keepPartMs) this.#silent.delete(gateway)
-    const near = Math.max(1, this.#host.countGateways())
-    return near / (near + this.#silent.size)
+    for (const [gateway, at] of this.#silentSince) if (now - at > reservedShareMs) this.#silentSince.delete(gateway)
+    const connected = Math.max(1, this.#host.countGateways())
+    return connected / (connected + this.#silentSince.size)
   }
 }
--- a/src/registry/recent-documents.ts
+++ b/src/registry/recent-documents.ts
@@ -8,7 +8,7 @@
 import type { PackedDocument } from '../protocol/index.js'
 
 /** Characters of the older documents that are kept, in all: some forty documents of 1,400 routes. */
-const keptCharacters = 16 * 2 ** 20
+const maxOlderCharacters = 16 * 2 ** 20
 
 export class RecentDocuments {
   #newest: VersionedText | null = null
@@ -30,11 +30,11 @@
   }
 
   /** The document in force for one who has the version `held`, 0 for none; null where there is no newer one. */
-  pack (held: number): PackedDocument | null {
-    if (this.#newest === null || this.#newest.version <= held) return null
-    const base = this.#older.find(({ version }) => version === held) ?? null
-    const known = this.#packed.get(base?.version ?? 0)
-    if (known !== undefined) return known
+  pack (heldVersion: number): PackedDocument | null {
+    if (this.#newest === null || this.#newest.version <= heldVersion) return null
+    const base = this.#older.find(({ version }) => version === heldVersion) ?? null
+    const cached = this.#packed.get(base?.version ?? 0)
+    if (cached !== undefined) return cached
     const packed = packDocument(this.#newest, base)
     this.#packed.set(packed.base, packed)
     return packed
@@ -42,6 +42,6 @@
 
   #dropOldest (): void {
     let size = this.#older.reduce((sum, { text }) => sum + text.length, 0)
-    while (size > keptCharacters) size -= this.#older.shift()?.text.length ?? size
+    while (size > maxOlderCharacters) size -= this.#older.shift()?.text.length ?? size
   }
 }
--- a/src/registry/registry-box.ts
+++ b/src/registry/registry-box.ts
@@ -12,104 +12,104 @@
 import type { EndpointRecord } from '../core/index.js'
 import { LinkPool } from '../protocol/index.js'
 import type { Link, RouteMessage } from '../protocol/index.js'
-import { CrashDesk } from './crash-desk.js'
+import { CrashReplicator } from './crash-replicator.js'
 import { DocumentAnnouncer } from './document-announcer.js'
-import { DutyDesk } from './duty-desk.js'
-import { EndpointDesk, restoredMs } from './endpoint-desk.js'
-import { GatewayRoster } from './gateway-roster.js'
+import { DutyRunner } from './duty-runner.js'
+import { EndpointTracker, restoredGraceMs } from './endpoint-tracker.js'
+import { ConnectedGateways } from './connected-gateways.js'
 import { KnownHosts } from './known-hosts.js'
-import { LeaderCalls } from './leader-calls.js'
+import { LeaderClient } from './leader-client.js'
 import { LoadHub } from './load-hub.js'
-import { MemberTender } from './member-tender.js'
-import { OperatorDesk } from './operator-desk.js'
-import { beginLog, openRegistryLog } from './open-log.js'
-import { PermitCounter } from './permit-counter.js'
+import { MembershipManager } from './membership-manager.js'
+import { OperatorServer } from './operator-server.js'
+import { startLog, openRegistryLog } from './open-log.js'
+import { PermitServer } from './permit-server.js'
 import { PromptBatches } from './prompt-batches.js'
-import type { RegistrySurroundings } from './registry-surroundings.js'
-import { ServicesInForce } from './services-in-force.js'
+import type { RegistryDependencies } from './registry-dependencies.js'
+import { ActiveServices } from './active-services.js'
 import { SavedState } from './saved-state.js'
 
 /** Signs of life between registries, and the pace of the members' upkeep, ms. */
-const helloMs = 250
+const helloIntervalMs = 250
 /** How often the boxes in touch, and who was heard from, are told, ms. */
-const tellMs = 2000
+const broadcastIntervalMs = 2000
 /** Heartbeats of links, ms: an eighth of what makes a box count as out of touch on the users' days. */
-const pulse = { everyMs: 400, silentMs: 1500 }
-const dialing = { connectMs: 500, longestRetryMs: 500 }
+const heartbeat = { everyMs: 400, silentMs: 1500 }
+const dialTimings = { connectMs: 500, longestRetryMs: 500 }
 
 /** Rising time of this process, ms. */
 function now (): number { return performance.now() }
 
 export class RegistryBox {
   #settings: RegistrySettings
-  #around: RegistrySurroundings
+  #dependencies: RegistryDependencies
   #links: LinkPool<RouteMessage>
-  #endpoints: EndpointDesk
-  #crashes: CrashDesk
+  #endpoints: EndpointTracker
+  #crashes: CrashReplicator
   #saved: SavedState
-  #desk: OperatorDesk
+  #operatorServer: OperatorServer
   #log: KeeperLog | null = null
-  #calls: LeaderCalls | null = null
+  #leaderClient: LeaderClient | null = null
   /** Null where there are none. */
-  #duties: DutyDesk | null = null
+  #duties: DutyRunner | null = null
   #hosts: KnownHosts
-  #members: MemberTender
-  #services: ServicesInForce
-  #gateways = new GatewayRoster()
-  #hub: LoadHub
-  #permits: PermitCounter
-  #prompts = new PromptBatches(() => this.#hub.prompts.prompts)
+  #membership: MembershipManager
+  #services: ActiveServices
+  #gateways = new ConnectedGateways()
+  #loadHub: LoadHub
+  #permits: PermitServer
+  #prompts = new PromptBatches(() => this.#loadHub.prompts.prompts)
   #documents: DocumentAnnouncer
   #timers: NodeJS.Timeout[] = []
   port = 0
 
-  constructor (settings: RegistrySettings, around: RegistrySurroundings) {
+  constructor (settings: RegistrySettings, dependencies: RegistryDependencies) {
     this.#settings = settings
-    this.#around = around
-    const { log } = around
+    this.#dependencies = dependencies
+    const { log } = dependencies
     this.#links = this.#createLinks()
     this.#hosts = new KnownHosts(settings.host, settings.linkPort, this.#links)
-    this.#members = new MemberTender({ zone: settings.zone, faults: settings.faults, log, now })
-    this.#endpoints = this.#createEndpointDesk()
-    this.#hub = new LoadHub({ id: brandId(settings.id), log, now, listOthers: () => this.#hosts.others, findService: endpoint => this.#endpoints.findService(endpoint) })
-    this.#permits = this.#createPermitCounter()
+    this.#membership = new MembershipManager({ zone: settings.zone, faults: settings.faults, log, now })
+    this.#endpoints = this.#createEndpointTracker()
+    this.#loadHub = new LoadHub({ id: brandId(settings.id), log, now, listOthers: () => this.#hosts.others, findService: endpoint => this.#endpoints.findService(endpoint) })
+    this.#permits = this.#createPermitServer()
     this.#documents = new DocumentAnnouncer({
-      ...around,
+      ...dependencies,
       findNewest: () => this.#log?.state.routing.newest ?? null,
       isCurrent: () => this.#log?.isCurrent === true,
-      tellGateways: message => this.#gateways.tell(message)
+      broadcastToGateways: message => this.#gateways.broadcast(message)
     })
-    this.#services = new ServicesInForce(around.dialect, () => this.#documents.newest)
+    this.#services = new ActiveServices(dependencies.dialect, () => this.#documents.newest)
     this.#saved = new SavedState(settings.data, log)
-    this.#crashes = this.#createCrashDesk()
-    this.#desk = this.#createOperatorDesk()
+    this.#crashes = this.#createCrashReplicator()
+    this.#operatorServer = this.#createOperatorServer()
   }
 
-  get keeperLog (): KeeperLog { return this.#opened.log }
+  get keeperLog (): KeeperLog { return this.#started.log }
   get records (): readonly EndpointRecord[] { return this.#endpoints.records }
 
   /** Opens the disk and begins to serve. */
   async start (): Promise<void> {
     const { listen, host, bind, linkPort, loadPort, seeds } = this.#settings
-    const { log } = this.#around
+    const { log } = this.#dependencies
     this.setSeeds(seeds)
     this.#endpoints.restore(await this.#saved.loadRecords())
-    await this.#saved.loadPrompts(this.#hub.prompts)
+    await this.#saved.loadPrompts(this.#loadHub.prompts)
     this.#crashes.restore(await this.#saved.loadQuarantine())
-    this.#timers.push(setTimeout(() => this.#endpoints.tick(), restoredMs))
+    this.#timers.push(setTimeout(() => this.#endpoints.tick(), restoredGraceMs))
     this.#log = await this.#openLog()
-    this.#calls = new LeaderCalls({ log: this.#log, findLink: replica => this.#links.find(getReplicaHost(replica), linkPort) })
-    await beginLog(this.#log, this.#hosts.seeds, this.#settings.first, log)
-    this.#hosts.meetMembers(this.#log.replica)
+    this.#leaderClient = new LeaderClient({ log: this.#log, findLink: replica => this.#links.find(getReplicaHost(replica), linkPort) })
+    await startLog(this.#log, this.#hosts.seeds, this.#settings.first, log)
+    this.#hosts.addMembers(this.#log.replica)
     // A snapshot is in force from the start; nobody tells of it.
-    this.#documents.announce()
+    this.#documents.announceChanges()
     // Only now: hundreds of gateways that call a seed which starts would keep it from its disk, and the log from its quorum.
     await this.#links.listen(bind === '' ? host : bind, linkPort)
-    await this.#hub.listen(host, loadPort)
-    this.port = await this.#desk.listen(parseAddress(listen))
+    await this.#loadHub.listen(host, loadPort)
+    this.port = await this.#operatorServer.listen(parseAddress(listen))
     this.#startDuties(this.#log)
-    this.#timers.push(setInterval(() => this.#tick(), helloMs), setInterval(() => this.#tell(), tellMs))
-    this.#around.log.info('registry-started', { replica: this.#log.id, formed: this.#log.isFormed })
+    this.#timers.push(setInterval(() => this.#tick(), helloIntervalMs), setInterval(() => this.#broadcastState(), broadcastIntervalMs))
+    this.#dependencies.log.info('registry-started', { replica: this.#log.id, formed: this.#log.isFormed })
   }
 
   /** Takes other seeds; those known before stay known. */
@@ -120,64 +120,64 @@
     await this.#duties?.stop()
     await this.#log?.replica?.transfer()
     this.kill()
-    this.#around.log.info('registry-stopped')
+    this.#dependencies.log.info('registry-stopped')
   }
 
   /** Ends at once, as a crash does. */
   kill (): void {
     for (const timer of this.#timers) clearInterval(timer)
     this.#duties?.close()
-    this.#desk.close()
-    this.#hub.close()
+    this.#operatorServer.close()
+    this.#loadHub.close()
     this.#links.close()
-    this.#log?.close().catch((error: Error) => this.#around.log.warn('disk-not-closed', { error: error.message }))
+    this.#log?.close().catch((error: Error) => this.#dependencies.log.warn('disk-not-closed', { error: error.message }))
   }
 
   // What the registry is made of.
 
   #createLinks (): LinkPool<RouteMessage> {
-    const { log, secret } = this.#around
+    const { log, secret } = this.#dependencies
     return new LinkPool<RouteMessage>({
       id: this.#settings.id,
       secret,
-      pulse,
+      pulse: heartbeat,
       clock: log.clock,
       receive: (link, message) => this.#receive(link, message),
-      noteOpen: link => this.#greet(link),
-      noteClosed: link => this.#noteClosed(link),
+      noteOpen: link => this.#introduce(link),
+      noteClosed: link => this.#handleClosed(link),
       noteFault: (fault, peer) => log.warn('link-fault', { fault, peer })
-    }, dialing)
+    }, dialTimings)
   }
 
-  #createEndpointDesk (): EndpointDesk {
-    return new EndpointDesk({
-      log: this.#around.log,
+  #createEndpointTracker (): EndpointTracker {
+    return new EndpointTracker({
+      log: this.#dependencies.log,
       lostMs: this.#settings.lostMs,
       now,
-      spread: records => {
-        this.#tellAll({ type: 'endpoints', records, whole: false })
-        this.#hub.noteRecords(records)
+      broadcast: records => {
+        this.#broadcastToAll({ type: 'endpoints', records, whole: false })
+        this.#loadHub.noteRecords(records)
         this.#saved.saveRecords(this.#endpoints.records)
       },
-      noteNewLife: endpoint => this.#hub.prompts.forget(endpoint),
-      spreadHeard: words => this.#tellRegistries({ type: 'heard', words })
+      noteRestart: endpoint => this.#loadHub.prompts.forget(endpoint),
+      broadcastHeartbeats: words => this.#broadcastToRegistries({ type: 'heard', words })
     })
   }
 
-  #createCrashDesk (): CrashDesk {
-    return new CrashDesk({
-      log: this.#around.log,
+  #createCrashReplicator (): CrashReplicator {
+    return new CrashReplicator({
+      log: this.#dependencies.log,
       now,
       countEndpoints: service => this.#endpoints.records.filter(record => record.service === service && record.stage === 'ready').length,
-      spread: news => this.#tellAll({ type: 'crashes', news }),
+      broadcast: news => this.#broadcastToAll({ type: 'crashes', news }),
       save: entries => this.#saved.saveQuarantine(entries)
     })
   }
 
-  #createPermitCounter (): PermitCounter {
-    return new PermitCounter({
-      log: this.#around.log,
-      hub: this.#hub,
+  #createPermitServer (): PermitServer {
+    return new PermitServer({
+      log: this.#dependencies.log,
+      hub: this.#loadHub,
       now,
       isLeader: () => this.#log?.isLeader === true,
       findLeader: () => this.#log?.leader == null ? null : getReplicaHost(this.#log.leader),
@@ -185,29 +185,29 @@
     })
   }
 
-  #createOperatorDesk (): OperatorDesk {
-    const { dialect, log, metrics } = this.#around
-    return new OperatorDesk({
+  #createOperatorServer (): OperatorServer {
+    const { dialect, log, metrics } = this.#dependencies
+    return new OperatorServer({
       dialect,
       log,
-      put: document => this.#opened.calls.put(document),
-      read: () => this.#opened.calls.read(),
-      noteEndpoint: word => this.#endpoints.note(word),
-      listQuarantine: () => this.#crashes.news.entries,
+      put: document => this.#started.leaderClient.put(document),
+      read: () => this.#started.leaderClient.read(),
+      registerEndpoint: word => this.#endpoints.register(word),
+      listQuarantine: () => this.#crashes.state.entries,
       liftQuarantine: fingerprint => this.#crashes.lift(fingerprint),
-      listNotices: () => this.#hub.listNotices(),
-      listUsage: () => this.#opened.log.state.usage.windows,
+      listNotices: () => this.#loadHub.listNotices(),
+      listUsage: () => this.#started.log.state.usage.windows,
       noteCall: (call, status, ms) => metrics.time('registry-call', ms, { call, status: String(status) })
     }, this.#settings.maxBodyBytes)
   }
 
-  get #opened (): { log: KeeperLog, calls: LeaderCalls } {
-    if (this.#log === null || this.#calls === null) throw new Error('the registry has not started')
-    return { log: this.#log, calls: this.#calls }
+  get #started (): { log: KeeperLog, leaderClient: LeaderClient } {
+    if (this.#log === null || this.#leaderClient === null) throw new Error('the registry has not started')
+    return { log: this.#log, leaderClient: this.#leaderClient }
   }
 
   #openLog (): Promise<KeeperLog> {
-    const { log } = this.#around
+    const { log } = this.#dependencies
     return openRegistryLog(this.#settings, this.#hosts.seeds.includes(this.#settings.host), log, {
       send: (to, message) => this.#sendRaft(to, message),
       noteRole: (role, term, leader) => {
@@ -216,7 +216,7 @@
         log.info('role', { role, term, leader })
       },
       noteViolation: (rule, detail) => this.#noteViolation(rule, detail),
-      noteApplied: () => this.#documents.announce(),
+      noteApplied: () => this.#documents.announceChanges(),
       noteDiskFault: error => log.error('disk-failed', { error: error.message })
     })
   }
@@ -226,19 +226,19 @@
     if (duties === null) return
     const findLeader = () => keeper.leader === null ? undefined : this.#links.find(getReplicaHost(keeper.leader), linkPort)
     const listRecords = () => this.#endpoints.records
-    this.#duties = new DutyDesk(duties, { ...this.#around, id, keeper, now, findLeader, listRecords, listServices: () => this.#services.list(), sumLoads: () => this.#hub.sumLoads() })
+    this.#duties = new DutyRunner(duties, { ...this.#dependencies, id, keeper, now, findLeader, listRecords, listServices: () => this.#services.list(), sumLoads: () => this.#loadHub.sumLoads() })
     this.#duties.start()
   }
 
   // Meeting the others.
 
-  #greet (link: Link<RouteMessage>): void {
+  #introduce (link: Link<RouteMessage>): void {
     this.#sendHello(link)
     // Between registries; a gateway gets them once it has presented itself.
     if (!this.#links.dialed.includes(link)) return
-    link.send(this.#endpoints.whole)
-    link.send({ type: 'crashes', news: this.#crashes.news })
-    if (this.#hub.prompts.isEmpty) link.send({ type: 'ask-prompts' })
+    link.send(this.#endpoints.fullMessage)
+    link.send({ type: 'crashes', news: this.#crashes.state })
+    if (this.#loadHub.prompts.isEmpty) link.send({ type: 'ask-prompts' })
   }
 
   #sendHello (link: Link<RouteMessage>): void {
@@ -246,31 +246,31 @@
     link.send({ type: 'registry-hello', replica: this.#log.id, zone: this.#settings.zone, registries: this.#hosts.others })
   }
 
-  #noteHello (message: Extract<RouteMessage, { type: 'registry-hello' }>): void {
+  #handleHello (message: Extract<RouteMessage, { type: 'registry-hello' }>): void {
     const host = getReplicaHost(message.replica)
-    this.#members.noteHeard(message.replica, message.zone)
-    this.#hosts.meet(host)
-    for (const other of message.registries) this.#hosts.meet(other)
+    this.#membership.noteHeard(message.replica, message.zone)
+    this.#hosts.add(host)
+    for (const other of message.registries) this.#hosts.add(other)
   }
 
-  #noteClosed (link: Link<RouteMessage>): void {
-    const gateway = this.#gateways.forget(link)
+  #handleClosed (link: Link<RouteMessage>): void {
+    const gateway = this.#gateways.remove(link)
     if (gateway === null) return
-    this.#permits.noteLost(gateway, link.wasSilent)
-    this.#around.log.info('gateway-lost', { gateway })
+    this.#permits.noteDisconnected(gateway, link.wasSilent)
+    this.#dependencies.log.info('gateway-lost', { gateway })
   }
 
   #tick (): void {
     for (const link of this.#links.dialed) this.#sendHello(link)
-    if (this.#gateways.takeNews()) this.#gateways.tell(this.#composeBoxes())
-    if (this.#log !== null) void this.#members.tend(this.#log)
+    if (this.#gateways.takeHasNewGateway()) this.#gateways.broadcast(this.#composeBoxes())
+    if (this.#log !== null) void this.#membership.reconcile(this.#log)
   }
 
-  #tell (): void {
+  #broadcastState (): void {
     this.#endpoints.tick()
-    this.#gateways.tell(this.#composeBoxes())
-    for (const replica of this.#members.forgetSilent()) this.#hosts.forget(getReplicaHost(replica))
-    this.#saved.savePrompts(this.#hub.prompts)
+    this.#gateways.broadcast(this.#composeBoxes())
+    for (const replica of this.#membership.forgetSilent()) this.#hosts.remove(getReplicaHost(replica))
+    this.#saved.savePrompts(this.#loadHub.prompts)
   }
 
   #composeBoxes (): RouteMessage {
@@ -282,20 +282,20 @@
   #receive (link: Link<RouteMessage>, message: RouteMessage): void {
     switch (message.type) {
       case 'raft': return this.#log?.receive(message.from, message.to, message.message)
-      case 'registry-hello': return this.#noteHello(message)
-      case 'gateway-hello': return this.#noteGateway(link, message)
+      case 'registry-hello': return this.#handleHello(message)
+      case 'gateway-hello': return this.#handleGatewayHello(link, message)
       case 'put':
-      case 'read': return void this.#opened.calls.answer(link, message)
+      case 'read': return void this.#started.leaderClient.serve(link, message)
       case 'put-end':
-      case 'read-end': return this.#calls?.receive(message)
+      case 'read-end': return this.#leaderClient?.handleAnswer(message)
       case 'ask-document': return this.#sendDocument(link, message.held)
       case 'endpoints': return this.#endpoints.merge(message.records)
       case 'crashes': return this.#crashes.merge(message.news)
-      case 'usage': return this.#duties?.takeUsage(message.tellings)
-      case 'heard': return this.#endpoints.noteHeard(message.words)
+      case 'usage': return this.#duties?.mergeUsage(message.tellings)
+      case 'heard': return this.#endpoints.noteHeartbeats(message.words)
       case 'ask-permits': return this.#permits.answer(link, message)
-      case 'ask-prompts': return this.#prompts.tell(link, now())
-      case 'prompts': return this.#hub.prompts.note(message.prompts)
+      case 'ask-prompts': return this.#prompts.sendAll(link, now())
+      case 'prompts': return this.#loadHub.prompts.note(message.prompts)
       case 'version':
       case 'document':
       case 'notices':
@@ -305,23 +305,23 @@
     }
   }
 
-  #noteGateway (link: Link<RouteMessage>, { gateway, version }: Extract<RouteMessage, { type: 'gateway-hello' }>): void {
-    const isNew = this.#gateways.note(link, gateway)
-    this.#permits.noteMet(gateway)
+  #handleGatewayHello (link: Link<RouteMessage>, { gateway, version }: Extract<RouteMessage, { type: 'gateway-hello' }>): void {
+    const isNew = this.#gateways.add(link, gateway)
+    this.#permits.noteConnected(gateway)
     const newest = this.#documents.newest?.version ?? 0
     // Before the version: a gateway that starts serves once it has the document.
-    if (isNew) link.send({ type: 'crashes', news: this.#crashes.news })
+    if (isNew) link.send({ type: 'crashes', news: this.#crashes.state })
     if (isNew || newest > version) link.send(this.#documents.composeVersion())
     if (!isNew) return
     // Changes are told only to gateways that are known: what came since the link opened is told here.
-    link.send(this.#endpoints.whole)
-    link.send({ type: 'notices', notices: this.#hub.notices.notices })
+    link.send(this.#endpoints.fullMessage)
+    link.send({ type: 'notices', notices: this.#loadHub.notices.notices })
     link.send(this.#composeBoxes())
-    this.#around.log.info('gateway-met', { gateway, version })
+    this.#dependencies.log.info('gateway-met', { gateway, version })
   }
 
-  #sendDocument (link: Link<RouteMessage>, held: number): void {
-    const document = this.#documents.pack(held)
+  #sendDocument (link: Link<RouteMessage>, heldVersion: number): void {
+    const document = this.#documents.pack(heldVersion)
     if (document !== null) link.send({ type: 'document', document })
   }
 
@@ -332,17 +332,17 @@
 
   // Spreading.
 
-  #tellAll (message: RouteMessage): void {
-    this.#gateways.tell(message)
-    this.#tellRegistries(message)
+  #broadcastToAll (message: RouteMessage): void {
+    this.#gateways.broadcast(message)
+    this.#broadcastToRegistries(message)
   }
 
-  #tellRegistries (message: RouteMessage): void {
+  #broadcastToRegistries (message: RouteMessage): void {
     for (const link of this.#links.dialed) link.send(message)
   }
 
   #noteViolation (rule: string, detail: string): void {
-    this.#around.metrics.count('violation', { rule })
-    this.#around.log.error('violation', { rule, detail })
+    this.#dependencies.metrics.count('violation', { rule })
+    this.#dependencies.log.error('violation', { rule, detail })
   }
 }
--- a/src/registry/registry-surroundings.ts
+++ b/src/registry/registry-dependencies.ts
@@ -2,7 +2,7 @@
 import type { EventLog, Metrics } from '../runtime/index.js'
 
 /** What a registry is given beside its settings. */
-export interface RegistrySurroundings {
+export interface RegistryDependencies {
   readonly dialect: Dialect
   readonly log: EventLog
   readonly metrics: Metrics
--- a/src/registry/saved-list.ts
+++ b/src/registry/saved-list.ts
@@ -7,26 +7,26 @@
 import type { EventLog } from '../runtime/index.js'
 
 /** What is saved, and where. */
-export interface SavedKind<Item> {
+export interface SavedListOptions<Item> {
   readonly folder: string
   readonly file: string
   readonly log: EventLog
   /** True for what may be kept: what a torn file may hold is data from outside. */
-  isItem (one: unknown): one is Item
+  isItem (value: unknown): value is Item
 }
 
 export class SavedList<Item> {
-  #kind: SavedKind<Item>
-  #wanted: readonly Item[] | null = null
-  #isBusy = false
+  #options: SavedListOptions<Item>
+  #pendingItems: readonly Item[] | null = null
+  #isWriting = false
 
-  constructor (kind: SavedKind<Item>) {
-    this.#kind = kind
+  constructor (options: SavedListOptions<Item>) {
+    this.#options = options
   }
 
   /** What was saved last; nothing where it can't be read, and of a file that holds more than items, those alone. */
   async load (): Promise<Item[]> {
-    const { folder, file, log, isItem } = this.#kind
+    const { folder, file, log, isItem } = this.#options
     try {
       const items = JSON.parse(await readFile(join(folder, file), 'utf8')) as unknown[]
       return items.filter(isItem)
@@ -38,19 +38,19 @@
 
   /** Saves the items; while that goes on, the newest list waits. A disk that refuses costs a log line alone. */
   async save (items: readonly Item[]): Promise<void> {
-    this.#wanted = items.filter(this.#kind.isItem)
-    if (this.#isBusy) return
-    this.#isBusy = true
-    while (this.#wanted !== null) {
-      const text = JSON.stringify(this.#wanted)
-      this.#wanted = null
-      await this.#write(text).catch((error: Error) => this.#kind.log.warn('list-not-saved', { file: this.#kind.file, error: error.message }))
+    this.#pendingItems = items.filter(this.#options.isItem)
+    if (this.#isWriting) return
+    this.#isWriting = true
+    while (this.#pendingItems !== null) {
+      const text = JSON.stringify(this.#pendingItems)
+      this.#pendingItems = null
+      await this.#write(text).catch((error: Error) => this.#options.log.warn('list-not-saved', { file: this.#options.file, error: error.message }))
     }
-    this.#isBusy = false
+    this.#isWriting = false
   }
 
   async #write (text: string): Promise<void> {
-    const { folder, file } = this.#kind
+    const { folder, file } = this.#options
     await mkdir(folder, { recursive: true })
     const path = join(folder, file)
     await writeFile(`${path}.new`, text, { flush: true })
--- a/src/registry/saved-state.ts
+++ b/src/registry/saved-state.ts
@@ -2,7 +2,7 @@
 import { join } from 'node:path'
 import type { EndpointRecord, PromptBook, QuarantineEntry, ReadPrompt } from '../core/index.js'
 import type { EventLog } from '../runtime/index.js'
-import { isSavedEntry, isSavedPrompt, isSavedRecord } from './saved-kinds.js'
+import { isSavedEntry, isSavedPrompt, isSavedRecord } from './saved-item-guards.js'
 import { SavedList } from './saved-list.js'
 
 /** Folder beside the log for what need not last. */
@@ -13,7 +13,7 @@
   #prompts: SavedList<ReadPrompt>
   #quarantine: SavedList<QuarantineEntry>
   /** The version of the book of prompts that was saved last. */
-  #version = 0
+  #savedPromptsVersion = 0
 
   /** `data`: the folder of the log. */
   constructor (data: string, log: EventLog) {
@@ -35,13 +35,13 @@
   /** Notes in the book what was saved. */
   async loadPrompts (book: PromptBook): Promise<void> {
     book.note(await this.#prompts.load())
-    this.#version = book.version
+    this.#savedPromptsVersion = book.version
   }
 
   /** Saves the book where it has changed. */
   savePrompts ({ version, prompts }: PromptBook): void {
-    if (version === this.#version) return
-    this.#version = version
+    if (version === this.#savedPromptsVersion) return
+    this.#savedPromptsVersion = version
     void this.#prompts.save(prompts)
   }
 }
--- a/test/document-spread.test.ts
+++ b/test/document-spread.test.ts
@@ -6,30 +6,30 @@
 import type { TestDocument } from './support/route-deployment.js'
 import { SlowLink } from './support/slow-link.js'
 
-const number = 42
-const registryHost = `127.${number}.0.1`
+const networkNumber = 42
+const registryHost = `127.${networkNumber}.0.1`
 /** Where the registry really accepts links; the slow link stands before it. */
-const hiddenHost = `127.${number}.3.1`
+const upstreamHost = `127.${networkNumber}.3.1`
 const linkPort = 7000
 
 /** What the streams leave of a link of 7 Mbit/s, bytes/ms. */
 const bytesPerMs = 400
 
-function draw (seed: string): string { return createHash('sha256').update(seed).digest('hex').slice(0, 12) }
+function hash (seed: string): string { return createHash('sha256').update(seed).digest('hex').slice(0, 12) }
 
 /** A document with many routes, whose names are as little alike as real ones. */
 function composeLarge (version: number, count: number): TestDocument {
-  const small = composeDocument(version)
-  const more = Array.from({ length: count }, (_, i) => ({
-    name: `r-${draw(`name ${i}`)}`, host: 'camp.example', prefix: `/${draw(`prefix ${i}`)}/`, kind: 'repeatable', timeoutMs: 1500, targetMs: 300, mostAttempts: 2, services: [{ service: 'desk' }], public: false, resumable: false
+  const base = composeDocument(version)
+  const extraRoutes = Array.from({ length: count }, (_, i) => ({
+    name: `r-${hash(`name ${i}`)}`, host: 'camp.example', prefix: `/${hash(`prefix ${i}`)}/`, kind: 'repeatable', timeoutMs: 1500, targetMs: 300, mostAttempts: 2, services: [{ service: 'desk' }], public: false, resumable: false
   }))
-  return { ...small, routes: [...small.routes, ...more] }
+  return { ...base, routes: [...base.routes, ...extraRoutes] }
 }
 
-async function withSlowLink (run: (place: RouteDeployment, link: SlowLink) => Promise<void>): Promise<void> {
-  const link = new SlowLink(hiddenHost, linkPort, bytesPerMs)
+async function withSlowLink (run: (deployment: RouteDeployment, link: SlowLink) => Promise<void>): Promise<void> {
+  const link = new SlowLink(upstreamHost, linkPort, bytesPerMs)
   await link.listen(registryHost, linkPort)
-  const place = await RouteDeployment.start({ number, registries: 1, gateways: 1, registry: { bind: hiddenHost } })
+  const place = await RouteDeployment.start({ number: networkNumber, registries: 1, gateways: 1, registry: { bind: upstreamHost } })
   try {
     await run(place, link)
   } finally {
@@ -38,22 +38,22 @@
   }
 }
 
-const putAll = async (place: RouteDeployment, documents: readonly TestDocument[]): Promise<void> => {
+const putAll = async (deployment: RouteDeployment, documents: readonly TestDocument[]): Promise<void> => {
   for (const document of documents) {
-    await until(async () => (await place.operate('PUT', '/v1/routing', JSON.stringify(document))).status === 200, `version ${document.version} taken`)
+    await until(async () => (await deployment.operate('PUT', '/v1/routing', JSON.stringify(document))).status === 200, `version ${document.version} taken`)
   }
 }
 
-test('large documents in quick succession cost a slow link less than one copy, and hold up no word of an endpoint', () => withSlowLink(async (place, link) => {
-  await place.putDocument(composeDocument(12))
-  const endpoint = await place.addEndpoint('desk')
-  const before = link.carried
-  await putAll(place, [composeLarge(14, 1400), composeLarge(15, 1399), composeLarge(16, 1400), composeLarge(17, 1398)])
-  await place.operate('DELETE', `/v1/endpoints/${endpoint.id}`)
-  await until(() => place.gateways[0].fleet.findView(endpoint.id as never) === undefined, 'the endpoint gone')
-  const copy = JSON.stringify(composeLarge(17, 1398)).length
-  const untilGone = link.carried - before
-  await until(() => place.gateways[0].table?.version === 17 && link.isIdle, 'the newest in force, and the link at rest')
-  const untilForce = link.carried - before
-  assert.ok(untilGone < copy && untilForce < copy, `${untilGone} and ${untilForce} bytes for documents of ${copy}`)
+test('large documents in quick succession cost a slow link less than one copy, and hold up no word of an endpoint', () => withSlowLink(async (deployment, link) => {
+  await deployment.putDocument(composeDocument(12))
+  const endpoint = await deployment.addEndpoint('desk')
+  const carriedBefore = link.forwardedBytes
+  await putAll(deployment, [composeLarge(14, 1400), composeLarge(15, 1399), composeLarge(16, 1400), composeLarge(17, 1398)])
+  await deployment.operate('DELETE', `/v1/endpoints/${endpoint.id}`)
+  await until(() => deployment.gateways[0].fleet.findView(endpoint.id as never) === undefined, 'the endpoint gone')
+  const documentBytes = JSON.stringify(composeLarge(17, 1398)).length
+  const bytesUntilGone = link.forwardedBytes - carriedBefore
+  await until(() => deployment.gateways[0].table?.version === 17 && link.isIdle, 'the newest in force, and the link at rest')
+  const bytesUntilActive = link.forwardedBytes - carriedBefore
+  assert.ok(bytesUntilGone < documentBytes && bytesUntilActive < documentBytes, `${bytesUntilGone} and ${bytesUntilActive} bytes for documents of ${documentBytes}`)
 }))
--- a/test/duties.test.ts
+++ b/test/duties.test.ts
@@ -12,7 +12,7 @@
 
 const leaseMs = 800
 const windowSeconds = 1
-let place: RouteDeployment
+let deployment: RouteDeployment
 let platform: StandinPlatform
 
 interface Report {
@@ -24,13 +24,13 @@
   platform = new StandinPlatform()
   await platform.listen('127.0.0.1')
   const duties = { address: `127.0.0.1:${platform.port}`, leaseMs, usageWindowSeconds: windowSeconds, usageLateSeconds: 3 }
-  place = await RouteDeployment.start({ number: 35, registries: 3, gateways: 2, registry: { duties }, gateway: { usageWindowSeconds: windowSeconds } })
+  deployment = await RouteDeployment.start({ number: 35, registries: 3, gateways: 2, registry: { duties }, gateway: { usageWindowSeconds: windowSeconds } })
   const sizing = { least: 1, most: 4, bootMs: 500, spotPrice: 0.25, zonePrices: { 'zone-a': 1 } }
-  await place.putDocument(composeDocument(1, { services: [{ name: 'desk', sizing }] }))
-  await place.addEndpoint('desk')
+  await deployment.putDocument(composeDocument(1, { services: [{ name: 'desk', sizing }] }))
+  await deployment.addEndpoint('desk')
 })
 after(async () => {
-  await place.stop()
+  await deployment.stop()
   platform.close()
 })
 
@@ -57,7 +57,7 @@
 async function askMany (count: number): Promise<void> {
   const paths = ['/again/x', '/stream/events-3']
   for (let i = 0; i < count; i++) {
-    const answer = await place.ask(paths[i % 2], { gateway: i % 2 })
+    const answer = await deployment.ask(paths[i % 2], { gateway: i % 2 })
     assert.equal(answer.status, 200)
   }
 }
@@ -90,17 +90,17 @@
 
 test('a planned stop of the holder, then the end of the next, cost no window and no breach', async () => {
   for (const stop of ['stop', 'kill'] as const) {
-    const leader = place.registries.findIndex(one => one?.keeperLog.isLeader === true)
+    const leader = deployment.registries.findIndex(one => one?.keeperLog.isLeader === true)
     await askMany(6)
     asked += 6
-    await place.registries[leader]?.[stop]()
-    place.registries[leader] = null
+    await deployment.registries[leader]?.[stop]()
+    deployment.registries[leader] = null
     await askMany(6)
     asked += 6
     await until(() => countReported() >= asked, `${asked} requests told after the ${stop}`)
     assert.equal(countReported(), asked)
-    await place.startRegistry(leader, false)
-    await until(() => place.registries.some(one => one?.keeperLog.isLeader === true), 'a leader')
+    await deployment.startRegistry(leader, false)
+    await until(() => deployment.registries.some(one => one?.keeperLog.isLeader === true), 'a leader')
   }
   assert.deepEqual(findConflicts(), [])
   assert.ok(new Set(platform.calls.map(({ holder }) => holder)).size >= 2)
--- a/test/duty-caller.test.ts
+++ b/test/duty-caller.test.ts
@@ -5,7 +5,7 @@
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { DutyCaller } from '../src/registry/duty-caller.js'
+import { DutyClient } from '../src/registry/duty-client.js'
 import { StandinPlatform } from '../src/standin/index.js'
 import type { PlatformFault } from '../src/standin/index.js'
 
@@ -24,10 +24,10 @@
   test(`what became of a call is ${isSure ? '' : 'not '}known: ${fault}`, async () => {
     const platform = new StandinPlatform()
     platform.fault = fault
-    const caller = new DutyCaller({ host, port: await platform.listen(host) }, 200)
+    const caller = new DutyClient({ host, port: await platform.listen(host) }, 200)
     const end = await caller.call(() => call)
     assert.equal(end.type, isSure ? 'answered' : 'failed')
-    assert.equal(caller.unsureAt === -Infinity, isSure)
+    assert.equal(caller.lastUnknownOutcomeAt === -Infinity, isSure)
     assert.equal(caller.openCount, 0)
     platform.close()
   })
@@ -35,8 +35,8 @@
 
 test('a call that was not written leaves nothing open', async () => {
   const platform = new StandinPlatform()
-  const caller = new DutyCaller({ host, port: await platform.listen(host) }, 200)
+  const caller = new DutyClient({ host, port: await platform.listen(host) }, 200)
   assert.equal((await caller.call(() => null)).type, 'not-held')
-  assert.equal(caller.unsureAt, -Infinity)
+  assert.equal(caller.lastUnknownOutcomeAt, -Infinity)
   platform.close()
 })
--- a/test/late-heartbeats.test.ts
+++ b/test/late-heartbeats.test.ts
@@ -6,24 +6,24 @@
 import { EventLog } from '../src/runtime/index.js'
 import { createRecord } from './support/fleet-builder.js'
 
-type Word = readonly [at: number, id: string, sequence: number, more?: Partial<EndpointRecord>]
+type HeartbeatCase = readonly [at: number, id: string, sequence: number, more?: Partial<EndpointRecord>]
 
 /** The stages of two endpoints at one address, after their own words and those of other registries. */
-function play (words: readonly Word[], merged: readonly Word[] = []): readonly (string | undefined)[] {
+function replay (direct: readonly HeartbeatCase[], merged: readonly HeartbeatCase[] = []): readonly (string | undefined)[] {
   let now = 0
-  const desk = new EndpointDesk({ log: new EventLog('test', () => {}), lostMs: 30_000, now: () => now, spread: () => {}, noteNewLife: () => {}, spreadHeard: () => {} })
-  const compose = ([, id, sequence, more]: Word): EndpointRecord => ({ ...createRecord(id), host: '10.0.0.9', port: 80, sequence, stage: 'ready', ...more })
-  for (const word of [...words, ...merged].sort((a, b) => a[0] - b[0])) {
-    now = word[0]
-    if (merged.includes(word)) desk.merge([compose(word)])
-    else desk.note(compose(word))
+  const tracker = new EndpointDesk({ log: new EventLog('test', () => {}), lostMs: 30_000, now: () => now, broadcast: () => {}, noteRestart: () => {}, broadcastHeartbeats: () => {} })
+  const compose = ([, id, sequence, more]: HeartbeatCase): EndpointRecord => ({ ...createRecord(id), host: '10.0.0.9', port: 80, sequence, stage: 'ready', ...more })
+  for (const heartbeat of [...direct, ...merged].sort((a, b) => a[0] - b[0])) {
+    now = heartbeat[0]
+    if (merged.includes(heartbeat)) tracker.merge([compose(heartbeat)])
+    else tracker.register(compose(heartbeat))
   }
-  return ['old', 'new'].map(id => desk.records.find(record => record.id === brandId<EndpointId>(id))?.stage)
+  return ['old', 'new'].map(id => tracker.records.find(record => record.id === brandId<EndpointId>(id))?.stage)
 }
 
 // A heartbeat that a cut held back comes after its sender has crashed and another runs at its address. It revived the one that
 // is gone, and the one that runs had no work until it spoke again.
-const cases: { name: string, words: Word[], merged?: Word[], stages: (string | undefined)[] }[] = [
+const cases: { name: string, words: HeartbeatCase[], merged?: HeartbeatCase[], stages: (string | undefined)[] }[] = [
   { name: 'a new endpoint at the address takes the place of the one before', words: [[0, 'old', 1], [1000, 'new', 1]], stages: ['lost', 'ready'] },
   { name: 'a late heartbeat of the one before changes nothing', words: [[0, 'old', 1], [1000, 'new', 1], [1500, 'old', 7]], stages: ['lost', 'ready'] },
   { name: 'several late ones change nothing', words: [[0, 'old', 1], [1000, 'new', 1], [1500, 'old', 7], [1501, 'old', 8], [2200, 'new', 2], [2300, 'old', 9]], stages: ['lost', 'ready'] },
@@ -35,5 +35,5 @@
 ]
 
 for (const { name, words, merged, stages } of cases) {
-  test(`two endpoints at one address: ${name}`, () => assert.deepEqual(play(words, merged), stages))
+  test(`two endpoints at one address: ${name}`, () => assert.deepEqual(replay(words, merged), stages))
 }
--- a/test/load-hub.test.ts
+++ b/test/load-hub.test.ts
@@ -12,12 +12,12 @@
 
 const hosts = ['127.45.0.1', '127.45.0.2']
 const port = 7001
-const wordMs = 50
-const moving = brandId<EndpointId>('e-moving')
+const reportIntervalMs = 50
+const movingEndpoint = brandId<EndpointId>('e-moving')
 
 /** A gateway that tells a hub the same work over and over, and takes in what it is told. */
-class Teller {
-  readonly told: LoadTotals[] = []
+class SimulatedGateway {
+  readonly received: LoadTotals[] = []
   sent = 0
   running = 1
   #id: BoxId
@@ -28,11 +28,11 @@
   constructor (i: number) {
     this.#id = brandId<BoxId>(`gateway-${i}`)
     this.#socket.on('message', bytes => {
-      const word = decodeTotalsWord(bytes)
-      const totals = word === null ? null : this.#reader.take(word.news)
-      if (totals !== null) this.told.push(totals)
+      const message = decodeTotalsWord(bytes)
+      const totals = message === null ? null : this.#reader.take(message.news)
+      if (totals !== null) this.received.push(totals)
     })
-    this.#timer = setInterval(() => this.#send(hosts[i]), wordMs)
+    this.#timer = setInterval(() => this.#send(hosts[i]), reportIntervalMs)
   }
 
   close (): void {
@@ -51,7 +51,7 @@
 const noNotices = { listNotices: () => [], takeNotices: () => {}, noteHub: () => {} }
 
 const hubs: LoadHub[] = []
-const tellers: Teller[] = []
+const gateways: SimulatedGateway[] = []
 
 before(async () => {
   for (const host of hosts) {
@@ -65,29 +65,29 @@
     await hub.listen(host, port)
     hubs.push(hub)
   }
-  for (let i = 0; i < hosts.length; i++) tellers.push(new Teller(i))
-  await until(() => tellers.every(one => one.told.length > 0), 'all told')
+  for (let i = 0; i < hosts.length; i++) gateways.push(new SimulatedGateway(i))
+  await until(() => gateways.every(one => one.received.length > 0), 'all told')
 })
 
 after(() => {
-  for (const one of [...tellers, ...hubs]) one.close()
+  for (const one of [...gateways, ...hubs]) one.close()
 })
 
 const countRunning = (totals: LoadTotals | undefined): number => totals?.loads[0]?.running ?? 0
 
 test('hubs tell of a change in one gateway to the gateways of all', async () => {
-  tellers[0].running = 5
-  await until(() => tellers.every(one => countRunning(one.told.at(-1)) === 6), 'the change everywhere')
+  gateways[0].running = 5
+  await until(() => gateways.every(one => countRunning(one.received.at(-1)) === 6), 'the change everywhere')
 })
 
 test('while nothing changes, gateways are told the totals no more often than as a sign of life', async () => {
-  const first = tellers[1]
+  const first = gateways[1]
   const { sent } = first
-  const before = first.told.length
+  const before = first.received.length
   await until(() => first.sent >= sent + 20, 'a second of words')
-  const told = first.told.length - before
+  const receivedCount = first.received.length - before
   // A sign of life goes out at most as often as this gateway's own words.
-  assert.ok(told >= 1 && told <= first.sent - sent, `${told} times in ${first.sent - sent} words`)
+  assert.ok(receivedCount >= 1 && receivedCount <= first.sent - sent, `${receivedCount} times in ${first.sent - sent} words`)
 })
 
 // Three gateways returned to the hub of their zone, and the one that they left counted their last words until they had been
@@ -102,17 +102,17 @@
     ...noNotices,
     now: () => performance.now(),
     listHubs: () => [{ host: hosts[hub], zone: brandId<ZoneName>('zone-a') }],
-    composeLoad: () => ({ loads: [{ endpoint: moving, running: 7, brisk: 0, memory: 0, waiting: [], largest: 0, backedOff: 0 }], demands: [], gaps: [], prompts: [] }),
+    composeLoad: () => ({ loads: [{ endpoint: movingEndpoint, running: 7, brisk: 0, memory: 0, waiting: [], largest: 0, backedOff: 0 }], demands: [], gaps: [], prompts: [] }),
     takeOthers: () => {}
   })
   await reporter.open('127.45.0.3')
-  const countMoving = (totals: LoadTotals | undefined): number => totals?.loads.find(load => load.endpoint === moving)?.running ?? 0
-  await until(() => tellers.every(one => countMoving(one.told.at(-1)) === 7), 'told once at both')
-  const before = tellers.map(one => one.told.length)
+  const countMoving = (totals: LoadTotals | undefined): number => totals?.loads.find(load => load.endpoint === movingEndpoint)?.running ?? 0
+  await until(() => gateways.every(one => countMoving(one.received.at(-1)) === 7), 'told once at both')
+  const before = gateways.map(one => one.received.length)
   hub = 1
-  const { sent } = tellers[0]
-  await until(() => tellers[0].sent >= sent + 40, 'two seconds of words')
-  const doubled = tellers.map((one, i) => one.told.slice(before[i]).filter(totals => countMoving(totals) > 7).length)
+  const { sent } = gateways[0]
+  await until(() => gateways[0].sent >= sent + 40, 'two seconds of words')
+  const doubled = gateways.map((one, i) => one.received.slice(before[i]).filter(totals => countMoving(totals) > 7).length)
   reporter.close()
   // In 40 words, where 1.5 s of them were doubled.
   assert.ok(doubled.every(count => count <= 3), `${doubled.join(' and ')} times counted twice`)
@@ -132,7 +132,7 @@
     ...noNotices,
     now: () => performance.now(),
     listHubs: () => [{ host, zone: brandId<ZoneName>('zone-a') }],
-    composeLoad: () => ({ loads: [{ endpoint: moving, running: 3, brisk: 0, memory: 0, waiting: [[1, 900]], largest: 900, backedOff: 0 }], demands: [], gaps: [], prompts: [] }),
+    composeLoad: () => ({ loads: [{ endpoint: movingEndpoint, running: 3, brisk: 0, memory: 0, waiting: [[1, 900]], largest: 900, backedOff: 0 }], demands: [], gaps: [], prompts: [] }),
     takeOthers: others => { if (i === 1) totals.push(others) }
   }))
   await other.open('127.45.0.5')
--- a/test/registry.test.ts
+++ b/test/registry.test.ts
@@ -6,8 +6,8 @@
 import { until } from './support/deployment.js'
 import { RouteDeployment, composeDocument } from './support/route-deployment.js'
 
-async function withPlace (number: number, run: (place: RouteDeployment) => Promise<void>, shape: { readonly registries?: number, readonly gateways?: number } = {}): Promise<void> {
-  const place = await RouteDeployment.start({ number, ...shape })
+async function withDeployment (number: number, run: (deployment: RouteDeployment) => Promise<void>, options: { readonly registries?: number, readonly gateways?: number } = {}): Promise<void> {
+  const place = await RouteDeployment.start({ number, ...options })
   try {
     await run(place)
   } finally {
@@ -29,12 +29,12 @@
   return version
 }
 
-test('the seeds form one log at the first start, and others join it', () => withPlace(21, async place => {
+test('the seeds form one log at the first start, and others join it', () => withDeployment(21, async place => {
   await until(() => place.registries.every(one => (one?.keeperLog.replica?.members.learners.length ?? 0) === 1), 'the fourth let in')
   for (const registry of place.registries) assert.equal(registry?.keeperLog.replica?.members.voters.length, 3)
 }, { registries: 4, gateways: 0 }))
 
-test('documents: the highest version wins, whatever the order, and is read back byte for byte from any registry', () => withPlace(22, async place => {
+test('documents: the highest version wins, whatever the order, and is read back byte for byte from any registry', () => withDeployment(22, async place => {
   const put = (version: number, more: object = {}) => place.operate('PUT', '/v1/routing', JSON.stringify(composeDocument(version, more)), version % 3)
   const cases: readonly (readonly [version: number, status: number, newest: number])[] = [[5, 200, 5], [3, 200, 5], [9, 200, 9], [9, 200, 9], [8, 200, 9]]
   for (const [version, status, newest] of cases) {
@@ -65,7 +65,7 @@
   { name: 'too much', text: 'x'.repeat(2 ** 20 + 1), status: 413 }
 ]
 
-test('invalid documents are refused, and what is in force stays', () => withPlace(23, async place => {
+test('invalid documents are refused, and what is in force stays', () => withDeployment(23, async place => {
   await place.putDocument(composeDocument(2))
   for (const { name, text, status } of invalid) {
     assert.equal((await place.operate('PUT', '/v1/routing', text)).status, status, name)
@@ -75,7 +75,7 @@
   assert.equal((await place.operate('PUT', '/v1/endpoints/e', '{"service":')).status, 400)
 }, { registries: 1 }))
 
-test('what was acknowledged outlives the loss of every registry at once, also of one disk', () => withPlace(24, async place => {
+test('what was acknowledged outlives the loss of every registry at once, also of one disk', () => withDeployment(24, async place => {
   for (let version = 1; version <= 45; version += 4) {
     await place.putDocument(composeDocument(version))
     for (const registry of place.registries) registry?.kill()
@@ -87,7 +87,7 @@
   }
 }))
 
-test('a registry that is gone for good is replaced by an empty one elsewhere', () => withPlace(25, async place => {
+test('a registry that is gone for good is replaced by an empty one elsewhere', () => withDeployment(25, async place => {
   await place.putDocument(composeDocument(7))
   place.registries[2]?.kill()
   place.registries[2] = null
@@ -102,7 +102,7 @@
   assert.equal(await readNewest(place, 3), 8)
 }))
 
-test('without a quorum nothing is acknowledged and nothing read, but gateways go on', () => withPlace(26, async place => {
+test('without a quorum nothing is acknowledged and nothing read, but gateways go on', () => withDeployment(26, async place => {
   await place.putDocument(composeDocument(3))
   await place.addEndpoint('desk')
   for (const i of [0, 1]) {
@@ -114,7 +114,7 @@
   assert.equal((await place.ask('/once/x')).status, 200)
 }))
 
-test('a gateway that starts late has the newest document before it calls itself ready', () => withPlace(27, async place => {
+test('a gateway that starts late has the newest document before it calls itself ready', () => withDeployment(27, async place => {
   assert.equal(await place.isReady(0), 503)
   assert.equal((await place.ask('/once/x')).status, 503)
   await place.putDocument(composeDocument(3))
@@ -126,7 +126,7 @@
   assert.equal((await place.ask('/once/x', { gateway: 1 })).status, 200)
 }))
 
-test('a registry that starts without a quorum tells gateways the document of its snapshot', () => withPlace(43, async place => {
+test('a registry that starts without a quorum tells gateways the document of its snapshot', () => withDeployment(43, async place => {
   for (let version = 1; version <= 45; version++) await place.putDocument(composeDocument(version))
   for (let i = 0; i < 3; i++) place.registries[i]?.kill()
   place.gateways[0].kill()
@@ -138,7 +138,7 @@
   await until(() => (gateway.table?.version ?? 0) > 0, 'routes in force')
 }))
 
-test('a planned stop of a gateway cuts nothing, and tells callers to go elsewhere', () => withPlace(28, async place => {
+test('a planned stop of a gateway cuts nothing, and tells callers to go elsewhere', () => withDeployment(28, async place => {
   await place.putDocument(composeDocument(3))
   const endpoint = await place.addEndpoint('desk')
   endpoint.eventMs = 20
@@ -152,7 +152,7 @@
   assert.equal(await stopped, 0)
 }, { registries: 1 }))
 
-test('no word of an endpoint is lost that comes while a gateway presents itself', () => withPlace(29, async place => {
+test('no word of an endpoint is lost that comes while a gateway presents itself', () => withDeployment(29, async place => {
   await place.putDocument(composeDocument(1))
   for (let i = 0; i < 12; i++) {
     place.gateways[0].kill()
@@ -165,7 +165,7 @@
   }
 }, { registries: 1 }))
 
-test('a request that comes before the first document waits for it', () => withPlace(30, async place => {
+test('a request that comes before the first document waits for it', () => withDeployment(30, async place => {
   await place.addEndpoint('desk')
   const asked = place.ask('/once/x')
   await new Promise(resolve => setTimeout(resolve, 100))
@@ -173,7 +173,7 @@
   assert.equal((await asked).status, 200)
 }, { registries: 1 }))
 
-test('registries that start again know where endpoints were, and forget those that say nothing', () => withPlace(31, async place => {
+test('registries that start again know where endpoints were, and forget those that say nothing', () => withDeployment(31, async place => {
   await place.putDocument(composeDocument(1))
   const endpoint = await place.addEndpoint('desk')
   const leaving = await place.addEndpoint('desk')
@@ -190,7 +190,7 @@
   await until(() => registry.records.every(record => record.stage === 'lost'), 'the silent one lost')
 }, { registries: 1 }))
 
-test('a directory that can\'t be read costs nothing but its words', () => withPlace(32, async place => {
+test('a directory that can\'t be read costs nothing but its words', () => withDeployment(32, async place => {
   place.registries[0]?.kill()
   const folder = join(place.folder, 'registry-0', 'directory')
   for (const text of ['[{"id":', '[null, 3, {"id": "e"}]', '{}']) {
@@ -202,7 +202,7 @@
   }
 }, { registries: 1 }))
 
-test('boxes that start again know which engine holds a shared prompt', () => withPlace(33, async place => {
+test('boxes that start again know which engine holds a shared prompt', () => withDeployment(33, async place => {
   const engine = { slots: 8, memoryTokens: 100_000, transfer: { tokenBytes: 1000, bytesPerMs: 1_000_000 } }
   await place.putDocument(composeDocument(1, { services: [{ name: 'desk', engine }] }))
   const endpoint = await place.addEndpoint('desk')
@@ -220,7 +220,7 @@
 
 // Gateways whose link opened before the disk did never learned that the registry is of their zone, and went on telling their
 // work to a hub of another one, and hearing of it, across zones and later than they need.
-test('gateways take the totals of their own zone again once its registry is back, also where its disk opens late', () => withPlace(34, async place => {
+test('gateways take the totals of their own zone again once its registry is back, also where its disk opens late', () => withDeployment(34, async place => {
   const hub = place.registryHost(0)
   const countChosen = (): number => place.lines.filter(line => line.includes('event=hub-chosen') && line.includes(`hub=${hub} `)).length
   await until(() => countChosen() === 1, 'the hub of the own zone')
@@ -238,7 +238,7 @@
 }))
 
 // Seeds are settings of a moment. A registry that starts again knows the others from its log.
-test('registries that start again find one another though their seeds are gone', () => withPlace(36, async place => {
+test('registries that start again find one another though their seeds are gone', () => withDeployment(36, async place => {
   await place.putDocument(composeDocument(4))
   const [seeds, others] = [[0, 1, 2], [3, 4]]
   await until(() => place.registries.some(one => (one?.keeperLog.replica?.members.learners.length ?? 0) === 2), 'the others let in')
--- a/test/support/slow-link.ts
+++ b/test/support/slow-link.ts
@@ -8,30 +8,30 @@
 import { listen } from '../../src/runtime/index.js'
 
 /** Bytes on their way through the link. */
-interface Waiting {
-  readonly to: Socket
+interface QueuedBytes {
+  readonly destination: Socket
   readonly bytes: Buffer
 }
 
 /** How often a part of what waits goes on, ms. */
-const stepMs = 5
+const tickMs = 5
 
 export class SlowLink {
   #server: Server
   #sockets = new Set<Socket>()
-  #waiting: Waiting[] = []
+  #queue: QueuedBytes[] = []
   #timer: NodeJS.Timeout
-  #carried = 0
+  #forwardedBytes = 0
 
   constructor (toHost: string, toPort: number, bytesPerMs: number) {
-    this.#server = createServer(inner => this.#join(inner, connect(toPort, toHost)))
-    this.#timer = setInterval(() => this.#carry(bytesPerMs * stepMs), stepMs)
+    this.#server = createServer(client => this.#connectPair(client, connect(toPort, toHost)))
+    this.#timer = setInterval(() => this.#forward(bytesPerMs * tickMs), tickMs)
   }
 
   /** Bytes that were carried so far. */
-  get carried (): number { return this.#carried }
+  get forwardedBytes (): number { return this.#forwardedBytes }
   /** True while nothing is on its way. */
-  get isIdle (): boolean { return this.#waiting.length === 0 }
+  get isIdle (): boolean { return this.#queue.length === 0 }
 
   async listen (host: string, port: number): Promise<void> { await listen(this.#server, { host, port }) }
 
@@ -41,8 +41,8 @@
     for (const socket of this.#sockets) socket.destroy()
   }
 
-  #join (inner: Socket, outer: Socket): void {
-    for (const [one, other] of [[inner, outer], [outer, inner]]) {
+  #connectPair (client: Socket, upstream: Socket): void {
+    for (const [one, other] of [[client, upstream], [upstream, client]]) {
       this.#sockets.add(one)
       one.setNoDelay(true)
       one.on('error', () => {})
@@ -51,20 +51,20 @@
         other.destroy()
       })
     }
-    inner.pipe(outer)
-    outer.on('data', bytes => this.#waiting.push({ to: inner, bytes }))
+    client.pipe(upstream)
+    upstream.on('data', bytes => this.#queue.push({ destination: client, bytes }))
   }
 
-  #carry (most: number): void {
-    let left = most
-    while (left > 0 && this.#waiting.length > 0) {
-      const { to, bytes } = this.#waiting[0]
-      const part = bytes.subarray(0, left)
-      to.write(part)
-      left -= part.length
-      this.#carried += part.length
-      if (part.length === bytes.length) this.#waiting.shift()
-      else this.#waiting[0] = { to, bytes: bytes.subarray(part.length) }
+  #forward (maxBytes: number): void {
+    let remainingBytes = maxBytes
+    while (remainingBytes > 0 && this.#queue.length > 0) {
+      const { destination, bytes } = this.#queue[0]
+      const chunk = bytes.subarray(0, remainingBytes)
+      destination.write(chunk)
+      remainingBytes -= chunk.length
+      this.#forwardedBytes += chunk.length
+      if (chunk.length === bytes.length) this.#queue.shift()
+      else this.#queue[0] = { destination, bytes: bytes.subarray(chunk.length) }
     }
   }
 }
