--- a/src/registry/active-services.ts
+++ b/src/registry/active-services.ts
@@ -2,7 +2,7 @@
 import type { RoutedService } from '../core/index.js'
 import type { Dialect } from '../protocol/index.js'
 
-/** The services of the document in force, read once for each version, and only where they are asked for. */
+/** The services of the active document, decoded lazily and once per version. */
 export class ActiveServices {
   #dialect: Dialect
   #findNewest: () => VersionedText | null
--- a/src/registry/crash-replicator.ts
+++ b/src/registry/crash-replicator.ts
@@ -1,19 +1,19 @@
 /**
- * What a registry knows of ends of endpoints and of requests in quarantine. It
- * passes on what is news, tells all of it to boxes that come into touch, and
- * keeps the quarantine over its own end.
+ * Replicates endpoint crashes and quarantined requests between boxes: broadcasts
+ * changes, provides the full state for boxes that connect, and persists the
+ * quarantine across restarts.
  */
 import { CrashWatch, describeEntry, gatherNewsMs, joinNews } from '../core/index.js'
 import type { CrashNews, Fingerprint, QuarantineEntry, ServiceName } from '../core/index.js'
 import { Gatherer } from '../runtime/index.js'
 import type { EventLog } from '../runtime/index.js'
 
-/** What the desk needs of its box. */
+/** What the replicator needs of its box. */
 export interface CrashReplicatorHost {
   readonly log: EventLog
   now (): number
   countEndpoints (service: ServiceName): number
-  /** Tells gateways and the other registries. */
+  /** Sends to gateways and the other registries. */
   broadcast (news: CrashNews): void
   save (entries: readonly QuarantineEntry[]): void
 }
@@ -29,16 +29,16 @@
     this.#unsent = new Gatherer(gatherNewsMs, news => host.broadcast(joinNews(news)))
   }
 
-  /** Everything that is known. */
+  /** The full state: crashes and quarantine entries. */
   get state (): CrashNews { return this.#crashes.list(this.#host.now()) }
 
-  /** Takes what was saved before this process started. */
+  /** Restores the entries saved by the previous process. */
   restore (entries: readonly QuarantineEntry[]): void { this.#crashes.merge({ ends: [], entries }, this.#host.now()) }
 
-  /** Takes what another box tells. */
+  /** Merges an update of another box; broadcasts only what is new. */
   merge (news: CrashNews): void { this.#broadcast(this.#crashes.merge(news, this.#host.now())) }
 
-  /** Lifts a quarantine by an operator's word; false where there is none. */
+  /** Lifts a quarantine on an operator's request; false where there is none. */
   lift (fingerprint: Fingerprint): boolean {
     const news = this.#crashes.lift(fingerprint, this.#host.now())
     if (news === null) return false
--- a/src/registry/document-announcer.ts
+++ b/src/registry/document-announcer.ts
@@ -1,4 +1,4 @@
-/** Tells gateways of the document in force, and whether it is the newest that was accepted. */
+/** Announces the version of the active document to gateways, and whether it is the newest committed one. */
 import type { VersionedText } from '../coordination/index.js'
 import type { PackedDocument, RouteMessage } from '../protocol/index.js'
 import type { EventLog, Metrics } from '../runtime/index.js'
@@ -8,9 +8,9 @@
 export interface AnnouncerHost {
   readonly log: EventLog
   readonly metrics: Metrics
-  /** The newest document that is applied here. */
+  /** The newest document that was applied here. */
   findNewest (): VersionedText | null
-  /** True where nothing newer was accepted, but for what is on its way. */
+  /** True where this replica is up to date with the leader, except for entries in transit. */
   isCurrent (): boolean
   broadcastToGateways (message: RouteMessage): void
 }
@@ -18,7 +18,7 @@
 export class DocumentAnnouncer {
   #host: AnnouncerHost
   #recent = new RecentDocuments()
-  /** Gateways were told that the document is the newest, under the present leader. */
+  /** Whether gateways were told, under the current leader, that the document is the newest. */
   #hasAnnouncedCurrent = false
 
   constructor (host: AnnouncerHost) {
@@ -27,13 +27,13 @@
 
   get newest (): VersionedText | null { return this.#recent.newest }
 
-  /** The document in force for one who has the version `held`, 0 for none; null where there is no newer one. */
+  /** The active document for a gateway that has `heldVersion`, 0 for none; null where there is no newer one. */
   pack (heldVersion: number): PackedDocument | null { return this.#recent.pack(heldVersion) }
 
-  /** Takes word that another leads, or none. */
+  /** Called when the leader changes or is lost. */
   noteRole (): void { this.#hasAnnouncedCurrent = false }
 
-  /** Looks at what is applied, and tells what is news of it. */
+  /** Announces the applied document where it is new, or newly confirmed as the newest. */
   announceChanges (): void {
     const newest = this.#host.findNewest()
     const isNew = newest !== null && this.#recent.add(newest)
@@ -42,7 +42,7 @@
       this.#host.metrics.gauge('document-version', newest.version)
     }
     const isCurrent = this.#host.isCurrent()
-    // A gateway that has just started waits for a registry that is sure.
+    // A starting gateway waits for a registry that confirms the newest version.
     if (isNew || (isCurrent && !this.#hasAnnouncedCurrent)) this.#host.broadcastToGateways(this.composeVersion())
     this.#hasAnnouncedCurrent = isCurrent
   }
--- a/src/registry/duty-client.ts
+++ b/src/registry/duty-client.ts
@@ -1,8 +1,8 @@
 /**
- * Makes a duty's calls. Each has a connection of its own, and whether it may be
- * made is asked once that is open, right before the first byte is written: a
- * connection may take long to come about. A call that isn't answered in time is
- * reset, so that what the network still holds of it is dropped.
+ * HTTP client for the calls of a duty. Each call has its own connection, and
+ * permission is checked after it opens, right before the first byte is written,
+ * as connecting may take long. A call that times out has its connection reset,
+ * so that the network drops whatever of it is still in transit.
  */
 import { request as httpRequest } from 'node:http'
 import { connect } from 'node:net'
@@ -11,18 +11,18 @@
 import { resetSocket } from '../protocol/index.js'
 import type { OutsideCall } from '../protocol/index.js'
 
-/** How a call ended; `not-held`: it was not made, as the duty is not this box's any more. */
+/** The result of a call; `not-held`: not sent, as this box no longer holds the duty. */
 export type DutyCallResult =
   | { readonly type: 'answered', readonly status: number }
   | { readonly type: 'failed', readonly reason: string }
   | { readonly type: 'not-held' }
 
-/** A connection that takes longer won't come about, ms: many times the way to the platform. */
+/** Connection time-out, ms: many times the round trip to the platform. */
 const connectTimeoutMs = 400
 
 export class DutyClient {
   #address: Address
-  /** A call that is answered later is reset, ms. */
+  /** A call without a response is reset after this, ms. */
   readonly callTimeoutMs: number
   #sockets = new Set<Socket>()
   #lastUnknownOutcomeAt = -Infinity
@@ -32,16 +32,16 @@
     this.callTimeoutMs = callMs
   }
 
-  /** The longest that a call takes from its start to its end, ms. */
+  /** Upper bound of a call's duration, connecting included, ms. */
   get maxDurationMs (): number { return connectTimeoutMs + this.callTimeoutMs }
 
-  /** Calls under way. */
+  /** Calls in flight. */
   get openCount (): number { return this.#sockets.size }
 
-  /** When a call last ended of which it isn't known whether it may still arrive, on the process's rising clock, ms. */
+  /** When a call last ended that may still arrive at the platform, on the process's monotonic clock, ms. */
   get lastUnknownOutcomeAt (): number { return this.#lastUnknownOutcomeAt }
 
-  /** Makes a call. `compose`: the call as it may go out at this moment; null where it may not. */
+  /** Makes a call. `compose` returns the request to send at this moment, or null where it may not be sent. */
   call (compose: () => OutsideCall | null): Promise<DutyCallResult> {
     return new Promise(resolve => {
       const socket = connect(this.#address)
@@ -68,7 +68,7 @@
     })
   }
 
-  /** Resets all that is under way. */
+  /** Resets all calls in flight. */
   close (): void {
     for (const socket of this.#sockets) resetSocket(socket)
   }
--- a/src/registry/duty-runner.ts
+++ b/src/registry/duty-runner.ts
@@ -1,7 +1,7 @@
 /**
- * The duties that one registry carries out for all boxes: the leader of the log
- * holds the lease on them while it leads. Everything that goes out bears the
- * lease's number, and goes out only while the lease lasts by every clock.
+ * Runs the duties that one registry performs for all boxes. The leader of the log
+ * holds a lease on them while it leads. Every call carries the lease's fencing
+ * token, and is sent only while the lease is valid by every clock.
  */
 import { parseAddress } from '../config/index.js'
 import type { DutySettings } from '../config/index.js'
@@ -15,22 +15,21 @@
 import type { EndpointScalerHost } from './endpoint-scaler.js'
 import { UsageReporter } from './usage-reporter.js'
 
-/** What the desk needs of its box. */
+/** What the duties need of their box. */
 export interface DutyRunnerHost extends EndpointScalerHost {
   readonly id: string
   readonly dialect: Dialect
   readonly keeper: KeeperLog
-  /** The link to the registry that leads; undefined where it is not known or not reached. */
+  /** The link to the leader; undefined where it is unknown or unreachable. */
   findLeader (): Link<RouteMessage> | undefined
 }
 
-/** One lease stands for all calls to the platform. */
+/** One lease covers all calls to the platform. */
 const duty = 'platform'
-/** How often the lease and what is due are looked at, ms: well within the time between renewals. */
+/** How often the lease and due work are checked, ms: well below the renewal interval. */
 const tickMs = 100
-/** How often the leader is told what gateways told here, in ticks. */
+/** How often gateways' usage reports are forwarded to the leader, in ticks. */
 const forwardEveryTicks = 4
-/** Calls under way at most. */
 const maxConcurrentCalls = 8
 
 export class DutyRunner {
@@ -69,14 +68,14 @@
 
   start (): void { this.#timer = setInterval(() => this.#tick(), tickMs) }
 
-  /** Takes what gateways began, from them or from other registries. */
+  /** Merges usage reports of gateways, received directly or through other registries. */
   mergeUsage (reports: readonly UsageTelling[]): void { this.#usage.merge(reports) }
 
-  /** Makes no more calls, and gives the lease back once none is under way, so that the next holder need not wait for its end. */
+  /** Makes no more calls, and releases the lease once none is in flight, so that the next holder need not wait for its expiry. */
   async stop (): Promise<void> {
     this.#isStopping = true
     await waitUntil(() => this.#client.openCount === 0, this.#client.maxDurationMs)
-    // What may still be under way must not arrive after the next holder's first call: then the lease has to run out.
+    // A call that may still arrive must not do so after the next holder's first call; in that case the lease has to expire.
     const canRelease = this.#client.openCount === 0 && this.#host.now() - this.#client.lastUnknownOutcomeAt > this.#leaseMs
     const command = canRelease ? this.#lease.release() : null
     if (command === null) return
@@ -138,7 +137,7 @@
     return result
   }
 
-  // A leader that is new to this box may know nothing of what it told before.
+  // A new leader may not have the earlier reports, so it gets all of them.
   #forward (): void {
     this.#usage.prune()
     const leader = this.#host.keeper.isLeader ? undefined : this.#host.findLeader()
--- a/src/registry/endpoint-scaler.ts
+++ b/src/registry/endpoint-scaler.ts
@@ -1,7 +1,7 @@
 /**
- * The duty of ordering endpoints: what is wanted is told group by group, when it
- * has changed, or when what there is stays short of it. Orders name whole
- * numbers, so one that is told twice, or by the next holder, changes nothing.
+ * The duty of ordering endpoints: sends the target size of each group when it
+ * changes, or when the actual size stays below it. Orders are idempotent, as they
+ * state absolute counts: one sent twice, or by the next holder, changes nothing.
  */
 import { SizePlanner } from '../core/index.js'
 import type { EndpointRecord, GroupWish, LoadTotals, RoutedService, ServiceName, SizingSight, ZoneName, ZoneSight } from '../core/index.js'
@@ -10,34 +10,34 @@
 import type { DutyCallResult } from './duty-client.js'
 import { describeResult } from './usage-reporter.js'
 
-/** What the orders need of their box. */
+/** What the scaler needs of its box. */
 export interface EndpointScalerHost {
   readonly log: EventLog
   readonly metrics: Metrics
   now (): number
-  /** The services of the document in force; none before the first. */
+  /** The services of the active document; empty before the first. */
   listServices (): readonly RoutedService[]
   listRecords (): readonly EndpointRecord[]
-  /** The work at all endpoints, as this box's hub has it. */
+  /** The load of all endpoints, as known to this box's hub. */
   sumLoads (): LoadTotals
 }
 
-/** What was last told of a group. */
+/** The last order sent for a group. */
 interface SentOrder {
   count: number
   sentAt: number
-  /** True where the other side took it. */
+  /** True once the platform has accepted it. */
   isAccepted: boolean
   isPending: boolean
 }
 
-/** How often it is worked out what is wanted, ms. */
+/** How often target sizes are computed, ms. */
 const planIntervalMs = 500
-/** After the other side refused, or didn't answer, it is told again after so long, ms: what was taken away may be had again after some seconds. */
+/** Delay before an order that was refused or not answered is sent again, ms: capacity that was reclaimed may be available again within seconds. */
 const retryIntervalMs = 1000
-/** A smaller number is told no sooner after the last, ms: what is sent back takes seconds to come again. */
+/** Minimum time between an order and a smaller one, ms: an endpoint that is returned takes seconds to replace. */
 const scaleDownIntervalMs = 3000
-/** What is still short of the number so long beyond the time that endpoints take to start is told again, ms. */
+/** An order that is still not filled this long after the boot time of endpoints is sent again, ms. */
 const bootGraceMs = 1500
 
 export class EndpointScaler {
@@ -50,7 +50,7 @@
     this.#host = host
   }
 
-  /** Tells what is due; to be called a few times a second by the holder alone. */
+  /** Sends the orders that are due. Only the lease holder calls this, a few times a second. */
   step (call: (call: DutyCall) => Promise<DutyCallResult>): void {
     const at = this.#host.now()
     if (at - this.#plannedAt < planIntervalMs) return
@@ -63,7 +63,7 @@
     }
   }
 
-  /** Forgets what was told: another may have told otherwise since. */
+  /** Clears the state: another holder may have sent different orders since. */
   reset (): void {
     this.#lastOrders.clear()
     this.#planners.clear()
--- a/src/registry/endpoint-tracker.ts
+++ b/src/registry/endpoint-tracker.ts
@@ -1,39 +1,39 @@
 /**
- * A registry's directory of endpoints. Words that change it are spread at once
- * to all boxes in touch; heartbeats that change nothing go to the other
- * registries now and then, so that all know who has fallen silent.
+ * Maintains a registry's endpoint directory. Changes are broadcast at once to all
+ * connected boxes; heartbeats that change nothing are forwarded to the other
+ * registries periodically, so that all of them detect silent endpoints.
  */
 import { EndpointDirectory, isOtherLife } from '../core/index.js'
 import type { EndpointId, EndpointRecord, ServiceName } from '../core/index.js'
 import type { RouteMessage } from '../protocol/index.js'
 import type { EventLog } from '../runtime/index.js'
 
-/** What the directory needs of its box. */
+/** What the tracker needs of its box. */
 export interface EndpointTrackerHost {
   readonly log: EventLog
   readonly lostMs: number
   now (): number
-  /** Sends changed records to every box in touch. */
+  /** Sends changed records to every connected box. */
   broadcast (records: readonly EndpointRecord[]): void
-  /** Takes word that an endpoint has started again: it holds nothing of before. */
+  /** Called when an endpoint restarts: its cached prompts are lost. */
   noteRestart (endpoint: EndpointId): void
-  /** Tells the other registries who was heard from. */
+  /** Sends the heartbeats received to the other registries. */
   broadcastHeartbeats (words: readonly (readonly [EndpointId, number])[]): void
 }
 
-/** An endpoint that was known before the start and does not say so again counts as lost after this, ms: two of its heartbeats. */
+/** A restored endpoint that sends no heartbeat counts as lost this long after the start, ms: two heartbeat intervals. */
 export const restoredGraceMs = 2500
 
 /**
- * A last word that says no life, so soon after the first word of a new one, is a
- * late one of the life before, ms: callers send it anew after a second, and no
- * endpoint ends as planned within that time.
+ * A deregistration this soon after a restart was sent by the previous instance and
+ * is ignored, ms: it names no instance, callers retry it after a second, and no
+ * endpoint shuts down as planned within that time.
  */
 const lateDeregistrationMs = 1500
 
 /**
- * Who spoke last from an address has it until silent for so long, ms: three heartbeats, or one told by another registry
- * and one more. A late heartbeat of the one before would take its work away until its next word.
+ * The endpoint last heard from at an address owns it until silent for this long, ms: three heartbeats, or one that another
+ * registry forwards plus one more. Otherwise a late heartbeat of the previous owner would take its work until its next one.
  */
 const addressOwnerTimeoutMs = 4000
 
@@ -44,40 +44,40 @@
   #cachedRecords: readonly EndpointRecord[] | null = null
   #lastHeardAt = new Map<EndpointId, number>()
   #unsentHeartbeats = new Map<EndpointId, number>()
-  /** When the first word of each new life came. */
+  /** When each restarted endpoint first registered again. */
   #restartedAt = new Map<EndpointId, number>()
 
   constructor (host: EndpointTrackerHost) {
     this.#host = host
   }
 
-  /** All of them; the same list until one changes. */
+  /** All records; the same array until one changes. */
   get records (): readonly EndpointRecord[] {
     this.#cachedRecords ??= this.#directory.records
     return this.#cachedRecords
   }
 
-  /** The message that tells all of them. It is the same until a record changes: hundreds of gateways that start together are sent what was encoded once. */
+  /** The message with all records. The same object until a record changes, so that it is encoded once for hundreds of gateways that start together. */
   get fullMessage (): RouteMessage {
     const { records } = this
     if (this.#fullMessage?.records !== records) this.#fullMessage = { type: 'endpoints', records, whole: true }
     return this.#fullMessage
   }
 
-  /** The service of an endpoint that is registered, and neither gone nor lost. */
+  /** The service of a registered endpoint that is neither gone nor lost. */
   findService (id: EndpointId): ServiceName | undefined {
     const record = this.#directory.find(id)
     return record?.stage === 'ready' || record?.stage === 'draining' ? record.service : undefined
   }
 
-  /** Takes what was known before this process started: it counts until endpoints had time to say otherwise. */
+  /** Restores the records saved by the previous process; they are valid until endpoints have had time to send heartbeats. */
   restore (records: readonly EndpointRecord[]): void {
     this.merge(records)
     const heardAt = this.#host.now() - this.#host.lostMs + restoredGraceMs
     for (const { id } of records) this.#lastHeardAt.set(id, heardAt)
   }
 
-  /** Takes an endpoint's own word. */
+  /** Applies a registration, heartbeat or deregistration that an endpoint sent itself. */
   register (word: EndpointRecord): void {
     if (this.#isStaleHeartbeat(word)) return this.#host.log.info('endpoint-overtaken', { endpoint: word.id, sequence: word.sequence })
     if (word.stage === 'gone' && this.#host.now() - (this.#restartedAt.get(word.id) ?? -Infinity) < lateDeregistrationMs) return
@@ -86,7 +86,7 @@
     this.merge([word])
   }
 
-  /** Takes records from another box; only what is news here goes on. */
+  /** Merges records of another box; broadcasts only those that change something here. */
   merge (records: readonly EndpointRecord[]): void {
     const changed: EndpointRecord[] = []
     for (const record of records) {
@@ -102,7 +102,7 @@
     this.#host.broadcast(changed)
   }
 
-  // A known endpoint at whose address another has spoken since, and still does: the word was held back on its way.
+  // True for a delayed heartbeat of a known endpoint whose address another live endpoint has taken over.
   #isStaleHeartbeat (word: EndpointRecord): boolean {
     const owner = this.#directory.findAt(word)
     if (word.stage === 'gone' || owner === undefined || owner.id === word.id || this.#directory.find(word.id) === undefined) return false
@@ -115,12 +115,12 @@
     this.#host.noteRestart(id)
   }
 
-  /** Takes word of who was heard from at another registry. */
+  /** Records heartbeats that another registry received. */
   noteHeartbeats (words: readonly (readonly [EndpointId, number])[]): void {
     for (const [id] of words) this.#lastHeardAt.set(id, this.#host.now())
   }
 
-  /** Tells who was heard from since the last call, and gives up those that are silent. */
+  /** Forwards the heartbeats received since the last call, and marks silent endpoints as lost. */
   tick (): void {
     if (this.#unsentHeartbeats.size > 0) this.#host.broadcastHeartbeats([...this.#unsentHeartbeats])
     this.#unsentHeartbeats.clear()
--- a/src/registry/index.ts
+++ b/src/registry/index.ts
@@ -1,4 +1,4 @@
-/** The program that keeps the routing document and the directory of endpoints. */
+/** The registry program: stores the routing document and the endpoint directory. */
 export { RegistryBox } from './registry-box.js'
 export type { RegistryDependencies as RegistrySurroundings } from './registry-dependencies.js'
 export { isSavedPrompt } from './saved-item-guards.js'
--- a/src/registry/known-hosts.ts
+++ b/src/registry/known-hosts.ts
@@ -3,7 +3,7 @@
 import type { Replica } from '../coordination/index.js'
 import type { LinkPool, RouteMessage } from '../protocol/index.js'
 
-/** The other registries that a registry knows, each called until it is forgotten. Seeds are never forgotten. */
+/** The other known registries. Each is dialed until it is removed; seeds are never removed. */
 export class KnownHosts {
   #ownHost: string
   #linkPort: number
@@ -20,13 +20,13 @@
   get others (): string[] { return [...this.#hosts] }
   get seeds (): readonly string[] { return this.#seeds }
 
-  /** Takes other seeds, as addresses for operators; those known before stay known. */
+  /** Replaces the seeds, given by the addresses that operators use; hosts that are already known stay known. */
   setSeeds (addresses: readonly string[]): void {
     this.#seeds = addresses.map(address => parseAddress(address).host)
     for (const host of this.#seeds) this.add(host)
   }
 
-  /** Meets the members of the log: seeds may all be gone by the time that a box starts again. */
+  /** Adds the members of the log, as all seeds may be gone by the time that a box restarts. */
   addMembers (replica: Replica | null): void {
     if (replica === null) return
     for (const member of [...replica.members.voters, ...replica.members.learners]) this.add(getReplicaHost(member))
--- a/src/registry/leader-client.ts
+++ b/src/registry/leader-client.ts
@@ -1,18 +1,18 @@
 /**
- * Documents on their way to the leader: proposed here where this registry
- * leads, else passed on over a link. While no leader is known the call waits,
- * as long as its caller would.
+ * Puts and reads the document through the leader: locally where this registry
+ * leads, otherwise forwarded over a link. While no leader is known, a call retries
+ * until its deadline.
  */
 import type { KeeperLog, ReplicaId, VersionedText } from '../coordination/index.js'
 import type { Link, PutEnd, RouteMessage } from '../protocol/index.js'
 
-/** What the calls need of their box. */
+/** What the client needs of its box. */
 export interface LeaderClientHost {
   readonly log: KeeperLog
   findLink (replica: ReplicaId): Link<RouteMessage> | undefined
 }
 
-/** How a read ended. */
+/** The result of a read; `isConfirmed`: a quorum confirmed that it is the newest document. */
 export interface ReadResult {
   readonly isConfirmed: boolean
   readonly document: VersionedText | null
@@ -20,9 +20,9 @@
 
 type AnswerMessage = Extract<RouteMessage, { type: 'put-end' | 'read-end' }>
 
-/** Operators try elsewhere after a second without an answer; the answer must be there before, ms. */
+/** Deadline of a call, ms: operators try another registry after a second, so the answer must arrive before. */
 const callTimeoutMs = 850
-/** Pause before the leader is looked for again, ms. */
+/** Pause before the leader is looked up again, ms. */
 const retryPauseMs = 40
 
 const unconfirmed: ReadResult = { isConfirmed: false, document: null }
@@ -36,7 +36,7 @@
     this.#host = host
   }
 
-  /** Puts a document in force; an older or equal version is held without a change. */
+  /** Activates a document; 'held' where the active version is the same or newer. */
   async put (document: VersionedText): Promise<PutEnd> {
     const deadline = performance.now() + callTimeoutMs
     while (performance.now() < deadline) {
@@ -49,7 +49,7 @@
     return 'unknown'
   }
 
-  /** Reads the newest document; unsure where no quorum confirms it in time. */
+  /** Reads the newest document; unconfirmed where no quorum confirms it in time. */
   async read (): Promise<ReadResult> {
     const deadline = performance.now() + callTimeoutMs
     while (performance.now() < deadline) {
@@ -60,7 +60,7 @@
     return unconfirmed
   }
 
-  /** Puts a document that another registry passed on; only the leader may take it. */
+  /** Proposes a document to the local log; null where this registry is not the leader or the proposal is rejected. */
   async putLocally (document: VersionedText): Promise<PutEnd | null> {
     const { log } = this.#host
     if (!log.isLeader) return null
@@ -78,7 +78,7 @@
     return { isConfirmed: true, document: log.state.routing.newest }
   }
 
-  /** Answers a call that another registry passed on. */
+  /** Serves a call that another registry forwarded. */
   async serve (link: Link<RouteMessage>, message: Extract<RouteMessage, { type: 'put' | 'read' }>): Promise<void> {
     const { call } = message
     if (message.type === 'put') return void link.send({ type: 'put-end', call, end: await this.putLocally(message.document) ?? 'not-leader' })
@@ -87,12 +87,12 @@
     link.send({ type: 'read-end', call, sure, document: isNewer ? document : null })
   }
 
-  /** Takes the leader's answer to a call that was passed on. */
+  /** Completes a forwarded call with the leader's answer. */
   handleAnswer (answer: AnswerMessage): void {
     this.#pendingCalls.get(answer.call)?.(answer)
   }
 
-  // Null where the leader is not known, or said that it leads no more.
+  // Null where the leader is unknown or no longer leads; the caller retries.
   async #tryPut (document: VersionedText, deadline: number): Promise<PutEnd | null> {
     if (this.#host.log.isLeader) return await withDeadline(this.putLocally(document), deadline, 'unknown')
     const answer = await this.#callLeader(call => ({ type: 'put', call, document }), deadline)
--- a/src/registry/load-hub.ts
+++ b/src/registry/load-hub.ts
@@ -1,8 +1,8 @@
 /**
- * A hub of loads: gateways tell it their work by datagrams, it tells the other
- * hubs the sum of that, and its gateways the totals of all. Every registry is
- * ready to be one; gateways choose one of their own zone, so that little crosses
- * between zones. The work of a hub grows with its gateways, a gateway's doesn't.
+ * Aggregates load reports: gateways report their load to a hub by datagram, the
+ * hub sends its subtotal to the other hubs and the overall totals to its gateways.
+ * Every registry can act as a hub; gateways choose one in their own zone to reduce
+ * traffic between zones. A hub's cost grows with its gateways, a gateway's doesn't.
  */
 import { randomInt } from 'node:crypto'
 import { LoadBook, NoticeBook, NoticeTeller, PromptBook, PromptRelay, SumTeller } from '../core/index.js'
@@ -23,13 +23,13 @@
   findService (endpoint: EndpointId): ServiceName | undefined
 }
 
-/** A gateway that tells this hub its work: its newest word, and where it came from. */
+/** A gateway that reports to this hub: the number of its newest report, and its address. */
 interface ReportingGateway extends WordNumber {
   readonly host: string
   readonly port: number
 }
 
-/** Another hub's newest word, and where it came from. */
+/** Another hub: the number of its newest datagram, and its host. */
 interface PeerHub extends WordNumber {
   readonly host: string
 }
@@ -37,26 +37,26 @@
 type Input =
   | { readonly type: 'datagram', readonly bytes: Buffer, readonly host: string, readonly port: number }
   | { readonly type: 'tick' }
-  | { readonly type: 'tell' }
+  | { readonly type: 'publish' }
 
-/** Totals are told no more often than this, ms: below what an engine reads a prompt in. */
+/** Minimum interval between totals, ms: shorter than an engine's prefill of a prompt. */
 const minIntervalMs = 10
-/** Part of a core's time, in ms for each gateway and interval, that telling may take: about 1,000 datagrams a second in all. */
+/** Added to the interval for each gateway, ms: limits the CPU time spent on sending, at about 1,000 datagrams a second in all. */
 const intervalPerGatewayMs = 1
 /**
- * The same for each endpoint in the totals, all of which every gateway decodes:
- * some 50 ms at the 67 endpoints of the grown sites, in place of 15.
+ * The same for each endpoint in the totals, as every gateway decodes all of them:
+ * about 50 ms, instead of 15, for the largest deployments of 67 endpoints.
  */
 const intervalPerEndpointMs = 0.8
-/** Totals older than this are worth little, ms. */
+/** Maximum interval, ms: older totals are of little use. */
 const maxIntervalMs = 300
-/** Without a change words go out this often, ms: they are also the sign that the hub lives, for which a gateway waits some four of them. */
+/** Interval of datagrams while nothing changes, ms: they serve as the hub's heartbeat; a gateway gives up on a hub after about four missed ones. */
 const heartbeatMs = 100
-/** The same between hubs, ms: three fit into the time after which what waits no longer counts. */
+/** The same between hubs, ms: three fit into the time after which waiting requests are no longer counted. */
 const peerHeartbeatMs = 180
-/** All hubs are told the whole sum this often, and gateways the speeds of engines, ms: hubs without gateways too, as one of them may be chosen at any time. */
+/** How often all hubs get the full subtotal, and gateways the engine speeds, ms: including hubs without gateways, as gateways may switch to them at any time. */
 const fullSumIntervalMs = 500
-/** Datagrams that wait to be read; more are dropped, as the network may. */
+/** Limit of the datagrams queued for processing; more are dropped, as by the network. */
 const maxQueuedInputs = 5000
 
 export class LoadHub {
@@ -64,31 +64,31 @@
   #datagrams: DatagramPort
   #inbox = new Inbox<Input>(maxQueuedInputs)
   #loads = new LoadBook()
-  /** Prompts for the other hubs, of the own gateways, and for the own gateways, of all. */
+  /** Relays the prompts of this hub's gateways to the other hubs, and all prompts to this hub's gateways. */
   #promptsToPeers = new PromptRelay()
   #promptsToGateways = new PromptRelay()
-  /** What engines hold, as all gateways told it. */
+  /** The prompts that engines have cached, as reported by all gateways. */
   readonly prompts = new PromptBook()
-  /** What endpoints say of themselves, as all gateways told it. */
+  /** The notices of endpoints, as reported by all gateways. */
   readonly notices = new NoticeBook()
   #noticesToPeers = new NoticeTeller(this.notices)
   #noticesToGateways = new NoticeTeller(this.notices)
   #gateways = new Map<BoxId, ReportingGateway>()
   #peers = new Map<BoxId, PeerHub>()
-  /** On which all hubs listen. */
+  /** The UDP port that all hubs use. */
   #port = 0
   #fullSumSentAt = -Infinity
   #gapsSentAt = -Infinity
   #incarnation = randomInt(startLimit)
   #sequence = 0
-  /** When it was last looked at what is to be told. */
+  /** When changes were last checked and sent. */
   #publishedAt = -Infinity
   #lastToGateways = new LastMessage(heartbeatMs)
   #lastToPeers = new LastMessage(peerHeartbeatMs)
   #sumEncoder = new SumTeller()
   #publishedEndpointCount = 0
   #isScheduled = false
-  /** True where no gateway tells this hub its work, and the others know. */
+  /** True where no gateway reports to this hub and the other hubs have been told so. */
   #isIdle = true
   #closed = false
   #timer: NodeJS.Timeout | null = null
@@ -102,20 +102,20 @@
     this.#inbox.run(input => this.#handle(input))
   }
 
-  /** Begins to listen; resolves with the port. */
+  /** Starts to listen; resolves with the port. */
   listen (host: string, port: number): Promise<number> {
     this.#timer = setInterval(() => this.#inbox.post({ type: 'tick' }), heartbeatMs / 2)
     this.#port = port
     return this.#datagrams.open(host, port)
   }
 
-  /** The work of all boxes, as it stands here. */
+  /** The load of all boxes, as known here. */
   sumLoads (): LoadTotals {
     const now = this.#host.now()
     return this.#loads.sumAll(this.#loads.sumOwn(now), now)
   }
 
-  /** What endpoints say of themselves, for operators. */
+  /** The notices and back-off states of endpoints, for operators. */
   listNotices (): NoticeStatus[] {
     const now = this.#host.now()
     const backedOff = new Map(this.sumLoads().loads.filter(load => load.backedOff > 0).map(load => [load.endpoint, load.backedOff]))
@@ -127,7 +127,7 @@
     })
   }
 
-  /** Ends the hub; a second call does nothing. */
+  /** Stops the hub. Idempotent. */
   close (): void {
     if (this.#closed) return
     this.#closed = true
@@ -145,7 +145,7 @@
     switch (input.type) {
       case 'datagram': return this.#receive(input.bytes, input.host, input.port)
       case 'tick': return this.#tick()
-      case 'tell': return this.#publish()
+      case 'publish': return this.#publish()
     }
   }
 
@@ -156,7 +156,7 @@
     if (!isNewerWord(report, this.#gateways.get(box))) return
     this.mergeNotices(report.notices, box)
     if (load === null) return this.#removeGateway(box)
-    // Who is new knows no engine's speed.
+    // A new gateway has no engine speeds yet.
     if (!this.#gateways.has(box)) this.#gapsSentAt = -Infinity
     this.#gateways.set(box, { host, port, start, number })
     this.#isIdle = false
@@ -167,7 +167,7 @@
     this.#schedulePublish()
   }
 
-  // Another hub tells the box's work from now on: here it would count twice.
+  // The gateway reports to another hub from now on; its load would be counted twice.
   #removeGateway (box: BoxId): void {
     if (!this.#gateways.delete(box)) return
     this.#loads.forget(box)
@@ -179,7 +179,7 @@
     const message = decodeHubWord(bytes)
     if (message === null || !isNewerWord(message, this.#peers.get(message.hub))) return
     const { hub, start, number, news: sum } = message
-    // Who is new knows nothing of the words before.
+    // A new or restarted hub has none of the earlier datagrams.
     if (this.#peers.get(hub)?.start !== start) this.#fullSumSentAt = -Infinity
     this.#peers.set(hub, { start, number, host })
     const now = this.#host.now()
@@ -189,7 +189,7 @@
     if (this.#gateways.size > 0) this.#schedulePublish()
   }
 
-  /** Takes what endpoints say of themselves, as another box knows it. */
+  /** Merges the notices of endpoints that another box sent. */
   mergeNotices (notices: readonly EndpointNotice[], from: BoxId): void {
     const now = this.#host.now()
     for (const notice of this.notices.merge(notices.filter(({ endpoint }) => this.#host.findService(endpoint) !== undefined), now, from)) {
@@ -199,7 +199,7 @@
     }
   }
 
-  /** Forgets what endpoints said that are gone. */
+  /** Drops the notices of endpoints that are gone. */
   noteRecords (records: readonly EndpointRecord[]): void {
     for (const { id, stage } of records) if (stage === 'gone') this.notices.forget(id)
   }
@@ -217,18 +217,18 @@
     if (this.#lastToGateways.isDue(now) || this.#lastToPeers.isDue(now)) this.#publish()
   }
 
-  // Changes of one interval share a datagram.
+  // Batches the changes of one interval into one datagram.
   #schedulePublish (): void {
     if (this.#isScheduled) return
     this.#isScheduled = true
     const waitMs = Math.max(0, this.#publishedAt + this.#intervalMs - this.#host.now())
-    setTimeout(() => this.#inbox.post({ type: 'tell' }), waitMs)
+    setTimeout(() => this.#inbox.post({ type: 'publish' }), waitMs)
   }
 
   #publish (): void {
     this.#isScheduled = false
     if (this.#closed || this.#isIdle) return
-    // Without gateways of its own the hub says so once.
+    // A hub without gateways sends its empty subtotal once, then stops.
     this.#isIdle = this.#gateways.size === 0
     const now = this.#host.now()
     this.#publishedAt = now
@@ -252,7 +252,7 @@
     }
   }
 
-  // Hubs that have gateways are told at once, the others now and then.
+  // Hubs that have gateways get changes at once, the others only the periodic full subtotal.
   #sendToPeers (ownTotals: LoadTotals, now: number): void {
     const isFull = now - this.#fullSumSentAt >= fullSumIntervalMs
     const notices = this.#noticesToPeers.draw(now)
@@ -270,20 +270,20 @@
   }
 }
 
-/** What was last told to some, so that it is told again only once it has changed, or as a sign of life. */
+/** The last message sent to a group of receivers; it is repeated only after a change, or as a heartbeat. */
 class LastMessage {
   #maxSilenceMs: number
   #bytes: Buffer | null = null
   #sentAt = -Infinity
 
-  /** `beatMs`: how often it is told at least. */
+  /** `maxSilenceMs`: the heartbeat interval. */
   constructor (maxSilenceMs: number) {
     this.#maxSilenceMs = maxSilenceMs
   }
 
   isDue (at: number): boolean { return at - this.#sentAt >= this.#maxSilenceMs }
 
-  /** True where these bytes are to be told now; `hasNews`: even if they are the same. */
+  /** Records the bytes as sent and returns true where they are due now; `mustSend`: even if unchanged. */
   update (bytes: Buffer, at: number, mustSend: boolean): boolean {
     if (!mustSend && !this.isDue(at) && this.#bytes?.equals(bytes) === true) return false
     this.#bytes = bytes
--- a/src/registry/membership-manager.ts
+++ b/src/registry/membership-manager.ts
@@ -1,15 +1,15 @@
 /**
- * The members of the log, looked after by its leader: who was heard from, and
- * one change at a time where a voter is silent or one is wanting.
+ * Manages the log's membership on its leader: tracks which registries are alive,
+ * and makes one change at a time where a voter is silent or missing.
  */
 import { planMembers } from '../coordination/index.js'
 import type { KeeperLog, KeeperSight, MemberWish, ReplicaId } from '../coordination/index.js'
 import type { EventLog } from '../runtime/index.js'
 
-/** What the tender needs of its box. */
+/** What the manager needs of its box. */
 export interface MembershipManagerHost {
   readonly zone: string
-  /** Losses that the log must bear. */
+  /** Failures that the log must tolerate. */
   readonly faults: number
   readonly log: EventLog
   now (): number
@@ -20,11 +20,11 @@
   readonly lastHeardAt: number
 }
 
-/** A silent voter gives way to a spare after this, ms: longer than a restart, shorter than the time in which the next loss may come. */
+/** A silent voter is replaced by a spare after this, ms: longer than a restart, shorter than the time to the next possible failure. */
 const replaceMs = 2500
-/** A learner, or a registry that is no seed, is forgotten after this, ms. */
+/** A silent learner, or registry that is not a seed, is removed after this, ms. */
 const forgetMs = 60_000
-/** The fewest voters that bear a loss. */
+/** The fewest voters that tolerate one failure. */
 const minVoters = 3
 
 export class MembershipManager {
@@ -34,12 +34,12 @@
 
   constructor (host: MembershipManagerHost) { this.#host = host }
 
-  /** Notes that a replica was heard from. */
+  /** Records a sign of life of a replica. */
   noteHeard (replica: ReplicaId, zone: string): void {
     this.#heard.set(replica, { zone, lastHeardAt: this.#host.now() })
   }
 
-  /** Forgets the replicas that have been silent for long; returns them. */
+  /** Removes the replicas that have been silent for `forgetMs`; returns them. */
   forgetSilent (): ReplicaId[] {
     const now = this.#host.now()
     const forgotten: ReplicaId[] = []
@@ -51,7 +51,7 @@
     return forgotten
   }
 
-  /** Makes the next change that the members need, where this box leads and none is under way. */
+  /** Makes the next membership change that is needed, where this box leads and none is in progress. */
   async reconcile (keeperLog: KeeperLog): Promise<void> {
     const { replica } = keeperLog
     if (replica?.isLeader !== true || this.#isChanging || !replica.node.isSettled) return
--- a/src/registry/open-log.ts
+++ b/src/registry/open-log.ts
@@ -3,15 +3,15 @@
 import type { Members, ReplicaId } from '../coordination/index.js'
 import type { EventLog } from '../runtime/index.js'
 
-/** Pause before a disk that refuses is tried again, ms. */
+/** Delay before a failed disk operation is retried, ms. */
 const diskRetryMs = 150
-/** The second part of the ids of the replicas that begin a log. */
+/** The disk part of the ids of the replicas that form a new log. */
 const initialDiskId = 'first'
 
-/** What the log needs of its box, beside what the settings say. */
+/** What the log needs of its box, besides the settings. */
 type KeeperLogHost = Omit<Parameters<typeof KeeperLog.open>[1], 'timing' | 'snapshotEvery'>
 
-/** Opens a registry's log; a disk that refuses is tried again until it gives way. `isSeed`: whether the registry may be among those that begin it. */
+/** Opens a registry's log, retrying until the disk succeeds. `isSeed`: whether the registry may be among the replicas that form a new log. */
 export async function openRegistryLog (settings: RegistrySettings, isSeed: boolean, log: EventLog, box: KeeperLogHost): Promise<KeeperLog> {
   const { data, host, first, heartbeatMs, electionMs, snapshotEvery } = settings
   const patience = {
@@ -31,8 +31,8 @@
 }
 
 /**
- * Starts the replica. The seeds of the first start all begin the same log, without
- * a word between them; every other empty disk waits to be let in.
+ * Starts the replica. On the first start, all seeds form the same log without
+ * communicating; any other replica with an empty disk waits to be added as a member.
  */
 export async function startLog (keeper: KeeperLog, seeds: readonly string[], isFirst: boolean, log: EventLog): Promise<void> {
   const voters = seeds.map(host => `${host}#${initialDiskId}` as ReplicaId).sort()
--- a/src/registry/operator-server.ts
+++ b/src/registry/operator-server.ts
@@ -1,4 +1,4 @@
-/** The HTTP server of a registry: calls of operators and of endpoints. */
+/** The HTTP server of a registry, for operators and endpoints. */
 import { createServer } from 'node:http'
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import type { Address } from '../config/index.js'
@@ -10,32 +10,32 @@
 import { listen } from '../runtime/index.js'
 import type { EventLog } from '../runtime/index.js'
 
-/** What the desk needs of its box. */
+/** What the server needs of its box. */
 export interface OperatorServerHost {
   readonly dialect: Dialect
   readonly log: EventLog
-  /** Puts a document in force, wherever the leader is. */
+  /** Activates a document, whichever registry leads. */
   put (document: VersionedText): Promise<PutEnd>
-  /** The newest document; `sure` is false where another may be newer. */
+  /** The newest document; `isConfirmed` is false where a newer one may exist. */
   read (): Promise<{ readonly isConfirmed: boolean, readonly document: VersionedText | null }>
-  /** Takes an endpoint's word and spreads it. */
+  /** Applies an endpoint's registration and broadcasts it. */
   registerEndpoint (record: EndpointRecord): void
-  /** Requests that are not sent, or were not until just now. */
+  /** Requests in quarantine, and those whose quarantine was lifted recently. */
   listQuarantine (): readonly QuarantineEntry[]
-  /** Has one of them sent again; false where there is none. */
+  /** Lifts a quarantine; false where there is none for the fingerprint. */
   liftQuarantine (fingerprint: Fingerprint): boolean
-  /** What ran in the windows that are kept, as this box has them. */
+  /** The usage of the retained windows, as applied on this box. */
   listUsage (): readonly SettledWindow[]
-  /** What endpoints say of themselves on their answers. */
+  /** The notices that endpoints attach to their responses. */
   listNotices (): readonly NoticeStatus[]
   noteCall (call: string, status: number, ms: number): void
 }
 
-/** Callers come back after this where nothing can be said now, s: an election takes about that long. */
+/** Retry-After of a 503, s: about the duration of an election. */
 const retryAfterSeconds = '0.5'
-/** Calls that rest longer between requests find their connection closed, ms. */
+/** Idle keep-alive connections are closed after this, ms. */
 const idleTimeoutMs = 20_000
-/** Time to receive a call whole, ms. */
+/** Limit for receiving a whole request, ms. */
 const receiveTimeoutMs = 10_000
 
 interface Answer {
@@ -75,7 +75,7 @@
     let answer: Answer
     try {
       const body = await readBody(request, this.#maxBodyBytes)
-      answer = body === null ? { status: 413, body: 'the body is too large' } : await this.#execute(call, body)
+      answer = body === null ? { status: 413, body: 'the request body is too large' } : await this.#execute(call, body)
     } catch (error) {
       answer = this.#composeError(call.type, error as Error)
     }
@@ -103,10 +103,10 @@
         return { status: 200, body: '{}' }
       case 'list-quarantine': return { status: 200, body: JSON.stringify(this.#host.listQuarantine()) }
       case 'lift-quarantine':
-        return this.#host.liftQuarantine(brandId(call.fingerprint)) ? { status: 200, body: '{}' } : { status: 404, body: 'no such request is in quarantine' }
+        return this.#host.liftQuarantine(brandId(call.fingerprint)) ? { status: 200, body: '{}' } : { status: 404, body: 'no quarantined request has this fingerprint' }
       case 'list-notices': return { status: 200, body: JSON.stringify(this.#host.listNotices()) }
       case 'list-usage': return { status: 200, body: JSON.stringify(this.#host.listUsage()) }
-      case 'unknown': return { status: 404, body: 'no such call' }
+      case 'unknown': return { status: 404, body: 'unknown path or method' }
     }
   }
 
@@ -121,13 +121,13 @@
     switch (end) {
       case 'taken': return { status: 200, body: '{}' }
       case 'held': return { status: 200, body: '{}' }
-      case 'unknown': return { status: 503, body: 'it is not known whether the document is in force; send it again' }
+      case 'unknown': return { status: 503, body: 'the document may or may not have been committed; send it again' }
     }
   }
 
   async #read (): Promise<Answer> {
     const { isConfirmed: sure, document } = await this.#host.read()
-    if (!sure || document === null) return { status: 503, body: sure ? 'there is no document yet' : 'another box may have a newer document' }
+    if (!sure || document === null) return { status: 503, body: sure ? 'there is no document yet' : 'could not confirm with a quorum that the document is the newest' }
     return { status: 200, body: document.text }
   }
 
@@ -137,11 +137,11 @@
       return { status: 400, body: error.mistakes.join('\n') }
     }
     this.#host.log.error('call-failed', { call, error: error.message })
-    return { status: 500, body: 'a fault of the registry itself' }
+    return { status: 500, body: 'internal error in the registry' }
   }
 }
 
-// Null where the body exceeds the limit; throws where the caller left.
+// Null where the body exceeds the limit; throws where the client disconnects.
 async function readBody (request: IncomingMessage, maxBytes: number): Promise<Buffer | null> {
   const chunks: Buffer[] = []
   let size = 0
--- a/src/registry/permit-server.ts
+++ b/src/registry/permit-server.ts
@@ -1,6 +1,6 @@
 /**
- * A registry's side of permits: the leader of the log gives them out, as it
- * knows that no other registry does; the others say who leads.
+ * Serves permit requests of gateways. Only the leader of the log issues permits, so
+ * that no two registries do at once; the others redirect to the leader.
  */
 import { PermitIssuer, brandId } from '../core/index.js'
 import type { BoxId } from '../core/index.js'
@@ -8,27 +8,27 @@
 import type { EventLog } from '../runtime/index.js'
 import type { LoadHub } from './load-hub.js'
 
-/** What the counter needs of its box. */
+/** What the server needs of its box. */
 export interface PermitServerHost {
   readonly log: EventLog
   readonly hub: LoadHub
   now (): number
   isLeader (): boolean
-  /** The leader's host; null where none is known. */
+  /** The leader's host; null where it is unknown. */
   findLeader (): string | null
-  /** Gateways in touch. */
+  /** Connected gateways. */
   countGateways (): number
 }
 
-/** A part of each limit is kept for a gateway that fell silent for so long, ms. */
+/** How long a share of each limit stays reserved for a gateway that has become silent, ms. */
 const reservedShareMs = 20_000
-/** How often limits that nobody asks about are looked for, ms. */
+/** How often unused limits are removed, ms. */
 const cleanupIntervalMs = 10_000
 
 export class PermitServer {
   #host: PermitServerHost
   #issuer: PermitIssuer
-  /** Gateways that fell silent, and when. They may be cut off, and spend their own part. */
+  /** Gateways that became silent, and when. They may be partitioned and still use their own share. */
   #silentSince = new Map<BoxId, number>()
   #cleanedUpAt = -Infinity
 
@@ -37,18 +37,18 @@
     this.#issuer = new PermitIssuer(host.hub.notices)
   }
 
-  /** This replica leads from now on, or no more. */
+  /** Called when this replica gains or loses leadership. */
   noteRole (): void { this.#issuer.reset() }
 
-  /** A gateway has presented itself. */
+  /** Called when a gateway connects. */
   noteConnected (gateway: BoxId): void { this.#silentSince.delete(gateway) }
 
-  /** The link of a gateway ended; `wasSilent`: as nothing was heard of it, so that it may live. */
+  /** Called when a gateway's link closes; `wasSilent`: for lack of heartbeats, so that the gateway may still be running. */
   noteDisconnected (gateway: BoxId, wasSilent: boolean): void {
     if (wasSilent) this.#silentSince.set(gateway, this.#host.now())
   }
 
-  /** Answers a gateway that wants to send to an endpoint with a limit. */
+  /** Answers a gateway's request for permits to a rate-limited endpoint. */
   answer (link: Link<RouteMessage>, { call, notice, wants }: Extract<RouteMessage, { type: 'ask-permits' }>): void {
     const { hub } = this.#host
     hub.mergeNotices([notice], brandId(link.peer))
--- a/src/registry/prompt-batches.ts
+++ b/src/registry/prompt-batches.ts
@@ -1,14 +1,14 @@
 import type { EndpointId, ReadPrompt } from '../core/index.js'
 import type { Link, RouteMessage } from '../protocol/index.js'
 
-/** Prompts in one message at most, but for what one engine holds: others may pass between two messages. */
+/** Maximum prompts per message, so that other messages can pass in between; the prompts of one engine may exceed it. */
 const maxBatchSize = 400
-/** Pause between batches, ms: one takes as long on a small box's link, which also carries its first requests. */
+/** Interval between batches, ms: the transfer time of one on a slow link, which also carries the box's first requests. */
 const batchIntervalMs = 20
-/** The same messages serve all that ask within so long, ms: hundreds of gateways that start together would keep a registry busy for seconds. */
+/** How long composed messages are reused, ms: composing them for each of hundreds of gateways that start together would occupy a registry for seconds. */
 const cacheMs = 1000
 
-/** Parts what engines hold into batches; what one engine holds is never parted, as it replaces what was known of it. */
+/** Splits cached prompts into batches. The prompts of one engine stay in one batch, as a message replaces all that was known of the engine. */
 export function listBatches (prompts: readonly ReadPrompt[]): ReadPrompt[][] {
   const byEngine = new Map<EndpointId, ReadPrompt[]>()
   for (const prompt of prompts) {
@@ -26,23 +26,23 @@
   return batches
 }
 
-/** The messages that tell a box all that engines hold. */
+/** Sends a box the prompts that engines have cached, in batches. */
 export class PromptBatches {
   #listPrompts: () => readonly ReadPrompt[]
   #messages: readonly RouteMessage[] = []
   #composedAt = -Infinity
 
-  /** `list`: what engines hold now. */
+  /** `listPrompts`: the prompts that engines have cached now. */
   constructor (listPrompts: () => readonly ReadPrompt[]) {
     this.#listPrompts = listPrompts
   }
 
-  /** Tells a box, one batch after another; `at`: now, ms. */
+  /** Sends all batches, spaced by an interval; `at`: now, ms. */
   sendAll (link: Link<RouteMessage>, at: number): void {
     for (const [i, message] of this.compose(at).entries()) setTimeout(() => link.send(message), i * batchIntervalMs)
   }
 
-  /** The messages, as of a second ago at most; `at` in ms. */
+  /** The messages, at most one second old; `at`: now, ms. */
   compose (at: number): readonly RouteMessage[] {
     if (at - this.#composedAt < cacheMs) return this.#messages
     this.#composedAt = at
--- a/src/registry/recent-documents.ts
+++ b/src/registry/recent-documents.ts
@@ -1,25 +1,25 @@
 /**
- * The documents that a registry had in force of late, so that gateways are told
- * what changed since the one that they have. Boxes of one age ask for the same,
- * so what was packed is kept until the next document.
+ * Recent versions of the routing document, from which gateways get the difference
+ * to the version that they hold. Many gateways hold the same version, so each
+ * difference is cached until the next document.
  */
 import type { VersionedText } from '../coordination/index.js'
 import { packDocument } from '../protocol/index.js'
 import type { PackedDocument } from '../protocol/index.js'
 
-/** Characters of the older documents that are kept, in all: some forty documents of 1,400 routes. */
+/** Maximum total length of the older documents, in characters: about forty documents of 1,400 routes. */
 const maxOlderCharacters = 16 * 2 ** 20
 
 export class RecentDocuments {
   #newest: VersionedText | null = null
-  /** Those before it, the newest last. */
+  /** The versions before it, newest last. */
   #older: VersionedText[] = []
-  /** What was packed of the newest, by the version that it is told against. */
+  /** The newest document as packed, by base version; 0 for the full document. */
   #packed = new Map<number, PackedDocument>()
 
   get newest (): VersionedText | null { return this.#newest }
 
-  /** Takes the document in force; false where it isn't newer. */
+  /** Adds the active document; false where it isn't newer. */
   add (document: VersionedText): boolean {
     if (document.version <= (this.#newest?.version ?? 0)) return false
     if (this.#newest !== null) this.#older.push(this.#newest)
@@ -29,7 +29,7 @@
     return true
   }
 
-  /** The document in force for one who has the version `held`, 0 for none; null where there is no newer one. */
+  /** The active document for a gateway that has `heldVersion`, 0 for none; null where there is no newer one. */
   pack (heldVersion: number): PackedDocument | null {
     if (this.#newest === null || this.#newest.version <= heldVersion) return null
     const base = this.#older.find(({ version }) => version === heldVersion) ?? null
--- a/src/registry/registry-box.ts
+++ b/src/registry/registry-box.ts
@@ -1,7 +1,7 @@
 /**
- * A registry: a replica of the log that holds the routing document, a copy of
- * the directory of endpoints, and the place where gateways learn both. The
- * registries find each other by seeds and look after their log themselves.
+ * A registry: a replica of the log that holds the routing document, with a copy
+ * of the endpoint directory, and the source from which gateways fetch both. The
+ * registries discover each other through seeds and manage the log's membership.
  */
 import { performance } from 'node:perf_hooks'
 import { parseAddress } from '../config/index.js'
@@ -29,15 +29,15 @@
 import { ActiveServices } from './active-services.js'
 import { SavedState } from './saved-state.js'
 
-/** Signs of life between registries, and the pace of the members' upkeep, ms. */
+/** Interval of hellos between registries and of membership reconciliation, ms. */
 const helloIntervalMs = 250
-/** How often the boxes in touch, and who was heard from, are told, ms. */
+/** How often the connected boxes and the heartbeats received are broadcast, ms. */
 const broadcastIntervalMs = 2000
-/** Heartbeats of links, ms: an eighth of what makes a box count as out of touch on the users' days. */
+/** Heartbeats of links, ms: one eighth of the silence after which a box counts as unreachable in production workloads. */
 const heartbeat = { everyMs: 400, silentMs: 1500 }
 const dialTimings = { connectMs: 500, longestRetryMs: 500 }
 
-/** Rising time of this process, ms. */
+/** Monotonic clock of this process, ms. */
 function now (): number { return performance.now() }
 
 export class RegistryBox {
@@ -50,7 +50,7 @@
   #operatorServer: OperatorServer
   #log: KeeperLog | null = null
   #leaderClient: LeaderClient | null = null
-  /** Null where there are none. */
+  /** Null where no duties are configured. */
   #duties: DutyRunner | null = null
   #hosts: KnownHosts
   #membership: MembershipManager
@@ -88,7 +88,7 @@
   get keeperLog (): KeeperLog { return this.#started.log }
   get records (): readonly EndpointRecord[] { return this.#endpoints.records }
 
-  /** Opens the disk and begins to serve. */
+  /** Loads the saved state and starts serving. */
   async start (): Promise<void> {
     const { listen, host, bind, linkPort, loadPort, seeds } = this.#settings
     const { log } = this.#dependencies
@@ -101,9 +101,9 @@
     this.#leaderClient = new LeaderClient({ log: this.#log, findLink: replica => this.#links.find(getReplicaHost(replica), linkPort) })
     await startLog(this.#log, this.#hosts.seeds, this.#settings.first, log)
     this.#hosts.addMembers(this.#log.replica)
-    // A snapshot is in force from the start; nobody tells of it.
+    // The document of a snapshot is active from the start, without an apply event.
     this.#documents.announceChanges()
-    // Only now: hundreds of gateways that call a seed which starts would keep it from its disk, and the log from its quorum.
+    // Listens only now: hundreds of gateways that connect to a starting seed would delay its disk, and so the log's quorum.
     await this.#links.listen(bind === '' ? host : bind, linkPort)
     await this.#loadHub.listen(host, loadPort)
     this.port = await this.#operatorServer.listen(parseAddress(listen))
@@ -112,10 +112,10 @@
     this.#dependencies.log.info('registry-started', { replica: this.#log.id, formed: this.#log.isFormed })
   }
 
-  /** Takes other seeds; those known before stay known. */
+  /** Replaces the seeds; hosts that are already known stay known. */
   setSeeds (seeds: readonly string[]): void { this.#hosts.setSeeds(seeds) }
 
-  /** Hands leadership over, then ends. */
+  /** Transfers leadership, then shuts down. */
   async stop (): Promise<void> {
     await this.#duties?.stop()
     await this.#log?.replica?.transfer()
@@ -123,7 +123,7 @@
     this.#dependencies.log.info('registry-stopped')
   }
 
-  /** Ends at once, as a crash does. */
+  /** Shuts down at once, as a crash would. */
   kill (): void {
     for (const timer of this.#timers) clearInterval(timer)
     this.#duties?.close()
@@ -133,7 +133,7 @@
     this.#log?.close().catch((error: Error) => this.#dependencies.log.warn('disk-not-closed', { error: error.message }))
   }
 
-  // What the registry is made of.
+  // Construction.
 
   #createLinks (): LinkPool<RouteMessage> {
     const { log, secret } = this.#dependencies
@@ -230,11 +230,11 @@
     this.#duties.start()
   }
 
-  // Meeting the others.
+  // Connections.
 
   #introduce (link: Link<RouteMessage>): void {
     this.#sendHello(link)
-    // Between registries; a gateway gets them once it has presented itself.
+    // To registries only; a gateway gets them after its hello.
     if (!this.#links.dialed.includes(link)) return
     link.send(this.#endpoints.fullMessage)
     link.send({ type: 'crashes', news: this.#crashes.state })
@@ -309,11 +309,11 @@
     const isNew = this.#gateways.add(link, gateway)
     this.#permits.noteConnected(gateway)
     const newest = this.#documents.newest?.version ?? 0
-    // Before the version: a gateway that starts serves once it has the document.
+    // Before the version, as a starting gateway serves as soon as it has the document.
     if (isNew) link.send({ type: 'crashes', news: this.#crashes.state })
     if (isNew || newest > version) link.send(this.#documents.composeVersion())
     if (!isNew) return
-    // Changes are told only to gateways that are known: what came since the link opened is told here.
+    // Changes are broadcast only to gateways that sent a hello; this covers those since the link opened.
     link.send(this.#endpoints.fullMessage)
     link.send({ type: 'notices', notices: this.#loadHub.notices.notices })
     link.send(this.#composeBoxes())
@@ -330,7 +330,7 @@
     if (from !== undefined) this.#links.find(getReplicaHost(to), this.#settings.linkPort)?.send({ type: 'raft', from, to, message })
   }
 
-  // Spreading.
+  // Broadcasts.
 
   #broadcastToAll (message: RouteMessage): void {
     this.#gateways.broadcast(message)
--- a/src/registry/saved-item-guards.ts
+++ b/src/registry/saved-item-guards.ts
@@ -1,7 +1,7 @@
-/** What registries save beside their log, as it is told from what a torn file may hold. */
+/** Type guards for the items that registries save besides their log, as a partly written file may contain anything. */
 import type { EndpointRecord, QuarantineEntry, ReadPrompt } from '../core/index.js'
 
-/** True for the record of an endpoint that is there. */
+/** True for the record of an endpoint that is ready or draining. */
 export function isSavedRecord (value: unknown): value is EndpointRecord {
   if (value === null || typeof value !== 'object') return false
   const { id, service, host, zone, port, slots, born, software, sequence, stage } = value as Partial<EndpointRecord>
@@ -10,13 +10,13 @@
   return hasTexts && hasNumbers && (stage === 'ready' || stage === 'draining')
 }
 
-/** True for what an engine holds of a prompt. */
+/** True for a prompt that an engine has cached. */
 export function isSavedPrompt (value: unknown): value is ReadPrompt {
   if (!Array.isArray(value) || value.length !== 3 || typeof value[0] !== 'string' || value[2] !== true) return false
   return Array.isArray(value[1]) && value[1].every(isPromptPart)
 }
 
-/** True for a request in quarantine. */
+/** True for a quarantine entry. */
 export function isSavedEntry (value: unknown): value is QuarantineEntry {
   if (value === null || typeof value !== 'object') return false
   const { fingerprint, round, state, service, ended, sound, ends, weight, leftMs } = value as Partial<QuarantineEntry>
--- a/src/registry/saved-list.ts
+++ b/src/registry/saved-list.ts
@@ -1,17 +1,17 @@
 /**
- * A list on a registry's disk that need not last, so that a registry that starts
- * knows at once what it knew. It may be old, torn or missing: the boxes say it anew.
+ * A list cached on a registry's disk, so that a restarted registry has its state at
+ * once. The file may be stale, truncated or missing, as the boxes resend the data.
  */
 import { mkdir, readFile, rename, writeFile } from 'node:fs/promises'
 import { join } from 'node:path'
 import type { EventLog } from '../runtime/index.js'
 
-/** What is saved, and where. */
+/** The location of a list and the type of its items. */
 export interface SavedListOptions<Item> {
   readonly folder: string
   readonly file: string
   readonly log: EventLog
-  /** True for what may be kept: what a torn file may hold is data from outside. */
+  /** Validates an item: the content of a truncated file is untrusted. */
   isItem (value: unknown): value is Item
 }
 
@@ -24,7 +24,7 @@
     this.#options = options
   }
 
-  /** What was saved last; nothing where it can't be read, and of a file that holds more than items, those alone. */
+  /** The items saved last; empty where the file can't be read. Invalid items are skipped. */
   async load (): Promise<Item[]> {
     const { folder, file, log, isItem } = this.#options
     try {
@@ -36,7 +36,7 @@
     }
   }
 
-  /** Saves the items; while that goes on, the newest list waits. A disk that refuses costs a log line alone. */
+  /** Saves the items; while a write is in progress, only the newest list is queued. A failed write is only logged. */
   async save (items: readonly Item[]): Promise<void> {
     this.#pendingItems = items.filter(this.#options.isItem)
     if (this.#isWriting) return
--- a/src/registry/saved-state.ts
+++ b/src/registry/saved-state.ts
@@ -1,18 +1,18 @@
-/** What a registry saves beside its log: the directory of endpoints, which engine holds which prompt, and requests in quarantine. */
+/** The state that a registry saves besides its log: the endpoint directory, the prompts cached by engines, and requests in quarantine. */
 import { join } from 'node:path'
 import type { EndpointRecord, PromptBook, QuarantineEntry, ReadPrompt } from '../core/index.js'
 import type { EventLog } from '../runtime/index.js'
 import { isSavedEntry, isSavedPrompt, isSavedRecord } from './saved-item-guards.js'
 import { SavedList } from './saved-list.js'
 
-/** Folder beside the log for what need not last. */
+/** Subfolder of the log's folder for data that may be lost. */
 const folderName = 'directory'
 
 export class SavedState {
   #records: SavedList<EndpointRecord>
   #prompts: SavedList<ReadPrompt>
   #quarantine: SavedList<QuarantineEntry>
-  /** The version of the book of prompts that was saved last. */
+  /** The version of the prompts that was saved last. */
   #savedPromptsVersion = 0
 
   /** `data`: the folder of the log. */
@@ -25,20 +25,20 @@
 
   async loadRecords (): Promise<EndpointRecord[]> { return await this.#records.load() }
 
-  /** Saves the endpoints that are there. */
+  /** Saves the endpoints that are ready or draining. */
   saveRecords (records: readonly EndpointRecord[]): void { void this.#records.save(records) }
 
   async loadQuarantine (): Promise<QuarantineEntry[]> { return await this.#quarantine.load() }
 
   saveQuarantine (entries: readonly QuarantineEntry[]): void { void this.#quarantine.save(entries) }
 
-  /** Notes in the book what was saved. */
+  /** Adds the saved prompts to the book. */
   async loadPrompts (book: PromptBook): Promise<void> {
     book.note(await this.#prompts.load())
     this.#savedPromptsVersion = book.version
   }
 
-  /** Saves the book where it has changed. */
+  /** Saves the prompts where they have changed. */
   savePrompts ({ version, prompts }: PromptBook): void {
     if (version === this.#savedPromptsVersion) return
     this.#savedPromptsVersion = version
--- a/src/registry/usage-reporter.ts
+++ b/src/registry/usage-reporter.ts
@@ -1,7 +1,7 @@
 /**
- * The duty of telling what ran: windows are settled in the log once all boxes
- * have told of them, or can't be waited for any longer, and reported from the
- * log until the other side has taken them, always with the same counts.
+ * The duty of reporting usage. A window is settled in the log once all boxes have
+ * reported it, or the wait has reached its limit, and is then sent from the log until
+ * the platform accepts it, always with the same counts.
  */
 import { UsageBook } from '../coordination/index.js'
 import type { SettledWindow, UsageCommand, UsageCounts, UsageLedger, UsageResult, UsageTelling, UsageWindow } from '../coordination/index.js'
@@ -15,35 +15,35 @@
   readonly metrics: Metrics
   /** Length of a window, ms. */
   readonly windowMs: number
-  /** How long after its end a window may be told, ms. */
+  /** How long after its end a window may be reported, ms. */
   readonly reportDeadlineMs: number
   readonly ledger: UsageLedger
   now (): number
-  /** True time, ms since 1970. */
+  /** Wall-clock time, ms since 1970. */
   readTimeOfDay (): number
-  /** Has the log take a command; null where it is not known whether it did. */
+  /** Proposes a command to the log; null where its outcome is unknown. */
   propose (command: UsageCommand): Promise<UsageResult | null>
   call (call: DutyCall): Promise<DutyCallResult>
 }
 
-/** A window is settled this long after its end at the earliest, ms: two tellings of a gateway that says that it has told all. */
+/** Earliest time after its end at which a window is settled, ms: two report intervals of a gateway. */
 const settleDelayMs = 500
-/** Part of the time for telling for which boxes that are behind are waited for: a zone that is cut off comes back, and what is left is for a new holder. */
+/** Fraction of the reporting deadline spent waiting for boxes that are behind: a partitioned zone may reconnect, and the rest is left for a new holder. */
 const waitFraction = 0.7
-/** A box that was silent for longer before a window began has nothing to tell of it, ms: cuts of the users' days are shorter. */
+/** A box that was silent for longer than this before a window began has no usage in it, ms: network partitions in production workloads are shorter. */
 const inactiveMs = 10_000
-/** Pauses between calls that fail, ms. */
+/** Back-off between failed calls, ms. */
 const minBackoffMs = 200
 const maxBackoffMs = 2000
-/** A window that was not taken so long after it was due is given up, in times of being late. */
+/** A window not accepted this long past its deadline is given up, as a multiple of the deadline. */
 const giveUpFactor = 6
-/** Windows that nobody settled are made up for, at most so many: older ones are closed at the other side. */
+/** Maximum number of past windows that are settled late: the platform no longer accepts older ones. */
 const maxBackfilledWindows = 12
 
 export class UsageReporter {
   #host: UsageReporterHost
   #book = new UsageBook()
-  /** The window in which this box first held the duty: the first that is told, where none was before. */
+  /** The window in which this box first held the duty: the first one reported where none has been settled yet. */
   #firstWindow: UsageWindow | null = null
   #isSettling = false
   #isReporting = false
@@ -58,16 +58,16 @@
     for (const report of reports) this.#book.note(report, this.#host.now())
   }
 
-  /** What the leader is to be told: what is new, or everything. */
+  /** The reports for the leader: those that changed since the last call, or all. */
   takeUnsent (all: boolean): UsageTelling[] { return this.#book.takeNews(all) }
 
-  /** Drops what is settled, and what can't be reported any more. */
+  /** Drops windows that are settled or can no longer be reported. */
   prune (): void {
     const settled = this.#host.ledger.newest ?? -1
     this.#book.forget(Math.max(settled + 1, this.#currentWindow - maxBackfilledWindows), this.#host.now())
   }
 
-  /** Settles and reports what is due; to be called a few times a second by the holder alone. */
+  /** Settles and reports the windows that are due. Only the lease holder calls this, a few times a second. */
   step (): void {
     if (!this.#isSettling) void this.#settleNext().finally(() => { this.#isSettling = false })
     if (!this.#isReporting && this.#host.now() >= this.#backoffUntil) void this.#reportNext().finally(() => { this.#isReporting = false })
@@ -125,7 +125,7 @@
   }
 }
 
-/** Says in a word how a call ended. */
+/** A short description of a call's result, for log fields and metric tags. */
 export function describeResult (result: DutyCallResult): string {
   switch (result.type) {
     case 'answered': return `status ${result.status}`
