--- a/src/registry/document-announcer.ts
+++ b/src/registry/document-announcer.ts
@@ -10,7 +10,7 @@
   readonly metrics: Metrics
   /** The newest document that was applied here. */
   findNewest (): VersionedText | null
-  /** True where this replica is up to date with the leader, except for entries in transit. */
+  /** True where everything committed before the current leader's term is applied here; later entries may be in transit. */
   isCurrent (): boolean
   broadcastToGateways (message: RouteMessage): void
 }
--- a/src/registry/endpoint-tracker.ts
+++ b/src/registry/endpoint-tracker.ts
@@ -18,7 +18,7 @@
   /** Called when an endpoint restarts: its cached prompts are lost. */
   noteRestart (endpoint: EndpointId): void
   /** Sends the heartbeats received to the other registries. */
-  broadcastHeartbeats (words: readonly (readonly [EndpointId, number])[]): void
+  broadcastHeartbeats (heartbeats: readonly (readonly [EndpointId, number])[]): void
 }
 
 /** A restored endpoint that sends no heartbeat counts as lost this long after the start, ms: two heartbeat intervals. */
@@ -78,12 +78,12 @@
   }
 
   /** Applies a registration, heartbeat or deregistration that an endpoint sent itself. */
-  register (word: EndpointRecord): void {
-    if (this.#isStaleHeartbeat(word)) return this.#host.log.info('endpoint-overtaken', { endpoint: word.id, sequence: word.sequence })
-    if (word.stage === 'gone' && this.#host.now() - (this.#restartedAt.get(word.id) ?? -Infinity) < lateDeregistrationMs) return
-    this.#lastHeardAt.set(word.id, this.#host.now())
-    this.#unsentHeartbeats.set(word.id, word.sequence)
-    this.merge([word])
+  register (record: EndpointRecord): void {
+    if (this.#isStaleHeartbeat(record)) return this.#host.log.info('endpoint-overtaken', { endpoint: record.id, sequence: record.sequence })
+    if (record.stage === 'gone' && this.#host.now() - (this.#restartedAt.get(record.id) ?? -Infinity) < lateDeregistrationMs) return
+    this.#lastHeardAt.set(record.id, this.#host.now())
+    this.#unsentHeartbeats.set(record.id, record.sequence)
+    this.merge([record])
   }
 
   /** Merges records of another box; broadcasts only those that change something here. */
@@ -103,9 +103,9 @@
   }
 
   // True for a delayed heartbeat of a known endpoint whose address another live endpoint has taken over.
-  #isStaleHeartbeat (word: EndpointRecord): boolean {
-    const owner = this.#directory.findAt(word)
-    if (word.stage === 'gone' || owner === undefined || owner.id === word.id || this.#directory.find(word.id) === undefined) return false
+  #isStaleHeartbeat (record: EndpointRecord): boolean {
+    const owner = this.#directory.findAt(record)
+    if (record.stage === 'gone' || owner === undefined || owner.id === record.id || this.#directory.find(record.id) === undefined) return false
     if (owner.stage === 'gone' || owner.stage === 'lost') return false
     return this.#host.now() - (this.#lastHeardAt.get(owner.id) ?? -Infinity) < addressOwnerTimeoutMs
   }
@@ -116,8 +116,8 @@
   }
 
   /** Records heartbeats that another registry received. */
-  noteHeartbeats (words: readonly (readonly [EndpointId, number])[]): void {
-    for (const [id] of words) this.#lastHeardAt.set(id, this.#host.now())
+  noteHeartbeats (heartbeats: readonly (readonly [EndpointId, number])[]): void {
+    for (const [id] of heartbeats) this.#lastHeardAt.set(id, this.#host.now())
   }
 
   /** Forwards the heartbeats received since the last call, and marks silent endpoints as lost. */
--- a/src/registry/index.ts
+++ b/src/registry/index.ts
@@ -1,7 +1,7 @@
 /** The registry program: stores the routing document and the endpoint directory. */
 export { RegistryBox } from './registry-box.js'
-export type { RegistryDependencies as RegistrySurroundings } from './registry-dependencies.js'
+export type { RegistryDependencies } from './registry-dependencies.js'
 export { isSavedPrompt } from './saved-item-guards.js'
 export { PromptBatches, listBatches } from './prompt-batches.js'
-export { EndpointTracker as EndpointDesk } from './endpoint-tracker.js'
+export { EndpointTracker } from './endpoint-tracker.js'
 export { LoadHub } from './load-hub.js'
--- a/src/registry/leader-client.ts
+++ b/src/registry/leader-client.ts
@@ -82,9 +82,9 @@
   async serve (link: Link<RouteMessage>, message: Extract<RouteMessage, { type: 'put' | 'read' }>): Promise<void> {
     const { call } = message
     if (message.type === 'put') return void link.send({ type: 'put-end', call, end: await this.putLocally(message.document) ?? 'not-leader' })
-    const { isConfirmed: sure, document } = await this.readLocally()
+    const { isConfirmed, document } = await this.readLocally()
     const isNewer = document !== null && document.version > message.version
-    link.send({ type: 'read-end', call, sure, document: isNewer ? document : null })
+    link.send({ type: 'read-end', call, sure: isConfirmed, document: isNewer ? document : null })
   }
 
   /** Completes a forwarded call with the leader's answer. */
--- a/src/registry/load-hub.ts
+++ b/src/registry/load-hub.ts
@@ -45,7 +45,7 @@
 const intervalPerGatewayMs = 1
 /**
  * The same for each endpoint in the totals, as every gateway decodes all of them:
- * about 50 ms, instead of 15, for the largest deployments of 67 endpoints.
+ * about 50 ms instead of 15 for sites that have grown to 67 endpoints.
  */
 const intervalPerEndpointMs = 0.8
 /** Maximum interval, ms: older totals are of little use. */
--- a/src/registry/membership-manager.ts
+++ b/src/registry/membership-manager.ts
@@ -43,8 +43,8 @@
   forgetSilent (): ReplicaId[] {
     const now = this.#host.now()
     const forgotten: ReplicaId[] = []
-    for (const [replica, { lastHeardAt: heardAt }] of this.#heard) {
-      if (now - heardAt < forgetMs) continue
+    for (const [replica, { lastHeardAt }] of this.#heard) {
+      if (now - lastHeardAt < forgetMs) continue
       this.#heard.delete(replica)
       forgotten.push(replica)
     }
@@ -72,7 +72,7 @@
   #listSightings (self: ReplicaId, matches: ReadonlyMap<ReplicaId, number>): KeeperSight[] {
     const now = this.#host.now()
     const sights: KeeperSight[] = [{ replica: self, zone: this.#host.zone, silentMs: 0, match: matches.get(self) ?? 0 }]
-    for (const [replica, { zone, lastHeardAt: heardAt }] of this.#heard) sights.push({ replica, zone, silentMs: now - heardAt, match: matches.get(replica) ?? 0 })
+    for (const [replica, { zone, lastHeardAt }] of this.#heard) sights.push({ replica, zone, silentMs: now - lastHeardAt, match: matches.get(replica) ?? 0 })
     return sights
   }
 }
--- a/src/registry/operator-server.ts
+++ b/src/registry/operator-server.ts
@@ -126,8 +126,8 @@
   }
 
   async #read (): Promise<Answer> {
-    const { isConfirmed: sure, document } = await this.#host.read()
-    if (!sure || document === null) return { status: 503, body: sure ? 'there is no document yet' : 'could not confirm with a quorum that the document is the newest' }
+    const { isConfirmed, document } = await this.#host.read()
+    if (!isConfirmed || document === null) return { status: 503, body: isConfirmed ? 'there is no document yet' : 'could not confirm with a quorum that the document is the newest' }
     return { status: 200, body: document.text }
   }
 
--- a/src/registry/registry-box.ts
+++ b/src/registry/registry-box.ts
@@ -33,7 +33,7 @@
 const helloIntervalMs = 250
 /** How often the connected boxes and the heartbeats received are broadcast, ms. */
 const broadcastIntervalMs = 2000
-/** Heartbeats of links, ms: one eighth of the silence after which a box counts as unreachable in production workloads. */
+/** Heartbeats of links, ms: one eighth of the silence after which a box counts as unreachable under user workloads. */
 const heartbeat = { everyMs: 400, silentMs: 1500 }
 const dialTimings = { connectMs: 500, longestRetryMs: 500 }
 
@@ -160,7 +160,7 @@
         this.#saved.saveRecords(this.#endpoints.records)
       },
       noteRestart: endpoint => this.#loadHub.prompts.forget(endpoint),
-      broadcastHeartbeats: words => this.#broadcastToRegistries({ type: 'heard', words })
+      broadcastHeartbeats: heartbeats => this.#broadcastToRegistries({ type: 'heard', words: heartbeats })
     })
   }
 
@@ -192,7 +192,7 @@
       log,
       put: document => this.#started.leaderClient.put(document),
       read: () => this.#started.leaderClient.read(),
-      registerEndpoint: word => this.#endpoints.register(word),
+      registerEndpoint: record => this.#endpoints.register(record),
       listQuarantine: () => this.#crashes.state.entries,
       liftQuarantine: fingerprint => this.#crashes.lift(fingerprint),
       listNotices: () => this.#loadHub.listNotices(),
--- a/src/registry/usage-reporter.ts
+++ b/src/registry/usage-reporter.ts
@@ -26,11 +26,11 @@
   call (call: DutyCall): Promise<DutyCallResult>
 }
 
-/** Earliest time after its end at which a window is settled, ms: two report intervals of a gateway. */
+/** Earliest time after its end at which a window is settled, ms: two reports of a gateway, which state up to when they are complete. */
 const settleDelayMs = 500
 /** Fraction of the reporting deadline spent waiting for boxes that are behind: a partitioned zone may reconnect, and the rest is left for a new holder. */
 const waitFraction = 0.7
-/** A box that was silent for longer than this before a window began has no usage in it, ms: network partitions in production workloads are shorter. */
+/** A box that was silent for longer than this before a window began has no usage in it, ms: network partitions under user workloads are shorter. */
 const inactiveMs = 10_000
 /** Back-off between failed calls, ms. */
 const minBackoffMs = 200
@@ -76,14 +76,14 @@
   get #currentWindow (): UsageWindow { return Math.floor(this.#host.readTimeOfDay() / this.#host.windowMs) }
 
   async #settleNext (): Promise<void> {
-    const { ledger, windowMs, reportDeadlineMs: lateMs } = this.#host
+    const { ledger, windowMs, reportDeadlineMs } = this.#host
     this.#firstWindow ??= this.#currentWindow
     const window = Math.max(ledger.newest === null ? this.#firstWindow : ledger.newest + 1, this.#currentWindow - maxBackfilledWindows)
     const end = (window + 1) * windowMs
     const sinceMs = this.#host.readTimeOfDay() - end
     if (sinceMs < settleDelayMs) return
     const behind = this.#book.countBehind(end, this.#host.now() - sinceMs - windowMs - inactiveMs)
-    if (behind > 0 && sinceMs < lateMs * waitFraction) return
+    if (behind > 0 && sinceMs < reportDeadlineMs * waitFraction) return
     this.#isSettling = true
     const counts = this.#book.sum(window)
     const result = await this.#host.propose({ type: 'settle', window, counts })
--- a/test/document-spread.test.ts
+++ b/test/document-spread.test.ts
@@ -8,16 +8,16 @@
 
 const networkNumber = 42
 const registryHost = `127.${networkNumber}.0.1`
-/** Where the registry really accepts links; the slow link stands before it. */
+/** The address on which the registry accepts links, behind the slow link. */
 const upstreamHost = `127.${networkNumber}.3.1`
 const linkPort = 7000
 
-/** What the streams leave of a link of 7 Mbit/s, bytes/ms. */
+/** Bandwidth that streams leave on a link of 7 Mbit/s, bytes/ms. */
 const bytesPerMs = 400
 
 function hash (seed: string): string { return createHash('sha256').update(seed).digest('hex').slice(0, 12) }
 
-/** A document with many routes, whose names are as little alike as real ones. */
+/** A document with many routes, whose names compress as little as real ones. */
 function composeLarge (version: number, count: number): TestDocument {
   const base = composeDocument(version)
   const extraRoutes = Array.from({ length: count }, (_, i) => ({
@@ -29,11 +29,11 @@
 async function withSlowLink (run: (deployment: RouteDeployment, link: SlowLink) => Promise<void>): Promise<void> {
   const link = new SlowLink(upstreamHost, linkPort, bytesPerMs)
   await link.listen(registryHost, linkPort)
-  const place = await RouteDeployment.start({ number: networkNumber, registries: 1, gateways: 1, registry: { bind: upstreamHost } })
+  const deployment = await RouteDeployment.start({ number: networkNumber, registries: 1, gateways: 1, registry: { bind: upstreamHost } })
   try {
-    await run(place, link)
+    await run(deployment, link)
   } finally {
-    await place.stop()
+    await deployment.stop()
     link.close()
   }
 }
@@ -44,16 +44,16 @@
   }
 }
 
-test('large documents in quick succession cost a slow link less than one copy, and hold up no word of an endpoint', () => withSlowLink(async (deployment, link) => {
+test('several large documents in quick succession send less than one full copy over a slow link, and do not delay a deregistration', () => withSlowLink(async (deployment, link) => {
   await deployment.putDocument(composeDocument(12))
   const endpoint = await deployment.addEndpoint('desk')
-  const carriedBefore = link.forwardedBytes
+  const bytesBefore = link.forwardedBytes
   await putAll(deployment, [composeLarge(14, 1400), composeLarge(15, 1399), composeLarge(16, 1400), composeLarge(17, 1398)])
   await deployment.operate('DELETE', `/v1/endpoints/${endpoint.id}`)
-  await until(() => deployment.gateways[0].fleet.findView(endpoint.id as never) === undefined, 'the endpoint gone')
+  await until(() => deployment.gateways[0].fleet.findView(endpoint.id as never) === undefined, 'the endpoint removed')
   const documentBytes = JSON.stringify(composeLarge(17, 1398)).length
-  const bytesUntilGone = link.forwardedBytes - carriedBefore
-  await until(() => deployment.gateways[0].table?.version === 17 && link.isIdle, 'the newest in force, and the link at rest')
-  const bytesUntilActive = link.forwardedBytes - carriedBefore
+  const bytesUntilGone = link.forwardedBytes - bytesBefore
+  await until(() => deployment.gateways[0].table?.version === 17 && link.isIdle, 'the newest document active, and the link idle')
+  const bytesUntilActive = link.forwardedBytes - bytesBefore
   assert.ok(bytesUntilGone < documentBytes && bytesUntilActive < documentBytes, `${bytesUntilGone} and ${bytesUntilActive} bytes for documents of ${documentBytes}`)
 }))
--- a/test/duties.test.ts
+++ b/test/duties.test.ts
@@ -1,7 +1,7 @@
 /**
- * The calls that one registry makes for all, over real sockets, at a stand-in of
- * the platform that looks at no fence: usage is told once and the same whoever
- * tells it, however often it is asked again, and no two registries call at a time.
+ * The calls that one registry makes for all, over real sockets, to a stand-in of
+ * the platform that does not check fencing tokens: each window's usage is reported
+ * with the same counts by every holder and retry, and no two registries call at once.
  */
 import assert from 'node:assert/strict'
 import { after, before, test } from 'node:test'
@@ -48,7 +48,7 @@
   return conflicts
 }
 
-/** Requests that all windows reported so far come to. */
+/** Total requests of all windows reported so far. */
 function countReported (): number {
   const windows = new Map(listReports().map(({ window, counts }) => [window, counts.camp ?? 0]))
   return [...windows.values()].reduce((sum, one) => sum + one, 0)
@@ -65,30 +65,30 @@
 let asked = 0
 
 const faults: readonly { fault: PlatformFault, name: string }[] = [
-  { fault: 'none', name: 'a platform that is well' },
-  { fault: 'lose', name: 'answers that get lost' },
-  { fault: 'busy', name: 'a platform that has too many calls' },
-  { fault: 'error', name: 'a platform that fails' },
-  { fault: 'refuse', name: 'a platform that refuses' },
-  { fault: 'silent', name: 'a platform that says nothing' },
-  { fault: 'garbage', name: 'answers that are none' }
+  { fault: 'none', name: 'no fault' },
+  { fault: 'lose', name: 'lost responses' },
+  { fault: 'busy', name: 'a platform that is overloaded' },
+  { fault: 'error', name: 'a platform that responds with an error' },
+  { fault: 'refuse', name: 'a platform that refuses calls' },
+  { fault: 'silent', name: 'a platform that does not respond' },
+  { fault: 'garbage', name: 'malformed responses' }
 ]
 
 for (const { fault, name } of faults) {
-  test(`what ran is told once for each window: ${name}`, async () => {
+  test(`usage is reported once for each window: ${name}`, async () => {
     platform.fault = fault
     await askMany(10)
     asked += 10
     const before = platform.calls.length
     await until(() => platform.calls.length > before + (fault === 'silent' ? 1 : 2), 'calls')
     platform.fault = 'none'
-    await until(() => countReported() >= asked, `${asked} requests told`)
+    await until(() => countReported() >= asked, `${asked} requests reported`)
     assert.equal(countReported(), asked)
     assert.deepEqual(findConflicts(), [])
   })
 }
 
-test('a planned stop of the holder, then the end of the next, cost no window and no breach', async () => {
+test('a planned stop of the lease holder, then a crash of the next one, lose no window and cause no conflicting reports', async () => {
   for (const stop of ['stop', 'kill'] as const) {
     const leader = deployment.registries.findIndex(one => one?.keeperLog.isLeader === true)
     await askMany(6)
@@ -97,7 +97,7 @@
     deployment.registries[leader] = null
     await askMany(6)
     asked += 6
-    await until(() => countReported() >= asked, `${asked} requests told after the ${stop}`)
+    await until(() => countReported() >= asked, `${asked} requests reported after the ${stop}`)
     assert.equal(countReported(), asked)
     await deployment.startRegistry(leader, false)
     await until(() => deployment.registries.some(one => one?.keeperLog.isLeader === true), 'a leader')
@@ -106,12 +106,12 @@
   assert.ok(new Set(platform.calls.map(({ holder }) => holder)).size >= 2)
 })
 
-test('endpoints of both kinds are ordered in the zone, within its bounds', async () => {
+test('endpoints of both kinds are ordered in the zone, within its limits', async () => {
   const orders = platform.listTaken('/v1/endpoint-orders').map(body => JSON.parse(body) as { zone: string, spot: boolean, count: number })
   assert.ok(orders.some(({ spot }) => spot))
   for (const { zone, count } of orders) assert.ok(zone === 'zone-a' && count >= 0 && count <= 4, `${zone} ${count}`)
 })
 
-test('over all of it, one at a time called', () => {
+test('throughout the tests, only one registry called at a time', () => {
   assert.deepEqual(findBreaches(platform.calls, leaseMs), [])
 })
--- a/test/duty-caller.test.ts
+++ b/test/duty-caller.test.ts
@@ -1,7 +1,7 @@
 /**
- * A planned stop gives its lease back only where no call may still arrive. So a call that
- * was written and not answered must be known as such, whichever of its connection and its
- * request is the first to hear of the end.
+ * A planned stop releases the lease only where no call may still arrive. A call that was
+ * written but not answered must therefore be recorded as unresolved, whether its connection
+ * or its request reports the failure first.
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
@@ -21,22 +21,22 @@
 ]
 
 for (const { fault, isSure } of cases) {
-  test(`what became of a call is ${isSure ? '' : 'not '}known: ${fault}`, async () => {
+  test(`the outcome of a call is ${isSure ? '' : 'not '}known: ${fault}`, async () => {
     const platform = new StandinPlatform()
     platform.fault = fault
-    const caller = new DutyClient({ host, port: await platform.listen(host) }, 200)
-    const end = await caller.call(() => call)
+    const client = new DutyClient({ host, port: await platform.listen(host) }, 200)
+    const end = await client.call(() => call)
     assert.equal(end.type, isSure ? 'answered' : 'failed')
-    assert.equal(caller.lastUnknownOutcomeAt === -Infinity, isSure)
-    assert.equal(caller.openCount, 0)
+    assert.equal(client.lastUnknownOutcomeAt === -Infinity, isSure)
+    assert.equal(client.openCount, 0)
     platform.close()
   })
 }
 
-test('a call that was not written leaves nothing open', async () => {
+test('a call that was not written is not unresolved', async () => {
   const platform = new StandinPlatform()
-  const caller = new DutyClient({ host, port: await platform.listen(host) }, 200)
-  assert.equal((await caller.call(() => null)).type, 'not-held')
-  assert.equal(caller.lastUnknownOutcomeAt, -Infinity)
+  const client = new DutyClient({ host, port: await platform.listen(host) }, 200)
+  assert.equal((await client.call(() => null)).type, 'not-held')
+  assert.equal(client.lastUnknownOutcomeAt, -Infinity)
   platform.close()
 })
--- a/test/load-hub.test.ts
+++ b/test/load-hub.test.ts
@@ -15,7 +15,7 @@
 const reportIntervalMs = 50
 const movingEndpoint = brandId<EndpointId>('e-moving')
 
-/** A gateway that tells a hub the same work over and over, and takes in what it is told. */
+/** A gateway that sends a hub the same load periodically, and records the totals that it receives. */
 class SimulatedGateway {
   readonly received: LoadTotals[] = []
   sent = 0
@@ -47,7 +47,7 @@
   }
 }
 
-/** A gateway that has read nothing of endpoints. */
+/** A gateway without endpoint notices. */
 const noNotices = { listNotices: () => [], takeNotices: () => {}, noteHub: () => {} }
 
 const hubs: LoadHub[] = []
@@ -66,7 +66,7 @@
     hubs.push(hub)
   }
   for (let i = 0; i < hosts.length; i++) gateways.push(new SimulatedGateway(i))
-  await until(() => gateways.every(one => one.received.length > 0), 'all told')
+  await until(() => gateways.every(one => one.received.length > 0), 'totals at all gateways')
 })
 
 after(() => {
@@ -75,24 +75,24 @@
 
 const countRunning = (totals: LoadTotals | undefined): number => totals?.loads[0]?.running ?? 0
 
-test('hubs tell of a change in one gateway to the gateways of all', async () => {
+test('a load change at one gateway reaches the gateways of all hubs', async () => {
   gateways[0].running = 5
   await until(() => gateways.every(one => countRunning(one.received.at(-1)) === 6), 'the change everywhere')
 })
 
-test('while nothing changes, gateways are told the totals no more often than as a sign of life', async () => {
+test('while nothing changes, gateways get the totals only as heartbeats', async () => {
   const first = gateways[1]
   const { sent } = first
-  const before = first.received.length
-  await until(() => first.sent >= sent + 20, 'a second of words')
-  const receivedCount = first.received.length - before
-  // A sign of life goes out at most as often as this gateway's own words.
-  assert.ok(receivedCount >= 1 && receivedCount <= first.sent - sent, `${receivedCount} times in ${first.sent - sent} words`)
+  const receivedBefore = first.received.length
+  await until(() => first.sent >= sent + 20, 'one second of reports')
+  const receivedCount = first.received.length - receivedBefore
+  // The hub's heartbeat is at most as frequent as this gateway's own reports.
+  assert.ok(receivedCount >= 1 && receivedCount <= first.sent - sent, `${receivedCount} times in ${first.sent - sent} reports`)
 })
 
-// Three gateways returned to the hub of their zone, and the one that they left counted their last words until they had been
-// silent for 1.5 s ("event=gateway-silent" for each): the same work twice, and tags refused for it at boxes of all zones.
-test('the work of a gateway that moves to another hub is told once, not at both hubs', async () => {
+// Guards against double counting: when gateways returned to the hub of their zone, the hub that they left kept their last reports
+// for 1.5 s ("event=gateway-silent" for each), so boxes of all zones saw the load twice and rejected tag requests.
+test('the load of a gateway that moves to another hub is counted once, not at both hubs', async () => {
   let hub = 0
   const reporter = new LoadReporter({
     id: brandId<BoxId>('gateway-that-moves'),
@@ -107,19 +107,19 @@
   })
   await reporter.open('127.45.0.3')
   const countMoving = (totals: LoadTotals | undefined): number => totals?.loads.find(load => load.endpoint === movingEndpoint)?.running ?? 0
-  await until(() => gateways.every(one => countMoving(one.received.at(-1)) === 7), 'told once at both')
-  const before = gateways.map(one => one.received.length)
+  await until(() => gateways.every(one => countMoving(one.received.at(-1)) === 7), 'counted once at both')
+  const receivedBefore = gateways.map(one => one.received.length)
   hub = 1
   const { sent } = gateways[0]
-  await until(() => gateways[0].sent >= sent + 40, 'two seconds of words')
-  const doubled = gateways.map((one, i) => one.received.slice(before[i]).filter(totals => countMoving(totals) > 7).length)
+  await until(() => gateways[0].sent >= sent + 40, 'two seconds of reports')
+  const doubleCounts = gateways.map((one, i) => one.received.slice(receivedBefore[i]).filter(totals => countMoving(totals) > 7).length)
   reporter.close()
-  // In 40 words, where 1.5 s of them were doubled.
-  assert.ok(doubled.every(count => count <= 3), `${doubled.join(' and ')} times counted twice`)
+  // Of 40 reports; without the fix, 1.5 s of them were counted twice.
+  assert.ok(doubleCounts.every(count => count <= 3), `${doubleCounts.join(' and ')} times counted twice`)
 })
 
-// A box that is cut off from all hubs kept what the others had told as waiting for 1.5 s, as hubs did with boxes that had ended.
-test('a gateway that hears no hub any more drops what waits by others first, then all of their work', async () => {
+// Guards against stale queues: a box without any hub kept counting requests that waited at other boxes for 1.5 s, as hubs did for stopped boxes.
+test('a gateway that loses its hub drops the waiting requests of other boxes first, then all of their load', async () => {
   const host = '127.45.0.4'
   const hub = new LoadHub({ id: brandId<BoxId>(host), log: new EventLog(host, () => {}), now: () => performance.now(), listOthers: () => [], findService: () => brandId<ServiceName>('desk') })
   await hub.listen(host, port)
@@ -137,11 +137,11 @@
   }))
   await other.open('127.45.0.5')
   await reporter.open('127.45.0.6')
-  const describe = (): string => JSON.stringify(totals.at(-1)?.loads.map(load => [load.running, load.waiting]) ?? [])
-  await until(() => describe() === '[[3,[[1,900]]]]', 'the other box is told')
+  const describeLast = (): string => JSON.stringify(totals.at(-1)?.loads.map(load => [load.running, load.waiting]) ?? [])
+  await until(() => describeLast() === '[[3,[[1,900]]]]', 'the load of the other box received')
   hub.close()
-  await until(() => describe() === '[]', 'the other box is forgotten')
-  const stages = totals.map(one => JSON.stringify(one.loads.map(load => [load.running, load.waiting])))
+  await until(() => describeLast() === '[]', 'the load of the other box dropped')
+  const states = totals.map(one => JSON.stringify(one.loads.map(load => [load.running, load.waiting])))
   for (const one of [other, reporter]) one.close()
-  assert.deepEqual([...new Set(stages)].slice(-3), ['[[3,[[1,900]]]]', '[[3,[]]]', '[]'])
+  assert.deepEqual([...new Set(states)].slice(-3), ['[[3,[[1,900]]]]', '[[3,[]]]', '[]'])
 })
--- a/test/recent-documents.test.ts
+++ b/test/recent-documents.test.ts
@@ -6,19 +6,19 @@
 const compose = (version: number, size = 10): { version: number, text: string } => ({ version, text: JSON.stringify({ version, filler: 'x'.repeat(size) }) })
 const large = 5 * 2 ** 20
 
-/** Documents that were in force, what the asker has, and against which version it is told (null: nothing). */
+/** The documents that were active, the version that the gateway holds, and the base version of the response (null: no response). */
 const cases: readonly { readonly name: string, readonly sizes: readonly number[], readonly held: number, readonly base: number | null }[] = [
-  { name: 'no document yet', sizes: [], held: 0, base: null },
-  { name: 'an asker that has nothing', sizes: [9, 9], held: 0, base: 0 },
-  { name: 'an asker that has the one before', sizes: [9, 9, 9], held: 2, base: 2 },
-  { name: 'an asker that has the newest', sizes: [9, 9], held: 2, base: null },
-  { name: 'an asker that has one never seen here', sizes: [9, 9], held: 1.5, base: 0 },
-  { name: 'an asker that has one that was dropped for room', sizes: [large, large, large, large, 9], held: 1, base: 0 },
-  { name: 'an asker that has one kept beside those', sizes: [large, large, large, large, 9], held: 4, base: 4 }
+  { name: 'a gateway before the first document', sizes: [], held: 0, base: null },
+  { name: 'a gateway without a document', sizes: [9, 9], held: 0, base: 0 },
+  { name: 'a gateway with the previous version', sizes: [9, 9, 9], held: 2, base: 2 },
+  { name: 'a gateway with the newest version', sizes: [9, 9], held: 2, base: null },
+  { name: 'a gateway with a version unknown here', sizes: [9, 9], held: 1.5, base: 0 },
+  { name: 'a gateway with a version that was evicted', sizes: [large, large, large, large, 9], held: 1, base: 0 },
+  { name: 'a gateway with a version that was retained', sizes: [large, large, large, large, 9], held: 4, base: 4 }
 ]
 
 for (const { name, sizes, held, base } of cases) {
-  test(`what is told: ${name}`, () => {
+  test(`packing for ${name}`, () => {
     const recent = new RecentDocuments()
     const documents = sizes.map((size, i) => compose(i + 1, size))
     for (const document of documents) assert.ok(recent.add(document))
@@ -31,7 +31,7 @@
   })
 }
 
-test('one that isn\'t newer changes nothing', () => {
+test('a document that isn\'t newer changes nothing', () => {
   const recent = new RecentDocuments()
   assert.ok(recent.add(compose(2)))
   for (const version of [1, 2]) assert.equal(recent.add(compose(version, 99)), false)
--- a/test/support/slow-link.ts
+++ b/test/support/slow-link.ts
@@ -1,19 +1,18 @@
 /**
- * A TCP forwarder that carries no more than a narrow link would towards the
- * side that connects. All its connections share it, and it counts what it
- * carries.
+ * A TCP proxy that limits the bandwidth from the upstream host to its clients.
+ * All connections share the limit, and the proxy counts the bytes it forwards.
  */
 import { connect, createServer } from 'node:net'
 import type { Server, Socket } from 'node:net'
 import { listen } from '../../src/runtime/index.js'
 
-/** Bytes on their way through the link. */
+/** Bytes that wait to be forwarded. */
 interface QueuedBytes {
   readonly destination: Socket
   readonly bytes: Buffer
 }
 
-/** How often a part of what waits goes on, ms. */
+/** How often queued bytes are forwarded, ms. */
 const tickMs = 5
 
 export class SlowLink {
@@ -28,9 +27,9 @@
     this.#timer = setInterval(() => this.#forward(bytesPerMs * tickMs), tickMs)
   }
 
-  /** Bytes that were carried so far. */
+  /** Bytes forwarded to clients so far. */
   get forwardedBytes (): number { return this.#forwardedBytes }
-  /** True while nothing is on its way. */
+  /** True while no bytes are queued. */
   get isIdle (): boolean { return this.#queue.length === 0 }
 
   async listen (host: string, port: number): Promise<void> { await listen(this.#server, { host, port }) }
