--- a/src/registry/connected-gateways.ts
+++ b/src/registry/connected-gateways.ts
@@ -31,7 +31,7 @@
   }
 
   /** Whether a gateway connected since the last call. */
-  takeHasNewGateway (): boolean {
+  takeNewGatewayFlag (): boolean {
     const hasNewGateway = this.#hasNewGateway
     this.#hasNewGateway = false
     return hasNewGateway
--- a/src/registry/duty-runner.ts
+++ b/src/registry/duty-runner.ts
@@ -37,7 +37,7 @@
   #lease: LeaseHolder
   #client: DutyClient
   #usage: UsageReporter
-  #orders: EndpointScaler
+  #scaler: EndpointScaler
   #leaseMs: number
   #heldFence: number | null = null
   #ticks = 0
@@ -51,7 +51,7 @@
     const timing = planLeaseTiming(settings.leaseMs)
     this.#lease = new LeaseHolder(duty, host.id, timing, this.#readClocks())
     this.#client = new DutyClient(parseAddress(settings.address), timing.callMs)
-    this.#orders = new EndpointScaler(host)
+    this.#scaler = new EndpointScaler(host)
     const dayClock = new DayClock(host.now, Date.now)
     this.#usage = new UsageReporter({
       log: host.log,
@@ -101,7 +101,7 @@
     this.#updateFence(this.#lease.findFence(now, this.#client.callTimeoutMs))
     if (this.#heldFence === null || !keeper.isLeader || this.#isStopping) return
     this.#usage.step()
-    this.#orders.step(call => this.#call(call))
+    this.#scaler.step(call => this.#call(call))
   }
 
   #updateFence (fence: number | null): void {
@@ -113,7 +113,7 @@
 
   #noteAcquired (fence: number): void {
     this.#host.log.info('lease', { duty, state: 'held', fence })
-    this.#orders.reset()
+    this.#scaler.reset()
   }
 
   async #requestLease (command: LeaseCommand): Promise<void> {
--- a/src/registry/leader-client.ts
+++ b/src/registry/leader-client.ts
@@ -53,8 +53,8 @@
   async read (): Promise<ReadResult> {
     const deadline = performance.now() + callTimeoutMs
     while (performance.now() < deadline) {
-      const end = await this.#tryRead(deadline)
-      if (end.isConfirmed) return end
+      const result = await this.#tryRead(deadline)
+      if (result.isConfirmed) return result
       await pause(retryPauseMs)
     }
     return unconfirmed
--- a/src/registry/registry-box.ts
+++ b/src/registry/registry-box.ts
@@ -143,7 +143,7 @@
       pulse: heartbeat,
       clock: log.clock,
       receive: (link, message) => this.#receive(link, message),
-      noteOpen: link => this.#introduce(link),
+      noteOpen: link => this.#handleOpen(link),
       noteClosed: link => this.#handleClosed(link),
       noteFault: (fault, peer) => log.warn('link-fault', { fault, peer })
     }, dialTimings)
@@ -232,7 +232,7 @@
 
   // Connections.
 
-  #introduce (link: Link<RouteMessage>): void {
+  #handleOpen (link: Link<RouteMessage>): void {
     this.#sendHello(link)
     // To registries only; a gateway gets them after its hello.
     if (!this.#links.dialed.includes(link)) return
@@ -246,7 +246,7 @@
     link.send({ type: 'registry-hello', replica: this.#log.id, zone: this.#settings.zone, registries: this.#hosts.others })
   }
 
-  #handleHello (message: Extract<RouteMessage, { type: 'registry-hello' }>): void {
+  #handleRegistryHello (message: Extract<RouteMessage, { type: 'registry-hello' }>): void {
     const host = getReplicaHost(message.replica)
     this.#membership.noteHeard(message.replica, message.zone)
     this.#hosts.add(host)
@@ -262,7 +262,7 @@
 
   #tick (): void {
     for (const link of this.#links.dialed) this.#sendHello(link)
-    if (this.#gateways.takeHasNewGateway()) this.#gateways.broadcast(this.#composeBoxes())
+    if (this.#gateways.takeNewGatewayFlag()) this.#gateways.broadcast(this.#composeBoxes())
     if (this.#log !== null) void this.#membership.reconcile(this.#log)
   }
 
@@ -282,7 +282,7 @@
   #receive (link: Link<RouteMessage>, message: RouteMessage): void {
     switch (message.type) {
       case 'raft': return this.#log?.receive(message.from, message.to, message.message)
-      case 'registry-hello': return this.#handleHello(message)
+      case 'registry-hello': return this.#handleRegistryHello(message)
       case 'gateway-hello': return this.#handleGatewayHello(link, message)
       case 'put':
       case 'read': return void this.#started.leaderClient.serve(link, message)
--- a/test/duty-caller.test.ts
+++ b/test/duty-caller.test.ts
@@ -12,22 +12,22 @@
 const host = '127.0.0.1'
 const call = { method: 'POST', path: '/v1/usage', headers: {}, body: '{}' }
 
-const cases: readonly { fault: PlatformFault, isSure: boolean }[] = [
-  { fault: 'none', isSure: true },
-  { fault: 'busy', isSure: true },
-  { fault: 'lose', isSure: false },
-  { fault: 'silent', isSure: false },
-  { fault: 'garbage', isSure: false }
+const cases: readonly { fault: PlatformFault, isOutcomeKnown: boolean }[] = [
+  { fault: 'none', isOutcomeKnown: true },
+  { fault: 'busy', isOutcomeKnown: true },
+  { fault: 'lose', isOutcomeKnown: false },
+  { fault: 'silent', isOutcomeKnown: false },
+  { fault: 'garbage', isOutcomeKnown: false }
 ]
 
-for (const { fault, isSure } of cases) {
-  test(`the outcome of a call is ${isSure ? '' : 'not '}known: ${fault}`, async () => {
+for (const { fault, isOutcomeKnown } of cases) {
+  test(`the outcome of a call is ${isOutcomeKnown ? '' : 'not '}known: ${fault}`, async () => {
     const platform = new StandinPlatform()
     platform.fault = fault
     const client = new DutyClient({ host, port: await platform.listen(host) }, 200)
     const end = await client.call(() => call)
-    assert.equal(end.type, isSure ? 'answered' : 'failed')
-    assert.equal(client.lastUnknownOutcomeAt === -Infinity, isSure)
+    assert.equal(end.type, isOutcomeKnown ? 'answered' : 'failed')
+    assert.equal(client.lastUnknownOutcomeAt === -Infinity, isOutcomeKnown)
     assert.equal(client.openCount, 0)
     platform.close()
   })
