--- a/src/registry/load-hub.ts
+++ b/src/registry/load-hub.ts
@@ -41,7 +41,7 @@
 
 /** Minimum interval between totals, ms: shorter than an engine's prefill of a prompt. */
 const minIntervalMs = 10
-/** Added to the interval for each gateway, ms: limits the CPU time spent on sending, at about 1,000 datagrams a second in all. */
+/** The interval grows by this for each gateway, ms, to limit the CPU time spent on sending: about 1,000 datagrams a second in all. */
 const intervalPerGatewayMs = 1
 /**
  * The same for each endpoint in the totals, as every gateway decodes all of them:
