--- a/src/registry/load-hub.ts
+++ b/src/registry/load-hub.ts
@@ -19,7 +19,7 @@
   now (): number
   /** Hosts of the other registries. */
   listOthers (): readonly string[]
-  /** The service of an endpoint that is registered; undefined for another. */
+  /** The service of a registered endpoint; undefined where it is not registered. */
   findService (endpoint: EndpointId): ServiceName | undefined
 }
 
