--- /dev/null
+++ b/src/registry/endpoint-tracker.ts
@@ -0,0 +1,140 @@
+/**
+ * Maintains a registry's endpoint directory. Changes are broadcast at once to all
+ * connected boxes; heartbeats that change nothing are forwarded to the other
+ * registries periodically, so that all of them detect silent endpoints.
+ */
+import { EndpointDirectory, isOtherLife } from '../core/index.js'
+import type { EndpointId, EndpointRecord, ServiceName } from '../core/index.js'
+import type { RouteMessage } from '../protocol/index.js'
+import type { EventLog } from '../runtime/index.js'
+
+/** What the tracker needs of its box. */
+export interface EndpointTrackerHost {
+  readonly log: EventLog
+  readonly lostMs: number
+  now (): number
+  /** Sends changed records to every connected box. */
+  broadcast (records: readonly EndpointRecord[]): void
+  /** Called when an endpoint restarts: its cached prompts are lost. */
+  noteRestart (endpoint: EndpointId): void
+  /** Sends the heartbeats received to the other registries. */
+  broadcastHeartbeats (heartbeats: readonly (readonly [EndpointId, number])[]): void
+}
+
+/** A restored endpoint that sends no heartbeat counts as lost this long after the start, ms: two heartbeat intervals. */
+export const restoredGraceMs = 2500
+
+/**
+ * A deregistration this soon after a restart was sent by the previous instance and
+ * is ignored, ms: it names no instance, callers retry it after a second, and no
+ * endpoint shuts down as planned within that time.
+ */
+const lateDeregistrationMs = 1500
+
+/**
+ * The endpoint last heard from at an address owns it until silent for this long, ms: three heartbeats, or one that another
+ * registry forwards plus one more. Otherwise a late heartbeat of the previous owner would take its work until its next one.
+ */
+const addressOwnerTimeoutMs = 4000
+
+export class EndpointTracker {
+  #host: EndpointTrackerHost
+  #directory = new EndpointDirectory()
+  #fullMessage: Extract<RouteMessage, { type: 'endpoints' }> | null = null
+  #cachedRecords: readonly EndpointRecord[] | null = null
+  #lastHeardAt = new Map<EndpointId, number>()
+  #unsentHeartbeats = new Map<EndpointId, number>()
+  /** When each restarted endpoint first registered again. */
+  #restartedAt = new Map<EndpointId, number>()
+
+  constructor (host: EndpointTrackerHost) {
+    this.#host = host
+  }
+
+  /** All records; the same array until one changes. */
+  get records (): readonly EndpointRecord[] {
+    this.#cachedRecords ??= this.#directory.records
+    return this.#cachedRecords
+  }
+
+  /** The message with all records. The same object until a record changes, so that it is encoded once for hundreds of gateways that start together. */
+  get fullMessage (): RouteMessage {
+    const { records } = this
+    if (this.#fullMessage?.records !== records) this.#fullMessage = { type: 'endpoints', records, whole: true }
+    return this.#fullMessage
+  }
+
+  /** The service of a registered endpoint that is neither gone nor lost. */
+  findService (id: EndpointId): ServiceName | undefined {
+    const record = this.#directory.find(id)
+    return record?.stage === 'ready' || record?.stage === 'draining' ? record.service : undefined
+  }
+
+  /** Restores the records saved by the previous process; they are valid until endpoints have had time to send heartbeats. */
+  restore (records: readonly EndpointRecord[]): void {
+    this.merge(records)
+    const heardAt = this.#host.now() - this.#host.lostMs + restoredGraceMs
+    for (const { id } of records) this.#lastHeardAt.set(id, heardAt)
+  }
+
+  /** Applies a registration, heartbeat or deregistration that an endpoint sent itself. */
+  register (record: EndpointRecord): void {
+    if (this.#isStaleHeartbeat(record)) return this.#host.log.info('endpoint-overtaken', { endpoint: record.id, sequence: record.sequence })
+    if (record.stage === 'gone' && this.#host.now() - (this.#restartedAt.get(record.id) ?? -Infinity) < lateDeregistrationMs) return
+    this.#lastHeardAt.set(record.id, this.#host.now())
+    this.#unsentHeartbeats.set(record.id, record.sequence)
+    this.merge([record])
+  }
+
+  /** Merges records of another box; broadcasts only those that change something here. */
+  merge (records: readonly EndpointRecord[]): void {
+    const changed: EndpointRecord[] = []
+    for (const record of records) {
+      if (!this.#lastHeardAt.has(record.id)) this.#lastHeardAt.set(record.id, this.#host.now())
+      const known = this.#directory.find(record.id)
+      const changes = this.#directory.merge(record)
+      if (known !== undefined && changes.length > 0 && isOtherLife(record, known)) this.#noteRestart(record.id)
+      changed.push(...changes)
+    }
+    if (changed.length === 0) return
+    this.#cachedRecords = null
+    for (const { id, service, stage, sequence, zone } of changed) this.#host.log.info('endpoint', { endpoint: id, service, stage, sequence, zone })
+    this.#host.broadcast(changed)
+  }
+
+  // True for a delayed heartbeat of a known endpoint whose address another live endpoint has taken over.
+  #isStaleHeartbeat (record: EndpointRecord): boolean {
+    const owner = this.#directory.findAt(record)
+    if (record.stage === 'gone' || owner === undefined || owner.id === record.id || this.#directory.find(record.id) === undefined) return false
+    if (owner.stage === 'gone' || owner.stage === 'lost') return false
+    return this.#host.now() - (this.#lastHeardAt.get(owner.id) ?? -Infinity) < addressOwnerTimeoutMs
+  }
+
+  #noteRestart (id: EndpointId): void {
+    this.#restartedAt.set(id, this.#host.now())
+    this.#host.noteRestart(id)
+  }
+
+  /** Records heartbeats that another registry received. */
+  noteHeartbeats (heartbeats: readonly (readonly [EndpointId, number])[]): void {
+    for (const [id] of heartbeats) this.#lastHeardAt.set(id, this.#host.now())
+  }
+
+  /** Forwards the heartbeats received since the last call, and marks silent endpoints as lost. */
+  tick (): void {
+    if (this.#unsentHeartbeats.size > 0) this.#host.broadcastHeartbeats([...this.#unsentHeartbeats])
+    this.#unsentHeartbeats.clear()
+    const now = this.#host.now()
+    for (const [id, at] of this.#restartedAt) if (now - at >= lateDeregistrationMs) this.#restartedAt.delete(id)
+    const lost: EndpointRecord[] = []
+    for (const [id, at] of this.#lastHeardAt) {
+      if (now - at < this.#host.lostMs) continue
+      this.#lastHeardAt.delete(id)
+      lost.push(...this.#directory.lose(id))
+    }
+    if (lost.length === 0) return
+    this.#cachedRecords = null
+    for (const { id, service } of lost) this.#host.log.warn('endpoint', { endpoint: id, service, stage: 'lost' })
+    this.#host.broadcast(lost)
+  }
+}
--- a/src/registry/load-hub.ts
+++ b/src/registry/load-hub.ts
@@ -1,8 +1,8 @@
 /**
- * A hub of loads: gateways tell it their work by datagrams, it tells the other
- * hubs the sum of that, and its gateways the totals of all. Every registry is
- * ready to be one; gateways choose one of their own zone, so that little crosses
- * between zones. The work of a hub grows with its gateways, a gateway's doesn't.
+ * Aggregates load reports: gateways report their load to a hub by datagram, the
+ * hub sends its subtotal to the other hubs and the overall totals to its gateways.
+ * Every registry can act as a hub; gateways choose one in their own zone to reduce
+ * traffic between zones. A hub's cost grows with its gateways, a gateway's doesn't.
  */
 import { randomInt } from 'node:crypto'
 import { LoadBook, NoticeBook, NoticeTeller, PromptBook, PromptRelay, SumTeller } from '../core/index.js'
@@ -19,76 +19,76 @@
   now (): number
   /** Hosts of the other registries. */
   listOthers (): readonly string[]
-  /** The service of an endpoint that is registered; undefined for another. */
+  /** The service of a registered endpoint; undefined where it is not registered. */
   findService (endpoint: EndpointId): ServiceName | undefined
 }
 
-/** A gateway that tells this hub its work: its newest word, and where it came from. */
-interface Teller extends WordNumber {
+/** A gateway that reports to this hub: the number of its newest report, and its address. */
+interface ReportingGateway extends WordNumber {
   readonly host: string
   readonly port: number
 }
 
-/** Another hub's newest word, and where it came from. */
-interface OtherHub extends WordNumber {
+/** Another hub: the number of its newest datagram, and its host. */
+interface PeerHub extends WordNumber {
   readonly host: string
 }
 
 type Input =
   | { readonly type: 'datagram', readonly bytes: Buffer, readonly host: string, readonly port: number }
   | { readonly type: 'tick' }
-  | { readonly type: 'tell' }
+  | { readonly type: 'publish' }
 
-/** Totals are told no more often than this, ms: below what an engine reads a prompt in. */
-const leastIntervalMs = 10
-/** Part of a core's time, in ms for each gateway and interval, that telling may take: about 1,000 datagrams a second in all. */
+/** Minimum interval between totals, ms: shorter than an engine's prefill of a prompt. */
+const minIntervalMs = 10
+/** The interval grows by this for each gateway, ms, to limit the CPU time spent on sending: about 1,000 datagrams a second in all. */
 const intervalPerGatewayMs = 1
 /**
- * The same for each endpoint in the totals, all of which every gateway decodes:
- * some 50 ms at the 67 endpoints of the grown sites, in place of 15.
+ * The same for each endpoint in the totals, as every gateway decodes all of them:
+ * about 50 ms instead of 15 for sites that have grown to 67 endpoints.
  */
 const intervalPerEndpointMs = 0.8
-/** Totals older than this are worth little, ms. */
-const mostIntervalMs = 300
-/** Without a change words go out this often, ms: they are also the sign that the hub lives, for which a gateway waits some four of them. */
-const beatMs = 100
-/** The same between hubs, ms: three fit into the time after which what waits no longer counts. */
-const hubBeatMs = 180
-/** All hubs are told the whole sum this often, and gateways the speeds of engines, ms: hubs without gateways too, as one of them may be chosen at any time. */
-const wholeMs = 500
-/** Datagrams that wait to be read; more are dropped, as the network may. */
-const mostWaiting = 5000
+/** Maximum interval, ms: older totals are of little use. */
+const maxIntervalMs = 300
+/** Interval of datagrams while nothing changes, ms: they serve as the hub's heartbeat; a gateway gives up on a hub after about four missed ones. */
+const heartbeatMs = 100
+/** The same between hubs, ms: three fit into the time after which waiting requests are no longer counted. */
+const peerHeartbeatMs = 180
+/** How often all hubs get the full subtotal, and gateways the engine speeds, ms: including hubs without gateways, as gateways may switch to them at any time. */
+const fullSumIntervalMs = 500
+/** Limit of the datagrams queued for processing; more are dropped, as by the network. */
+const maxQueuedInputs = 5000
 
 export class LoadHub {
   #host: LoadHubHost
   #datagrams: DatagramPort
-  #inbox = new Inbox<Input>(mostWaiting)
-  #book = new LoadBook()
-  /** Prompts for the other hubs, of the own gateways, and for the own gateways, of all. */
-  #promptsToHubs = new PromptRelay()
+  #inbox = new Inbox<Input>(maxQueuedInputs)
+  #loads = new LoadBook()
+  /** Relays the prompts of this hub's gateways to the other hubs, and all prompts to this hub's gateways. */
+  #promptsToPeers = new PromptRelay()
   #promptsToGateways = new PromptRelay()
-  /** What engines hold, as all gateways told it. */
+  /** The prompts that engines have cached, as reported by all gateways. */
   readonly prompts = new PromptBook()
-  /** What endpoints say of themselves, as all gateways told it. */
+  /** The notices of endpoints, as reported by all gateways. */
   readonly notices = new NoticeBook()
-  #noticesToHubs = new NoticeTeller(this.notices)
+  #noticesToPeers = new NoticeTeller(this.notices)
   #noticesToGateways = new NoticeTeller(this.notices)
-  #tellers = new Map<BoxId, Teller>()
-  #others = new Map<BoxId, OtherHub>()
-  /** On which all hubs listen. */
+  #gateways = new Map<BoxId, ReportingGateway>()
+  #peers = new Map<BoxId, PeerHub>()
+  /** The UDP port that all hubs use. */
   #port = 0
-  #allToldAt = -Infinity
-  #gapsToldAt = -Infinity
-  #start = randomInt(startLimit)
-  #number = 0
-  /** When it was last looked at what is to be told. */
-  #lookedAt = -Infinity
-  #toGateways = new LastWord(beatMs)
-  #toHubs = new LastWord(hubBeatMs)
-  #news = new SumTeller()
-  #endpointsTold = 0
+  #fullSumSentAt = -Infinity
+  #gapsSentAt = -Infinity
+  #incarnation = randomInt(startLimit)
+  #sequence = 0
+  /** When changes were last checked and sent. */
+  #publishedAt = -Infinity
+  #lastToGateways = new LastMessage(heartbeatMs)
+  #lastToPeers = new LastMessage(peerHeartbeatMs)
+  #sumEncoder = new SumTeller()
+  #publishedEndpointCount = 0
   #isScheduled = false
-  /** True where no gateway tells this hub its work, and the others know. */
+  /** True where no gateway reports to this hub and the other hubs have been told so. */
   #isIdle = true
   #closed = false
   #timer: NodeJS.Timeout | null = null
@@ -99,23 +99,23 @@
       receive: (bytes, from, port) => this.#inbox.offer({ type: 'datagram', bytes, host: from, port }),
       noteFault: error => host.log.warn('load-port-fault', { error: error.message })
     })
-    this.#inbox.run(input => this.#take(input))
+    this.#inbox.run(input => this.#handle(input))
   }
 
-  /** Begins to listen; resolves with the port. */
+  /** Starts to listen; resolves with the port. */
   listen (host: string, port: number): Promise<number> {
-    this.#timer = setInterval(() => this.#inbox.post({ type: 'tick' }), beatMs / 2)
+    this.#timer = setInterval(() => this.#inbox.post({ type: 'tick' }), heartbeatMs / 2)
     this.#port = port
     return this.#datagrams.open(host, port)
   }
 
-  /** The work of all boxes, as it stands here. */
+  /** The load of all boxes, as known here. */
   sumLoads (): LoadTotals {
     const now = this.#host.now()
-    return this.#book.sumAll(this.#book.sumOwn(now), now)
+    return this.#loads.sumAll(this.#loads.sumOwn(now), now)
   }
 
-  /** What endpoints say of themselves, for operators. */
+  /** The notices and back-off states of endpoints, for operators. */
   listNotices (): NoticeStatus[] {
     const now = this.#host.now()
     const backedOff = new Map(this.sumLoads().loads.filter(load => load.backedOff > 0).map(load => [load.endpoint, load.backedOff]))
@@ -127,7 +127,7 @@
     })
   }
 
-  /** Ends the hub; a second call does nothing. */
+  /** Stops the hub. Idempotent. */
   close (): void {
     if (this.#closed) return
     this.#closed = true
@@ -137,157 +137,157 @@
   }
 
   get #intervalMs (): number {
-    const wantedMs = Math.max(this.#tellers.size * intervalPerGatewayMs, this.#endpointsTold * intervalPerEndpointMs)
-    return Math.min(mostIntervalMs, Math.max(leastIntervalMs, wantedMs))
+    const loadDependentMs = Math.max(this.#gateways.size * intervalPerGatewayMs, this.#publishedEndpointCount * intervalPerEndpointMs)
+    return Math.min(maxIntervalMs, Math.max(minIntervalMs, loadDependentMs))
   }
 
-  #take (input: Input): void {
+  #handle (input: Input): void {
     switch (input.type) {
       case 'datagram': return this.#receive(input.bytes, input.host, input.port)
       case 'tick': return this.#tick()
-      case 'tell': return this.#tell()
+      case 'publish': return this.#publish()
     }
   }
 
   #receive (bytes: Buffer, host: string, port: number): void {
-    const word = decodeLoadWord(bytes)
-    if (word === null) return this.#receiveSum(bytes, host)
-    const { box, zone, start, number, load } = word
-    if (!isNewerWord(word, this.#tellers.get(box))) return
-    this.takeNotices(word.notices, box)
-    if (load === null) return this.#release(box)
-    // Who is new knows no engine's speed.
-    if (!this.#tellers.has(box)) this.#gapsToldAt = -Infinity
-    this.#tellers.set(box, { host, port, start, number })
+    const report = decodeLoadWord(bytes)
+    if (report === null) return this.#receivePeerSum(bytes, host)
+    const { box, zone, start, number, load } = report
+    if (!isNewerWord(report, this.#gateways.get(box))) return
+    this.mergeNotices(report.notices, box)
+    if (load === null) return this.#removeGateway(box)
+    // A new gateway has no engine speeds yet.
+    if (!this.#gateways.has(box)) this.#gapsSentAt = -Infinity
+    this.#gateways.set(box, { host, port, start, number })
     this.#isIdle = false
     const now = this.#host.now()
-    this.#book.note(box, zone, load, now)
-    this.#promptsToHubs.take(load.prompts, now)
-    this.#takePrompts(load.prompts, now)
-    this.#schedule()
+    this.#loads.note(box, zone, load, now)
+    this.#promptsToPeers.take(load.prompts, now)
+    this.#mergePrompts(load.prompts, now)
+    this.#schedulePublish()
   }
 
-  // Another hub tells the box's work from now on: here it would count twice.
-  #release (box: BoxId): void {
-    if (!this.#tellers.delete(box)) return
-    this.#book.forget(box)
+  // The gateway reports to another hub from now on; its load would be counted twice.
+  #removeGateway (box: BoxId): void {
+    if (!this.#gateways.delete(box)) return
+    this.#loads.forget(box)
     this.#host.log.info('gateway-moved', { gateway: box })
-    this.#schedule()
+    this.#schedulePublish()
   }
 
-  #receiveSum (bytes: Buffer, host: string): void {
-    const word = decodeHubWord(bytes)
-    if (word === null || !isNewerWord(word, this.#others.get(word.hub))) return
-    const { hub, start, number, news } = word
-    // Who is new knows nothing of the words before.
-    if (this.#others.get(hub)?.start !== start) this.#allToldAt = -Infinity
-    this.#others.set(hub, { start, number, host })
+  #receivePeerSum (bytes: Buffer, host: string): void {
+    const message = decodeHubWord(bytes)
+    if (message === null || !isNewerWord(message, this.#peers.get(message.hub))) return
+    const { hub, start, number, news: sum } = message
+    // A new or restarted hub has none of the earlier datagrams.
+    if (this.#peers.get(hub)?.start !== start) this.#fullSumSentAt = -Infinity
+    this.#peers.set(hub, { start, number, host })
     const now = this.#host.now()
-    this.#book.noteSum(hub, news, now)
-    this.#takePrompts(news.prompts, now)
-    this.takeNotices(word.notices, hub)
-    if (this.#tellers.size > 0) this.#schedule()
+    this.#loads.noteSum(hub, sum, now)
+    this.#mergePrompts(sum.prompts, now)
+    this.mergeNotices(message.notices, hub)
+    if (this.#gateways.size > 0) this.#schedulePublish()
   }
 
-  /** Takes what endpoints say of themselves, as another box knows it. */
-  takeNotices (notices: readonly EndpointNotice[], from: BoxId): void {
+  /** Merges the notices of endpoints that another box sent. */
+  mergeNotices (notices: readonly EndpointNotice[], from: BoxId): void {
     const now = this.#host.now()
     for (const notice of this.notices.merge(notices.filter(({ endpoint }) => this.#host.findService(endpoint) !== undefined), now, from)) {
-      this.#noticesToHubs.note(notice, now)
+      this.#noticesToPeers.note(notice, now)
       this.#noticesToGateways.note(notice, now)
-      this.#schedule()
+      this.#schedulePublish()
     }
   }
 
-  /** Forgets what endpoints said that are gone. */
+  /** Drops the notices of endpoints that are gone. */
   noteRecords (records: readonly EndpointRecord[]): void {
     for (const { id, stage } of records) if (stage === 'gone') this.notices.forget(id)
   }
 
-  #takePrompts (prompts: readonly ReadPrompt[], at: number): void {
+  #mergePrompts (prompts: readonly ReadPrompt[], at: number): void {
     this.prompts.note(this.#promptsToGateways.take(prompts, at))
   }
 
   #tick (): void {
     const now = this.#host.now()
-    for (const box of this.#book.forgetSilent(now)) {
-      this.#others.delete(box)
-      if (this.#tellers.delete(box)) this.#host.log.warn('gateway-silent', { gateway: box })
+    for (const box of this.#loads.forgetSilent(now)) {
+      this.#peers.delete(box)
+      if (this.#gateways.delete(box)) this.#host.log.warn('gateway-silent', { gateway: box })
     }
-    if (this.#toGateways.isDue(now) || this.#toHubs.isDue(now)) this.#tell()
+    if (this.#lastToGateways.isDue(now) || this.#lastToPeers.isDue(now)) this.#publish()
   }
 
-  // Changes of one interval share a datagram.
-  #schedule (): void {
+  // Batches the changes of one interval into one datagram.
+  #schedulePublish (): void {
     if (this.#isScheduled) return
     this.#isScheduled = true
-    const waitMs = Math.max(0, this.#lookedAt + this.#intervalMs - this.#host.now())
-    setTimeout(() => this.#inbox.post({ type: 'tell' }), waitMs)
+    const waitMs = Math.max(0, this.#publishedAt + this.#intervalMs - this.#host.now())
+    setTimeout(() => this.#inbox.post({ type: 'publish' }), waitMs)
   }
 
-  #tell (): void {
+  #publish (): void {
     this.#isScheduled = false
     if (this.#closed || this.#isIdle) return
-    // Without gateways of its own the hub says so once.
-    this.#isIdle = this.#tellers.size === 0
+    // A hub without gateways sends its empty subtotal once, then stops.
+    this.#isIdle = this.#gateways.size === 0
     const now = this.#host.now()
-    this.#lookedAt = now
-    const own = this.#book.sumOwn(now)
-    this.#tellHubs({ ...own, prompts: this.#promptsToHubs.draw() }, now)
-    const sum = this.#book.sumAll(own, now)
-    this.#endpointsTold = sum.loads.length
-    this.#tellGateways({ ...sum, prompts: this.#promptsToGateways.draw() }, now)
+    this.#publishedAt = now
+    const ownTotals = this.#loads.sumOwn(now)
+    this.#sendToPeers({ ...ownTotals, prompts: this.#promptsToPeers.draw() }, now)
+    const allTotals = this.#loads.sumAll(ownTotals, now)
+    this.#publishedEndpointCount = allTotals.loads.length
+    this.#sendToGateways({ ...allTotals, prompts: this.#promptsToGateways.draw() }, now)
   }
 
-  #tellGateways (sum: LoadTotals, now: number): void {
-    const tellsGaps = now - this.#gapsToldAt >= wholeMs
-    const news = encodeNews({ ...sum, isWhole: true, gone: [], gaps: tellsGaps ? sum.gaps : null })
+  #sendToGateways (totals: LoadTotals, now: number): void {
+    const hasGaps = now - this.#gapsSentAt >= fullSumIntervalMs
+    const encodedTotals = encodeNews({ ...totals, isWhole: true, gone: [], gaps: hasGaps ? totals.gaps : null })
     const notices = this.#noticesToGateways.draw(now)
-    if (!this.#toGateways.take(news, now, tellsGaps || sum.prompts.length > 0 || notices.length > 0)) return
-    if (tellsGaps) this.#gapsToldAt = now
-    const told = encodeNotices(notices)
-    const word = { start: this.#start, number: this.#nextNumber(), intervalMs: this.#intervalMs }
-    for (const { host, port, number } of this.#tellers.values()) {
-      this.#datagrams.send(encodeTotalsWord({ ...word, ownNumber: number }, news, told), host, port)
+    if (!this.#lastToGateways.update(encodedTotals, now, hasGaps || totals.prompts.length > 0 || notices.length > 0)) return
+    if (hasGaps) this.#gapsSentAt = now
+    const encodedNotices = encodeNotices(notices)
+    const header = { start: this.#incarnation, number: this.#nextSequence(), intervalMs: this.#intervalMs }
+    for (const { host, port, number } of this.#gateways.values()) {
+      this.#datagrams.send(encodeTotalsWord({ ...header, ownNumber: number }, encodedTotals, encodedNotices), host, port)
     }
   }
 
-  // Hubs that have gateways are told at once, the others now and then.
-  #tellHubs (own: LoadTotals, now: number): void {
-    const tellsAll = now - this.#allToldAt >= wholeMs
-    const notices = this.#noticesToHubs.draw(now)
-    if (!this.#toHubs.take(encodeNews({ ...own, isWhole: true, gone: [] }), now, own.prompts.length > 0 || notices.length > 0) && !tellsAll) return
-    if (tellsAll) this.#allToldAt = now
-    const hosts = tellsAll ? this.#host.listOthers() : [...this.#others.values()].map(other => other.host)
+  // Hubs that have gateways get changes at once, the others only the periodic full subtotal.
+  #sendToPeers (ownTotals: LoadTotals, now: number): void {
+    const isFull = now - this.#fullSumSentAt >= fullSumIntervalMs
+    const notices = this.#noticesToPeers.draw(now)
+    if (!this.#lastToPeers.update(encodeNews({ ...ownTotals, isWhole: true, gone: [] }), now, ownTotals.prompts.length > 0 || notices.length > 0) && !isFull) return
+    if (isFull) this.#fullSumSentAt = now
+    const hosts = isFull ? this.#host.listOthers() : [...this.#peers.values()].map(other => other.host)
     if (hosts.length === 0) return
-    const bytes = encodeHubWord({ hub: this.#host.id, start: this.#start, number: this.#nextNumber(), news: this.#news.compose(own, tellsAll), notices })
+    const bytes = encodeHubWord({ hub: this.#host.id, start: this.#incarnation, number: this.#nextSequence(), news: this.#sumEncoder.compose(ownTotals, isFull), notices })
     for (const host of hosts) this.#datagrams.send(bytes, host, this.#port)
   }
 
-  #nextNumber (): number {
-    this.#number += 1
-    return this.#number
+  #nextSequence (): number {
+    this.#sequence += 1
+    return this.#sequence
   }
 }
 
-/** What was last told to some, so that it is told again only once it has changed, or as a sign of life. */
-class LastWord {
-  #beatMs: number
+/** The last message sent to a group of receivers; it is repeated only after a change, or as a heartbeat. */
+class LastMessage {
+  #maxSilenceMs: number
   #bytes: Buffer | null = null
-  #at = -Infinity
+  #sentAt = -Infinity
 
-  /** `beatMs`: how often it is told at least. */
-  constructor (beatMs: number) {
-    this.#beatMs = beatMs
+  /** `maxSilenceMs`: the heartbeat interval. */
+  constructor (maxSilenceMs: number) {
+    this.#maxSilenceMs = maxSilenceMs
   }
 
-  isDue (at: number): boolean { return at - this.#at >= this.#beatMs }
+  isDue (at: number): boolean { return at - this.#sentAt >= this.#maxSilenceMs }
 
-  /** True where these bytes are to be told now; `hasNews`: even if they are the same. */
-  take (bytes: Buffer, at: number, hasNews: boolean): boolean {
-    if (!hasNews && !this.isDue(at) && this.#bytes?.equals(bytes) === true) return false
+  /** Records the bytes as sent and returns true where they are due now; `mustSend`: even if unchanged. */
+  update (bytes: Buffer, at: number, mustSend: boolean): boolean {
+    if (!mustSend && !this.isDue(at) && this.#bytes?.equals(bytes) === true) return false
     this.#bytes = bytes
-    this.#at = at
+    this.#sentAt = at
     return true
   }
 }
--- /dev/null
+++ b/src/registry/membership-manager.ts
@@ -0,0 +1,78 @@
+/**
+ * Manages the log's membership on its leader: tracks which registries are alive,
+ * and makes one change at a time where a voter is silent or missing.
+ */
+import { planMembers } from '../coordination/index.js'
+import type { KeeperLog, KeeperSight, MemberWish, ReplicaId } from '../coordination/index.js'
+import type { EventLog } from '../runtime/index.js'
+
+/** What the manager needs of its box. */
+export interface MembershipManagerHost {
+  readonly zone: string
+  /** Failures that the log must tolerate. */
+  readonly faults: number
+  readonly log: EventLog
+  now (): number
+}
+
+interface RegistrySighting {
+  readonly zone: string
+  readonly lastHeardAt: number
+}
+
+/** A silent voter is replaced by a spare after this, ms: longer than a restart, shorter than the time to the next possible failure. */
+const replaceMs = 2500
+/** A silent learner, or registry that is not a seed, is removed after this, ms. */
+const forgetMs = 60_000
+/** The fewest voters that tolerate one failure. */
+const minVoters = 3
+
+export class MembershipManager {
+  #host: MembershipManagerHost
+  #heard = new Map<ReplicaId, RegistrySighting>()
+  #isChanging = false
+
+  constructor (host: MembershipManagerHost) { this.#host = host }
+
+  /** Records a sign of life of a replica. */
+  noteHeard (replica: ReplicaId, zone: string): void {
+    this.#heard.set(replica, { zone, lastHeardAt: this.#host.now() })
+  }
+
+  /** Removes the replicas that have been silent for `forgetMs`; returns them. */
+  forgetSilent (): ReplicaId[] {
+    const now = this.#host.now()
+    const forgotten: ReplicaId[] = []
+    for (const [replica, { lastHeardAt }] of this.#heard) {
+      if (now - lastHeardAt < forgetMs) continue
+      this.#heard.delete(replica)
+      forgotten.push(replica)
+    }
+    return forgotten
+  }
+
+  /** Makes the next membership change that is needed, where this box leads and none is in progress. */
+  async reconcile (keeperLog: KeeperLog): Promise<void> {
+    const { replica } = keeperLog
+    if (replica?.isLeader !== true || this.#isChanging || !replica.node.isSettled) return
+    const sights = this.#listSightings(keeperLog.id, replica.node.matches)
+    const next = planMembers({ members: replica.members, self: replica.id, commit: replica.node.commitIndex, sights }, this.#target)
+    if (next === null) return
+    this.#isChanging = true
+    const outcome = await replica.changeMembers(next)
+    this.#isChanging = false
+    this.#host.log.info('members', { voters: next.voters.join(','), learners: next.learners.join(','), end: outcome.type === 'rejected' ? outcome.fault : outcome.type })
+  }
+
+  get #target (): MemberWish {
+    const { faults } = this.#host
+    return { voters: Math.max(minVoters, 2 * faults + 1), perZone: Math.max(1, faults), replaceMs, forgetMs }
+  }
+
+  #listSightings (self: ReplicaId, matches: ReadonlyMap<ReplicaId, number>): KeeperSight[] {
+    const now = this.#host.now()
+    const sights: KeeperSight[] = [{ replica: self, zone: this.#host.zone, silentMs: 0, match: matches.get(self) ?? 0 }]
+    for (const [replica, { zone, lastHeardAt }] of this.#heard) sights.push({ replica, zone, silentMs: now - lastHeardAt, match: matches.get(replica) ?? 0 })
+    return sights
+  }
+}
--- a/src/registry/operator-desk.ts
+++ b/src/registry/operator-server.ts
@@ -1,4 +1,4 @@
-/** The HTTP server of a registry: calls of operators and of endpoints. */
+/** The HTTP server of a registry, for operators and endpoints. */
 import { createServer } from 'node:http'
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import type { Address } from '../config/index.js'
@@ -10,48 +10,48 @@
 import { listen } from '../runtime/index.js'
 import type { EventLog } from '../runtime/index.js'
 
-/** What the desk needs of its box. */
-export interface DeskHost {
+/** What the server needs of its box. */
+export interface OperatorServerHost {
   readonly dialect: Dialect
   readonly log: EventLog
-  /** Puts a document in force, wherever the leader is. */
+  /** Activates a document, whichever registry leads. */
   put (document: VersionedText): Promise<PutEnd>
-  /** The newest document; `sure` is false where another may be newer. */
-  read (): Promise<{ readonly sure: boolean, readonly document: VersionedText | null }>
-  /** Takes an endpoint's word and spreads it. */
-  noteEndpoint (word: EndpointRecord): void
-  /** Requests that are not sent, or were not until just now. */
+  /** The newest document; `isConfirmed` is false where a newer one may exist. */
+  read (): Promise<{ readonly isConfirmed: boolean, readonly document: VersionedText | null }>
+  /** Applies an endpoint's registration and broadcasts it. */
+  registerEndpoint (record: EndpointRecord): void
+  /** Requests in quarantine, and those whose quarantine was lifted recently. */
   listQuarantine (): readonly QuarantineEntry[]
-  /** Has one of them sent again; false where there is none. */
+  /** Lifts a quarantine; false where there is none for the fingerprint. */
   liftQuarantine (fingerprint: Fingerprint): boolean
-  /** What ran in the windows that are kept, as this box has them. */
+  /** The usage of the retained windows, as applied on this box. */
   listUsage (): readonly SettledWindow[]
-  /** What endpoints say of themselves on their answers. */
+  /** The notices that endpoints attach to their responses. */
   listNotices (): readonly NoticeStatus[]
   noteCall (call: string, status: number, ms: number): void
 }
 
-/** Callers come back after this where nothing can be said now, s: an election takes about that long. */
-const retryAfterS = '0.5'
-/** Calls that rest longer between requests find their connection closed, ms. */
-const idleMs = 20_000
-/** Time to receive a call whole, ms. */
-const receiveMs = 10_000
+/** Retry-After of a 503, s: about the duration of an election. */
+const retryAfterSeconds = '0.5'
+/** Idle keep-alive connections are closed after this, ms. */
+const idleTimeoutMs = 20_000
+/** Limit for receiving a whole request, ms. */
+const receiveTimeoutMs = 10_000
 
 interface Answer {
   readonly status: number
   readonly body: string
 }
 
-export class OperatorDesk {
-  #host: DeskHost
+export class OperatorServer {
+  #host: OperatorServerHost
   #server: Server
   #maxBodyBytes: number
 
-  constructor (host: DeskHost, maxBodyBytes: number) {
+  constructor (host: OperatorServerHost, maxBodyBytes: number) {
     this.#host = host
     this.#maxBodyBytes = maxBodyBytes
-    this.#server = createServer({ keepAliveTimeout: idleMs, requestTimeout: receiveMs, headersTimeout: receiveMs }, (request, response) => {
+    this.#server = createServer({ keepAliveTimeout: idleTimeoutMs, requestTimeout: receiveTimeoutMs, headersTimeout: receiveTimeoutMs }, (request, response) => {
       void this.#serve(request, response)
     })
     this.#server.on('clientError', (_error, socket) => socket.destroy())
@@ -75,9 +75,9 @@
     let answer: Answer
     try {
       const body = await readBody(request, this.#maxBodyBytes)
-      answer = body === null ? { status: 413, body: 'the body is too large' } : await this.#carryOut(call, body)
+      answer = body === null ? { status: 413, body: 'the request body is too large' } : await this.#execute(call, body)
     } catch (error) {
-      answer = this.#explain(call.type, error as Error)
+      answer = this.#composeError(call.type, error as Error)
     }
     this.#host.noteCall(call.type, answer.status, performance.now() - startedAt)
     if (response.destroyed) return
@@ -85,28 +85,28 @@
       'content-type': answer.status === 200 ? 'application/json' : 'text/plain',
       'content-length': Buffer.byteLength(answer.body)
     }
-    if (answer.status === 503) headers['retry-after'] = retryAfterS
+    if (answer.status === 503) headers['retry-after'] = retryAfterSeconds
     response.writeHead(answer.status, headers)
     response.end(answer.body)
   }
 
-  async #carryOut (call: ReturnType<Dialect['readRegistryCall']>, body: Buffer): Promise<Answer> {
+  async #execute (call: ReturnType<Dialect['readRegistryCall']>, body: Buffer): Promise<Answer> {
     const { dialect } = this.#host
     switch (call.type) {
       case 'put-document': return await this.#put(body)
       case 'read-document': return await this.#read()
       case 'register':
-        this.#host.noteEndpoint(dialect.decodeRegistration(call.endpoint, body.toString('utf8')))
+        this.#host.registerEndpoint(dialect.decodeRegistration(call.endpoint, body.toString('utf8')))
         return { status: 200, body: '{}' }
       case 'deregister':
-        this.#host.noteEndpoint(dialect.composeGone(call.endpoint, 'gone'))
+        this.#host.registerEndpoint(dialect.composeGone(call.endpoint, 'gone'))
         return { status: 200, body: '{}' }
       case 'list-quarantine': return { status: 200, body: JSON.stringify(this.#host.listQuarantine()) }
       case 'lift-quarantine':
-        return this.#host.liftQuarantine(brandId(call.fingerprint)) ? { status: 200, body: '{}' } : { status: 404, body: 'no such request is in quarantine' }
+        return this.#host.liftQuarantine(brandId(call.fingerprint)) ? { status: 200, body: '{}' } : { status: 404, body: 'no quarantined request has this fingerprint' }
       case 'list-notices': return { status: 200, body: JSON.stringify(this.#host.listNotices()) }
       case 'list-usage': return { status: 200, body: JSON.stringify(this.#host.listUsage()) }
-      case 'unknown': return { status: 404, body: 'no such call' }
+      case 'unknown': return { status: 404, body: 'unknown path or method' }
     }
   }
 
@@ -121,33 +121,33 @@
     switch (end) {
       case 'taken': return { status: 200, body: '{}' }
       case 'held': return { status: 200, body: '{}' }
-      case 'unknown': return { status: 503, body: 'it is not known whether the document is in force; send it again' }
+      case 'unknown': return { status: 503, body: 'the document may or may not have been committed; send it again' }
     }
   }
 
   async #read (): Promise<Answer> {
-    const { sure, document } = await this.#host.read()
-    if (!sure || document === null) return { status: 503, body: sure ? 'there is no document yet' : 'another box may have a newer document' }
+    const { isConfirmed, document } = await this.#host.read()
+    if (!isConfirmed || document === null) return { status: 503, body: isConfirmed ? 'there is no document yet' : 'could not confirm with a quorum that the document is the newest' }
     return { status: 200, body: document.text }
   }
 
-  #explain (call: string, error: Error): Answer {
+  #composeError (call: string, error: Error): Answer {
     if (error instanceof DocumentError) {
       this.#host.log.warn('call-refused', { call, mistakes: error.mistakes.length, first: error.mistakes[0] })
       return { status: 400, body: error.mistakes.join('\n') }
     }
     this.#host.log.error('call-failed', { call, error: error.message })
-    return { status: 500, body: 'a fault of the registry itself' }
+    return { status: 500, body: 'internal error in the registry' }
   }
 }
 
-// Null where the body exceeds the limit; throws where the caller left.
-async function readBody (request: IncomingMessage, most: number): Promise<Buffer | null> {
+// Null where the body exceeds the limit; throws where the client disconnects.
+async function readBody (request: IncomingMessage, maxBytes: number): Promise<Buffer | null> {
   const chunks: Buffer[] = []
   let size = 0
   for await (const chunk of request as AsyncIterable<Buffer>) {
     size += chunk.length
-    if (size > most) return null
+    if (size > maxBytes) return null
     chunks.push(chunk)
   }
   return Buffer.concat(chunks)
--- a/test/duty-caller.test.ts
+++ b/test/duty-caller.test.ts
@@ -1,42 +1,42 @@
 /**
- * A planned stop gives its lease back only where no call may still arrive. So a call that
- * was written and not answered must be known as such, whichever of its connection and its
- * request is the first to hear of the end.
+ * A planned stop releases the lease only where no call may still arrive. A call that was
+ * written but not answered must therefore be recorded as unresolved, whether its connection
+ * or its request reports the failure first.
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { DutyCaller } from '../src/registry/duty-caller.js'
+import { DutyClient } from '../src/registry/duty-client.js'
 import { StandinPlatform } from '../src/standin/index.js'
 import type { PlatformFault } from '../src/standin/index.js'
 
 const host = '127.0.0.1'
 const call = { method: 'POST', path: '/v1/usage', headers: {}, body: '{}' }
 
-const cases: readonly { fault: PlatformFault, isSure: boolean }[] = [
-  { fault: 'none', isSure: true },
-  { fault: 'busy', isSure: true },
-  { fault: 'lose', isSure: false },
-  { fault: 'silent', isSure: false },
-  { fault: 'garbage', isSure: false }
+const cases: readonly { fault: PlatformFault, isOutcomeKnown: boolean }[] = [
+  { fault: 'none', isOutcomeKnown: true },
+  { fault: 'busy', isOutcomeKnown: true },
+  { fault: 'lose', isOutcomeKnown: false },
+  { fault: 'silent', isOutcomeKnown: false },
+  { fault: 'garbage', isOutcomeKnown: false }
 ]
 
-for (const { fault, isSure } of cases) {
-  test(`what became of a call is ${isSure ? '' : 'not '}known: ${fault}`, async () => {
+for (const { fault, isOutcomeKnown } of cases) {
+  test(`the outcome of a call is ${isOutcomeKnown ? '' : 'not '}known: ${fault}`, async () => {
     const platform = new StandinPlatform()
     platform.fault = fault
-    const caller = new DutyCaller({ host, port: await platform.listen(host) }, 200)
-    const end = await caller.call(() => call)
-    assert.equal(end.type, isSure ? 'answered' : 'failed')
-    assert.equal(caller.unsureAt === -Infinity, isSure)
-    assert.equal(caller.openCount, 0)
+    const client = new DutyClient({ host, port: await platform.listen(host) }, 200)
+    const end = await client.call(() => call)
+    assert.equal(end.type, isOutcomeKnown ? 'answered' : 'failed')
+    assert.equal(client.lastUnknownOutcomeAt === -Infinity, isOutcomeKnown)
+    assert.equal(client.openCount, 0)
     platform.close()
   })
 }
 
-test('a call that was not written leaves nothing open', async () => {
+test('a call that was not written is not unresolved', async () => {
   const platform = new StandinPlatform()
-  const caller = new DutyCaller({ host, port: await platform.listen(host) }, 200)
-  assert.equal((await caller.call(() => null)).type, 'not-held')
-  assert.equal(caller.unsureAt, -Infinity)
+  const client = new DutyClient({ host, port: await platform.listen(host) }, 200)
+  assert.equal((await client.call(() => null)).type, 'not-held')
+  assert.equal(client.lastUnknownOutcomeAt, -Infinity)
   platform.close()
 })
--- a/test/load-hub.test.ts
+++ b/test/load-hub.test.ts
@@ -12,12 +12,12 @@
 
 const hosts = ['127.45.0.1', '127.45.0.2']
 const port = 7001
-const wordMs = 50
-const moving = brandId<EndpointId>('e-moving')
+const reportIntervalMs = 50
+const movingEndpoint = brandId<EndpointId>('e-moving')
 
-/** A gateway that tells a hub the same work over and over, and takes in what it is told. */
-class Teller {
-  readonly told: LoadTotals[] = []
+/** A gateway that sends a hub the same load periodically, and records the totals that it receives. */
+class SimulatedGateway {
+  readonly received: LoadTotals[] = []
   sent = 0
   running = 1
   #id: BoxId
@@ -28,11 +28,11 @@
   constructor (i: number) {
     this.#id = brandId<BoxId>(`gateway-${i}`)
     this.#socket.on('message', bytes => {
-      const word = decodeTotalsWord(bytes)
-      const totals = word === null ? null : this.#reader.take(word.news)
-      if (totals !== null) this.told.push(totals)
+      const message = decodeTotalsWord(bytes)
+      const totals = message === null ? null : this.#reader.take(message.news)
+      if (totals !== null) this.received.push(totals)
     })
-    this.#timer = setInterval(() => this.#send(hosts[i]), wordMs)
+    this.#timer = setInterval(() => this.#send(hosts[i]), reportIntervalMs)
   }
 
   close (): void {
@@ -47,11 +47,11 @@
   }
 }
 
-/** A gateway that has read nothing of endpoints. */
+/** A gateway without endpoint notices. */
 const noNotices = { listNotices: () => [], takeNotices: () => {}, noteHub: () => {} }
 
 const hubs: LoadHub[] = []
-const tellers: Teller[] = []
+const gateways: SimulatedGateway[] = []
 
 before(async () => {
   for (const host of hosts) {
@@ -65,34 +65,34 @@
     await hub.listen(host, port)
     hubs.push(hub)
   }
-  for (let i = 0; i < hosts.length; i++) tellers.push(new Teller(i))
-  await until(() => tellers.every(one => one.told.length > 0), 'all told')
+  for (let i = 0; i < hosts.length; i++) gateways.push(new SimulatedGateway(i))
+  await until(() => gateways.every(one => one.received.length > 0), 'totals at all gateways')
 })
 
 after(() => {
-  for (const one of [...tellers, ...hubs]) one.close()
+  for (const one of [...gateways, ...hubs]) one.close()
 })
 
 const countRunning = (totals: LoadTotals | undefined): number => totals?.loads[0]?.running ?? 0
 
-test('hubs tell of a change in one gateway to the gateways of all', async () => {
-  tellers[0].running = 5
-  await until(() => tellers.every(one => countRunning(one.told.at(-1)) === 6), 'the change everywhere')
+test('a load change at one gateway reaches the gateways of all hubs', async () => {
+  gateways[0].running = 5
+  await until(() => gateways.every(one => countRunning(one.received.at(-1)) === 6), 'the change everywhere')
 })
 
-test('while nothing changes, gateways are told the totals no more often than as a sign of life', async () => {
-  const first = tellers[1]
+test('while nothing changes, gateways get the totals only as heartbeats', async () => {
+  const first = gateways[1]
   const { sent } = first
-  const before = first.told.length
-  await until(() => first.sent >= sent + 20, 'a second of words')
-  const told = first.told.length - before
-  // A sign of life goes out at most as often as this gateway's own words.
-  assert.ok(told >= 1 && told <= first.sent - sent, `${told} times in ${first.sent - sent} words`)
+  const receivedBefore = first.received.length
+  await until(() => first.sent >= sent + 20, 'one second of reports')
+  const receivedCount = first.received.length - receivedBefore
+  // The hub's heartbeat is at most as frequent as this gateway's own reports.
+  assert.ok(receivedCount >= 1 && receivedCount <= first.sent - sent, `${receivedCount} times in ${first.sent - sent} reports`)
 })
 
-// Three gateways returned to the hub of their zone, and the one that they left counted their last words until they had been
-// silent for 1.5 s ("event=gateway-silent" for each): the same work twice, and tags refused for it at boxes of all zones.
-test('the work of a gateway that moves to another hub is told once, not at both hubs', async () => {
+// Guards against double counting: when gateways returned to the hub of their zone, the hub that they left kept their last reports
+// for 1.5 s ("event=gateway-silent" for each), so boxes of all zones saw the load twice and rejected tag requests.
+test('the load of a gateway that moves to another hub is counted once, not at both hubs', async () => {
   let hub = 0
   const reporter = new LoadReporter({
     id: brandId<BoxId>('gateway-that-moves'),
@@ -102,24 +102,24 @@
     ...noNotices,
     now: () => performance.now(),
     listHubs: () => [{ host: hosts[hub], zone: brandId<ZoneName>('zone-a') }],
-    composeLoad: () => ({ loads: [{ endpoint: moving, running: 7, brisk: 0, memory: 0, waiting: [], largest: 0, backedOff: 0 }], demands: [], gaps: [], prompts: [] }),
+    composeLoad: () => ({ loads: [{ endpoint: movingEndpoint, running: 7, brisk: 0, memory: 0, waiting: [], largest: 0, backedOff: 0 }], demands: [], gaps: [], prompts: [] }),
     takeOthers: () => {}
   })
   await reporter.open('127.45.0.3')
-  const countMoving = (totals: LoadTotals | undefined): number => totals?.loads.find(load => load.endpoint === moving)?.running ?? 0
-  await until(() => tellers.every(one => countMoving(one.told.at(-1)) === 7), 'told once at both')
-  const before = tellers.map(one => one.told.length)
+  const countMoving = (totals: LoadTotals | undefined): number => totals?.loads.find(load => load.endpoint === movingEndpoint)?.running ?? 0
+  await until(() => gateways.every(one => countMoving(one.received.at(-1)) === 7), 'counted once at both')
+  const receivedBefore = gateways.map(one => one.received.length)
   hub = 1
-  const { sent } = tellers[0]
-  await until(() => tellers[0].sent >= sent + 40, 'two seconds of words')
-  const doubled = tellers.map((one, i) => one.told.slice(before[i]).filter(totals => countMoving(totals) > 7).length)
+  const { sent } = gateways[0]
+  await until(() => gateways[0].sent >= sent + 40, 'two seconds of reports')
+  const doubleCounts = gateways.map((one, i) => one.received.slice(receivedBefore[i]).filter(totals => countMoving(totals) > 7).length)
   reporter.close()
-  // In 40 words, where 1.5 s of them were doubled.
-  assert.ok(doubled.every(count => count <= 3), `${doubled.join(' and ')} times counted twice`)
+  // Of 40 reports; without the fix, 1.5 s of them were counted twice.
+  assert.ok(doubleCounts.every(count => count <= 3), `${doubleCounts.join(' and ')} times counted twice`)
 })
 
-// A box that is cut off from all hubs kept what the others had told as waiting for 1.5 s, as hubs did with boxes that had ended.
-test('a gateway that hears no hub any more drops what waits by others first, then all of their work', async () => {
+// Guards against stale queues: a box without any hub kept counting requests that waited at other boxes for 1.5 s, as hubs did for stopped boxes.
+test('a gateway that loses its hub drops the waiting requests of other boxes first, then all of their load', async () => {
   const host = '127.45.0.4'
   const hub = new LoadHub({ id: brandId<BoxId>(host), log: new EventLog(host, () => {}), now: () => performance.now(), listOthers: () => [], findService: () => brandId<ServiceName>('desk') })
   await hub.listen(host, port)
@@ -132,16 +132,16 @@
     ...noNotices,
     now: () => performance.now(),
     listHubs: () => [{ host, zone: brandId<ZoneName>('zone-a') }],
-    composeLoad: () => ({ loads: [{ endpoint: moving, running: 3, brisk: 0, memory: 0, waiting: [[1, 900]], largest: 900, backedOff: 0 }], demands: [], gaps: [], prompts: [] }),
+    composeLoad: () => ({ loads: [{ endpoint: movingEndpoint, running: 3, brisk: 0, memory: 0, waiting: [[1, 900]], largest: 900, backedOff: 0 }], demands: [], gaps: [], prompts: [] }),
     takeOthers: others => { if (i === 1) totals.push(others) }
   }))
   await other.open('127.45.0.5')
   await reporter.open('127.45.0.6')
-  const describe = (): string => JSON.stringify(totals.at(-1)?.loads.map(load => [load.running, load.waiting]) ?? [])
-  await until(() => describe() === '[[3,[[1,900]]]]', 'the other box is told')
+  const describeLast = (): string => JSON.stringify(totals.at(-1)?.loads.map(load => [load.running, load.waiting]) ?? [])
+  await until(() => describeLast() === '[[3,[[1,900]]]]', 'the load of the other box received')
   hub.close()
-  await until(() => describe() === '[]', 'the other box is forgotten')
-  const stages = totals.map(one => JSON.stringify(one.loads.map(load => [load.running, load.waiting])))
+  await until(() => describeLast() === '[]', 'the load of the other box dropped')
+  const states = totals.map(one => JSON.stringify(one.loads.map(load => [load.running, load.waiting])))
   for (const one of [other, reporter]) one.close()
-  assert.deepEqual([...new Set(stages)].slice(-3), ['[[3,[[1,900]]]]', '[[3,[]]]', '[]'])
+  assert.deepEqual([...new Set(states)].slice(-3), ['[[3,[[1,900]]]]', '[[3,[]]]', '[]'])
 })
