--- a/src/gateway/sent.ts
+++ b/src/gateway/active-send.ts
@@ -1,10 +1,10 @@
 import type { EndpointView, Placed } from '../core/index.js'
 import type { AnswerHead, EndpointCall } from './endpoint-call.js'
-import type { EventCutter } from './event-cutter.js'
+import type { EventSplitter } from './event-splitter.js'
 import type { Attempt } from './exchange-summary.js'
 
 /** A request as it was sent to one endpoint, and what has come of its answer. */
-export interface Sent {
+export interface ActiveSend {
   readonly call: EndpointCall
   readonly view: EndpointView
   readonly placed: Placed
@@ -14,5 +14,5 @@
   chunks: Buffer[]
   size: number
   /** Null where the answer is not passed on event by event. */
-  cutter: EventCutter | null
+  splitter: EventSplitter | null
 }
--- a/src/gateway/call-target.ts
+++ b/src/gateway/call-target.ts
@@ -13,11 +13,11 @@
   /** The last event that the caller has; null for a whole answer. */
   readonly lastEvent: string | null
   /** The box's time, ms. */
-  readonly at: number
+  readonly now: number
 }
 
 /** What goes to an endpoint, and where. */
-export function composeTarget (order: Order, { dialect, agent, view, plan: { fetch }, lastEvent, at }: SendPlan): CallTarget {
+export function composeTarget (order: Order, { dialect, agent, view, plan: { fetch }, lastEvent, now: at }: SendPlan): CallTarget {
   const headers = dialect.composeRequest(order.rawHeaders, {
     requestId: order.words.requestId,
     deadlineMs: order.holdUntil - at,
--- a/src/gateway/crash-guard.ts
+++ b/src/gateway/crash-guard.ts
@@ -20,7 +20,7 @@
   readonly prober: EndpointProber
   now (): number
   /** Tells all registries in touch. */
-  tell (news: CrashNews): void
+  broadcast (news: CrashNews): void
 }
 
 /** What the end of a send tells of its endpoint: it answered whole, the connection ended, what came was no answer, or nothing came. */
@@ -34,47 +34,47 @@
 }
 
 /** Requests whose sends broke at one life of an endpoint. */
-interface BrokenLife {
+interface BrokenIncarnation {
   readonly record: EndpointRecord
   /** When the last of them broke. */
   at: number
   readonly runs: Map<Fingerprint, BrokenRun>
   /** `looking`: it is tried whether anybody listens there; `unknown`: somebody does, or nothing can be said. */
-  state: 'unknown' | 'looking' | 'ended'
+  state: 'unknown' | 'probing' | 'ended'
 }
 
 /** For so long it is kept what broke at an endpoint, ms: a new life of it, which tells the end of the last, is registered within seconds. */
-const keepBrokenMs = 10_000
+const brokenRetentionMs = 10_000
 /** Endpoints of which that is kept; beyond them the oldest go. */
-const mostBroken = 200
+const maxBroken = 200
 /** With so many ends under it a request is sent to one endpoint an arrival, whatever its route allows: each further send may end one more. */
-const endsToSendOnce = 2
+const singleSendCrashes = 2
 /** When a request comes back whose one trial is under way, ms. */
 const trialRetryMs = 1000
 /**
  * What breaks at an endpoint within this of its end ended with it, ms: connections end at once, and it is tried for 300 ms whether
  * anybody listens there. What broke before was lost for another reason; what breaks later belongs to the next life.
  */
-const sameEndMs = 1000
-const free: Ruling = { type: 'free' }
+const crashWindowMs = 1000
+const freeRuling: Ruling = { type: 'free' }
 
 export class CrashGuard {
   #host: GuardHost
   #watch: CrashWatch
-  #untold: Gatherer<CrashNews>
-  #broken = new Map<EndpointId, BrokenLife>()
+  #pendingReports: Gatherer<CrashNews>
+  #broken = new Map<EndpointId, BrokenIncarnation>()
   /** Requests in quarantine of which one send is under way here. */
   #trials = new Map<Fingerprint, Order>()
 
   constructor (host: GuardHost) {
     this.#host = host
     this.#watch = new CrashWatch(service => host.fleet.listUsable(service, host.now()).length)
-    this.#untold = new Gatherer(gatherNewsMs, news => host.tell(joinNews(news)))
+    this.#pendingReports = new Gatherer(gatherNewsMs, news => host.broadcast(joinNews(news)))
   }
 
   /** What may be done with a request now. */
   rule (order: Order): Ruling {
-    if (this.#watch.isIdle) return free
+    if (this.#watch.isIdle) return freeRuling
     const fingerprint = identifyRequest(order)
     const at = this.#host.now()
     const listLabels = (): ReadonlySet<string> => new Set(this.#host.fleet.listUsable(order.service, at).map(({ record }) => labelSoftware(record)))
@@ -102,24 +102,24 @@
     if (this.#watch.isIdle && this.#broken.size === 0) return true
     const fingerprint = identifyRequest(order)
     if (this.#trials.get(fingerprint) === order) return false
-    return this.#countEnds(fingerprint) < endsToSendOnce && this.#watch.find(fingerprint)?.state !== 'refused'
+    return this.#countCrashes(fingerprint) < singleSendCrashes && this.#watch.find(fingerprint)?.state !== 'refused'
   }
 
   /** Notes how a send ended, `ms` after it was sent. */
-  noteSendEnd (order: Order, view: EndpointView, end: SendEvidence, ms: number): void {
-    switch (end) {
-      case 'answered': return this.#noteAnswered(order, view)
-      case 'lost': return this.#noteLost(order, view, ms)
+  noteSendEnd (order: Order, view: EndpointView, evidence: SendEvidence, ms: number): void {
+    switch (evidence) {
+      case 'answered': return this.#handleAnswered(order, view)
+      case 'lost': return this.#handleLost(order, view, ms)
       // Only a new life of it tells whether it has ended.
       case 'broken':
-      case 'silent': this.#noteBroken(order, view, ms)
+      case 'silent': this.#recordBroken(order, view, ms)
     }
   }
 
   /** An endpoint says where it is: where something broke at an earlier life there, that life has ended. */
   noteRecord (record: EndpointRecord): void {
-    for (const life of this.#broken.values()) {
-      if (life.state !== 'ended' && life.runs.size > 0 && isLaterLife(record, life.record)) this.#confirm(life)
+    for (const incarnation of this.#broken.values()) {
+      if (incarnation.state !== 'ended' && incarnation.runs.size > 0 && isLaterIncarnation(record, incarnation.record)) this.#confirmEnd(incarnation)
     }
   }
 
@@ -131,89 +131,89 @@
   }
 
   /** Takes what a registry tells. Registries tell one another, so that it isn't told on: gateways are many. */
-  merge (news: CrashNews): void { this.#noteNews(this.#watch.merge(news, this.#host.now())) }
+  merge (news: CrashNews): void { this.#logEntries(this.#watch.merge(news, this.#host.now())) }
 
   /** Everything that is known here, for a registry that may know nothing. */
   list (): CrashNews { return this.#watch.list(this.#host.now()) }
 
   // The connection over which a request was sent ended under it.
-  #noteLost (order: Order, view: EndpointView, ms: number): void {
-    const life = this.#noteBroken(order, view, ms)
-    if (life === null) return
-    if (life.state === 'ended') return this.#tellEnd(life)
-    if (this.#host.fleet.hasStartedAgain(view)) return this.#confirm(life)
-    life.state = 'looking'
+  #handleLost (order: Order, view: EndpointView, ms: number): void {
+    const incarnation = this.#recordBroken(order, view, ms)
+    if (incarnation === null) return
+    if (incarnation.state === 'ended') return this.#reportEnd(incarnation)
+    if (this.#host.fleet.hasStartedAgain(view)) return this.#confirmEnd(incarnation)
+    incarnation.state = 'probing'
     this.#host.prober.verify(view, isGone => {
-      if (isGone) this.#confirm(life)
-      else if (life.state === 'looking') life.state = 'unknown'
+      if (isGone) this.#confirmEnd(incarnation)
+      else if (incarnation.state === 'probing') incarnation.state = 'unknown'
     })
   }
 
-  #noteAnswered (order: Order, view: EndpointView): void {
+  #handleAnswered (order: Order, view: EndpointView): void {
     if (this.#watch.isIdle && this.#broken.size === 0) return
     const fingerprint = identifyRequest(order)
     for (const { runs } of this.#broken.values()) runs.delete(fingerprint)
-    this.#tell(this.#watch.noteAnswered(fingerprint, labelSoftware(view.record), this.#host.now()))
+    this.#report(this.#watch.noteAnswered(fingerprint, labelSoftware(view.record), this.#host.now()))
   }
 
   // Null where the end of the endpoint would tell nothing: one that said it leaves may end.
-  #noteBroken (order: Order, view: EndpointView, ms: number): BrokenLife | null {
+  #recordBroken (order: Order, view: EndpointView, ms: number): BrokenIncarnation | null {
     const isLeaving = view.record.stage !== 'ready' || this.#host.fleet.findView(view.id) === undefined
     if (isLeaving) return null
     const at = this.#host.now()
-    this.#forgetOld(at)
+    this.#dropExpired(at)
     const known = this.#broken.get(view.id)
-    const isKnown = known !== undefined && known.record.born === view.record.born && !(known.state === 'ended' && at - known.at > sameEndMs)
-    const life: BrokenLife = isKnown ? known : { record: view.record, at, runs: new Map<Fingerprint, BrokenRun>(), state: 'unknown' }
-    life.at = at
-    this.#broken.set(view.id, life)
+    const isSameIncarnation = known !== undefined && known.record.born === view.record.born && !(known.state === 'ended' && at - known.at > crashWindowMs)
+    const incarnation: BrokenIncarnation = isSameIncarnation ? known : { record: view.record, at, runs: new Map<Fingerprint, BrokenRun>(), state: 'unknown' }
+    incarnation.at = at
+    this.#broken.set(view.id, incarnation)
     const fingerprint = identifyRequest(order)
-    life.runs.set(fingerprint, { ms, at })
-    return life
+    incarnation.runs.set(fingerprint, { ms, at })
+    return incarnation
   }
 
-  #confirm (life: BrokenLife): void {
-    if (life.state === 'ended') return
-    life.state = 'ended'
-    this.#host.metrics.count('endpoint-ended', { service: life.record.service })
-    this.#host.log.warn('endpoint-ended', { endpoint: life.record.id, service: life.record.service, born: life.record.born, runs: life.runs.size })
-    this.#tellEnd(life)
+  #confirmEnd (incarnation: BrokenIncarnation): void {
+    if (incarnation.state === 'ended') return
+    incarnation.state = 'ended'
+    this.#host.metrics.count('endpoint-ended', { service: incarnation.record.service })
+    this.#host.log.warn('endpoint-ended', { endpoint: incarnation.record.id, service: incarnation.record.service, born: incarnation.record.born, runs: incarnation.runs.size })
+    this.#reportEnd(incarnation)
   }
 
   // Of the requests that broke there, those that broke last: the others were lost before the endpoint ended.
-  #tellEnd ({ record, at: brokeAt, runs }: BrokenLife): void {
+  #reportEnd ({ record, at: brokeAt, runs }: BrokenIncarnation): void {
     const now = this.#host.now()
     const { id, born, service, software } = record
-    const told = [...runs].filter(([, { at }]) => brokeAt - at <= sameEndMs).map(([fingerprint, { ms }]) => [fingerprint, Math.round(ms)] as const)
-    this.#tell(this.#watch.merge({ ends: [{ endpoint: id, born, service, software, ageMs: now - brokeAt, runs: told }], entries: [] }, now))
+    const reportedRuns = [...runs].filter(([, { at }]) => brokeAt - at <= crashWindowMs).map(([fingerprint, { ms }]) => [fingerprint, Math.round(ms)] as const)
+    this.#report(this.#watch.merge({ ends: [{ endpoint: id, born, service, software, ageMs: now - brokeAt, runs: reportedRuns }], entries: [] }, now))
   }
 
-  #noteNews ({ entries }: CrashNews): void {
+  #logEntries ({ entries }: CrashNews): void {
     for (const entry of entries) {
       this.#host.metrics.count('quarantine', { state: entry.state })
       this.#host.log.warn('quarantine', describeEntry(entry))
     }
   }
 
-  #tell (news: CrashNews): void {
-    this.#noteNews(news)
-    if (news.ends.length > 0 || news.entries.length > 0) this.#untold.add(news)
+  #report (news: CrashNews): void {
+    this.#logEntries(news)
+    if (news.ends.length > 0 || news.entries.length > 0) this.#pendingReports.add(news)
   }
 
   // Ends that are confirmed, and those that are likely.
-  #countEnds (fingerprint: Fingerprint): number {
-    const likely = [...this.#broken.values()].filter(({ state, runs }) => state === 'looking' && runs.has(fingerprint)).length
+  #countCrashes (fingerprint: Fingerprint): number {
+    const likely = [...this.#broken.values()].filter(({ state, runs }) => state === 'probing' && runs.has(fingerprint)).length
     return this.#watch.countEnds(fingerprint) + likely
   }
 
-  #forgetOld (at: number): void {
-    for (const [id, life] of this.#broken) if (at - life.at > keepBrokenMs || this.#broken.size > mostBroken) this.#broken.delete(id)
+  #dropExpired (at: number): void {
+    for (const [id, incarnation] of this.#broken) if (at - incarnation.at > brokenRetentionMs || this.#broken.size > maxBroken) this.#broken.delete(id)
   }
 }
 
 // True for a new start at the same address, or under the same id.
-function isLaterLife (record: EndpointRecord, before: EndpointRecord): boolean {
+function isLaterIncarnation (record: EndpointRecord, earlier: EndpointRecord): boolean {
   if (record.stage !== 'ready') return false
-  if (record.id === before.id) return record.born > before.born
-  return record.host === before.host && record.port === before.port
+  if (record.id === earlier.id) return record.born > earlier.born
+  return record.host === earlier.host && record.port === earlier.port
 }
--- a/src/gateway/endpoint-agent.ts
+++ b/src/gateway/endpoint-agent.ts
@@ -13,11 +13,11 @@
 }
 
 /** How long a connection rests where the endpoint names no time, ms: below what servers usually allow. */
-const defaultRestMs = 4000
+const defaultIdleMs = 4000
 /** Part of the time that an endpoint names after which a connection is not used again: the rest is for what is under way. */
-const restShare = 0.8
+const idleTimeoutShare = 0.8
 
-const restHandlers = new WeakMap<Socket, () => void>()
+const idleHandlers = new WeakMap<Socket, () => void>()
 const resetSockets = new WeakSet<Socket>()
 
 /**
@@ -46,28 +46,28 @@
   // These two are Node's hooks around a connection's rest.
 
   override keepSocketAlive (socket: AnsweredSocket): boolean {
-    const end = (): void => { socket.destroy() }
-    restHandlers.set(socket, end)
-    socket.on('data', end)
-    socket.setTimeout(readRestMs(socket), end)
+    const destroy = (): void => { socket.destroy() }
+    idleHandlers.set(socket, destroy)
+    socket.on('data', destroy)
+    socket.setTimeout(readIdleMs(socket), destroy)
     return true
   }
 
   override reuseSocket (socket: Socket, request: ClientRequest): void {
     super.reuseSocket(socket, request)
-    const end = restHandlers.get(socket)
-    if (end === undefined) return
-    restHandlers.delete(socket)
-    socket.removeListener('data', end)
-    socket.removeListener('timeout', end)
+    const handler = idleHandlers.get(socket)
+    if (handler === undefined) return
+    idleHandlers.delete(socket)
+    socket.removeListener('data', handler)
+    socket.removeListener('timeout', handler)
     socket.setTimeout(0)
   }
 }
 
-function readRestMs (socket: AnsweredSocket): number {
+function readIdleMs (socket: AnsweredSocket): number {
   const header = socket._httpMessage?.res?.headers['keep-alive']
   const seconds = /timeout=(\d+)/.exec(String(header ?? ''))?.[1]
-  return seconds === undefined ? defaultRestMs : Number(seconds) * 1000 * restShare
+  return seconds === undefined ? defaultIdleMs : Number(seconds) * 1000 * idleTimeoutShare
 }
 
 // The system no longer knows the peer of a connection that was reset. Must look
--- a/src/gateway/endpoint-call.ts
+++ b/src/gateway/endpoint-call.ts
@@ -24,7 +24,7 @@
 /** The head of an answer that is this request's own. */
 export interface AnswerHead {
   readonly status: number
-  readonly words: AnswerWords
+  readonly headers: AnswerWords
   readonly rawHeaders: readonly string[]
   /** True where the answer is encoded, which nobody asked for. */
   readonly isEncoded: boolean
@@ -35,22 +35,22 @@
 
 /** Who hears of a call. Nothing is called after `finish` or `fail`, or after `cancel`. */
 export interface CallSink {
-  begin (head: AnswerHead): void
+  receiveHead (head: AnswerHead): void
   /** Returns false to be paused until `resume`. */
-  take (chunk: Buffer): boolean
+  receiveChunk (chunk: Buffer): boolean
   finish (): void
   fail (failure: CallFailure, reason: string): void
 }
 
 /** A connection that isn't up after this won't be soon: zones are a few ms apart, ms. */
-const connectMs = 300
+const connectTimeoutMs = 300
 
 export class EndpointCall {
   #sink: CallSink
   #request: ClientRequest
   #answer: IncomingMessage | null = null
-  #ended = false
-  #wrote = false
+  #isEnded = false
+  #hasConnected = false
   #startedAt: number
   #requestId: string
   #dialect: Dialect
@@ -64,8 +64,8 @@
     const headers = body.length > 0 || method === 'POST' || method === 'PUT' || method === 'PATCH' ? [...target.headers, 'Content-Length', String(body.length)] : [...target.headers]
     this.#request = httpRequest({ host, port, agent, method, path, headers: headers as unknown as NodeJS.Dict<string> })
     this.#request.on('socket', socket => {
-      if (socket.connecting) socket.once('connect', () => { this.#wrote = true })
-      else this.#wrote = true
+      if (socket.connecting) socket.once('connect', () => { this.#hasConnected = true })
+      else this.#hasConnected = true
     })
     this.#request.on('response', answer => this.#receive(answer))
     this.#request.on('error', error => this.#fail(error.message))
@@ -73,50 +73,50 @@
   }
 
   /** True once bytes may have reached the endpoint. */
-  get mayHaveRun (): boolean { return this.#wrote }
+  get mayHaveRun (): boolean { return this.#hasConnected }
 
   /** Gives up a connection that does not come about. */
   check (now: number): void {
-    if (this.#ended || this.#wrote || now - this.#startedAt < connectMs) return
+    if (this.#isEnded || this.#hasConnected || now - this.#startedAt < connectTimeoutMs) return
     this.#fail('no connection in time')
   }
 
   /** Ends the call; the endpoint sees its connection close. */
   cancel (): void {
-    this.#ended = true
+    this.#isEnded = true
     this.#request.destroy()
   }
 
   resume (): void { this.#answer?.resume() }
 
   #receive (answer: IncomingMessage): void {
-    if (this.#ended) return
+    if (this.#isEnded) return
     this.#answer = answer
     answer.on('error', error => this.#fail(error.message))
     answer.on('close', () => this.#fail('the answer broke off'))
     const status = answer.statusCode ?? 0
-    const words = this.#dialect.readAnswer(status, answer.headers, Date.now())
+    const headers = this.#dialect.readAnswer(status, answer.headers, Date.now())
     // An endpoint that doesn't name the request may only say that it did not run it.
-    if (words.requestId !== this.#requestId && !(words.requestId === '' && words.isNotRun)) return this.#fail('an answer to another request', 'broken')
+    if (headers.requestId !== this.#requestId && !(headers.requestId === '' && headers.isNotRun)) return this.#fail('an answer to another request', 'broken')
     // The endpoint answered before it had read the request: the connection is not used again.
     if (!this.#request.writableFinished) this.#request.shouldKeepAlive = false
-    this.#sink.begin({ status, words, rawHeaders: answer.rawHeaders, isEncoded: answer.headers['content-encoding'] !== undefined })
-    if (this.#ended) return
+    this.#sink.receiveHead({ status, headers, rawHeaders: answer.rawHeaders, isEncoded: answer.headers['content-encoding'] !== undefined })
+    if (this.#isEnded) return
     answer.on('data', (chunk: Buffer) => {
-      if (!this.#ended && !this.#sink.take(chunk) && !this.#ended) answer.pause()
+      if (!this.#isEnded && !this.#sink.receiveChunk(chunk) && !this.#isEnded) answer.pause()
     })
     answer.on('end', () => {
-      if (this.#ended) return
+      if (this.#isEnded) return
       if (!answer.complete || wasReset(answer.socket)) return this.#fail('the answer broke off')
-      this.#ended = true
+      this.#isEnded = true
       this.#sink.finish()
     })
   }
 
   #fail (reason: string, failure: CallFailure = 'lost'): void {
-    if (this.#ended) return
-    this.#ended = true
+    if (this.#isEnded) return
+    this.#isEnded = true
     this.#request.destroy()
-    this.#sink.fail(this.#wrote ? failure : 'unreachable', reason)
+    this.#sink.fail(this.#hasConnected ? failure : 'unreachable', reason)
   }
 }
--- a/src/gateway/endpoint-prober.ts
+++ b/src/gateway/endpoint-prober.ts
@@ -3,7 +3,7 @@
 import type { EventLog } from '../runtime/index.js'
 
 /** A connection that isn't up after this won't be soon, ms. */
-const connectMs = 300
+const connectTimeoutMs = 300
 
 /**
  * Tries connections to endpoints at which nobody listened, or that have just broken off. Nothing is asked over
@@ -13,7 +13,7 @@
   #log: EventLog
   #now: () => number
   #probing = new Set<EndpointView>()
-  #verifying = new Map<EndpointView, ((isGone: boolean) => void)[]>()
+  #verifyCallbacks = new Map<EndpointView, ((isGone: boolean) => void)[]>()
 
   constructor (log: EventLog, now: () => number) {
     this.#log = log
@@ -21,41 +21,41 @@
   }
 
   /** Tries whether anybody listens where a connection has just ended; `take` hears whether the endpoint is surely gone. */
-  verify (view: EndpointView, take: (isGone: boolean) => void): void {
-    const waiting = this.#verifying.get(view)
-    if (waiting !== undefined) {
-      waiting.push(take)
+  verify (view: EndpointView, report: (isGone: boolean) => void): void {
+    const pending = this.#verifyCallbacks.get(view)
+    if (pending !== undefined) {
+      pending.push(report)
       return
     }
-    this.#verifying.set(view, [take])
-    this.#try(view, outcome => {
-      const takers = this.#verifying.get(view) ?? []
-      this.#verifying.delete(view)
+    this.#verifyCallbacks.set(view, [report])
+    this.#tryConnect(view, outcome => {
+      const callbacks = this.#verifyCallbacks.get(view) ?? []
+      this.#verifyCallbacks.delete(view)
       if (outcome === 'refused') view.trust.noteUnreachable(this.#now())
-      for (const one of takers) one(outcome === 'refused')
+      for (const callback of callbacks) callback(outcome === 'refused')
     })
   }
 
   /** Looks after every endpoint whose time has come. */
-  look (views: Iterable<EndpointView>): void {
+  probeDue (views: Iterable<EndpointView>): void {
     const now = this.#now()
     for (const view of views) {
-      if (view.trust.look(now) === 'probing' && !view.gate.isBackedOff(now) && !this.#probing.has(view)) this.#probe(view)
+      if (view.trust.look(now) === 'probing' && !view.gate.isBackedOff(now) && !this.#probing.has(view)) this.#startProbe(view)
     }
   }
 
-  #probe (view: EndpointView): void {
+  #startProbe (view: EndpointView): void {
     this.#probing.add(view)
-    this.#try(view, outcome => {
+    this.#tryConnect(view, outcome => {
       this.#probing.delete(view)
-      this.#note(view, outcome === 'up')
+      this.#noteResult(view, outcome === 'up')
     })
   }
 
   // `silent`: nothing says whether somebody listens there.
-  #try ({ record: { host, port } }: EndpointView, take: (outcome: 'up' | 'refused' | 'silent') => void): void {
+  #tryConnect ({ record: { host, port } }: EndpointView, report: (outcome: 'up' | 'refused' | 'silent') => void): void {
     const socket = connect({ host, port })
-    const timer = setTimeout(() => socket.destroy(), connectMs)
+    const timer = setTimeout(() => socket.destroy(), connectTimeoutMs)
     let outcome: 'up' | 'refused' | 'silent' = 'silent'
     socket.on('error', (error: NodeJS.ErrnoException) => {
       if (error.code === 'ECONNREFUSED') outcome = 'refused'
@@ -66,11 +66,11 @@
     })
     socket.once('close', () => {
       clearTimeout(timer)
-      take(outcome)
+      report(outcome)
     })
   }
 
-  #note (view: EndpointView, isUp: boolean): void {
+  #noteResult (view: EndpointView, isUp: boolean): void {
     if (!isUp) return view.trust.noteUnreachable(this.#now())
     view.trust.noteReachable(this.#now())
     this.#log.info('endpoint-reached', { endpoint: view.id, service: view.record.service })
--- a/src/gateway/endpoint-search.ts
+++ b/src/gateway/endpoint-search.ts
@@ -5,7 +5,7 @@
 import type { Choice, EndpointId } from '../core/index.js'
 import type { ExchangeHost } from './exchange-host.js'
 import type { Order } from './order.js'
-import type { SendEnd } from './send-course.js'
+import type { SendOutcome } from './retry-policy.js'
 
 /** Who searches. */
 export interface Searcher {
@@ -16,20 +16,20 @@
   /** Takes the endpoint; `permitMs`: how long a permit took, null where none was needed. */
   send (choice: Choice, permitMs: number | null): void
   /** No endpoint takes the request. */
-  fail (end: SendEnd): void
+  fail (end: SendOutcome): void
 }
 
-export class EndpointSearch<One extends Searcher> {
-  #host: ExchangeHost<One>
-  #searcher: One
+export class EndpointSearch<S extends Searcher> {
+  #host: ExchangeHost<S>
+  #searcher: S
   #tried: EndpointId[] = []
-  #isHeld = false
+  #isQueued = false
   /** True while a permit is asked for. */
-  #isAsking = false
+  #isAwaitingPermit = false
   #denied = 0
   #closedMs = 0
 
-  constructor (host: ExchangeHost<One>, searcher: One) {
+  constructor (host: ExchangeHost<S>, searcher: S) {
     this.#host = host
     this.#searcher = searcher
   }
@@ -47,38 +47,38 @@
     const ruling = this.#host.guard.rule(order)
     if (ruling.type === 'refused') return this.#searcher.fail({ ...ruling, type: 'quarantined' })
     const choice = this.#host.fleet.choose(order.work, this.#tried, at, this.#host.draw(), at - order.arrivedAt, this.#host.guard.composeNarrowing(order, ruling))
-    if (choice === 'later') return this.#hold()
-    if (choice === 'closed') return this.#meetClosed(at)
+    if (choice === 'later') return this.#enqueue()
+    if (choice === 'closed') return this.#handleClosed(at)
     if (typeof choice === 'string') return this.#fail({ type: 'unplaced', why: choice })
-    if (choice.view.gate.takeLeave(at)) return this.#take(choice, null)
-    this.#askPermit(choice, at)
+    if (choice.view.gate.takeLeave(at)) return this.#accept(choice, null)
+    this.#requestPermit(choice, at)
   }
 
   /** Looks once more, where the request is held. */
   retry (): void {
-    if (this.#isHeld && !this.#isAsking) this.start()
+    if (this.#isQueued && !this.#isAwaitingPermit) this.start()
   }
 
   /** The request waits no more. */
   stop (): void {
-    if (!this.#isHeld) return
-    this.#isHeld = false
+    if (!this.#isQueued) return
+    this.#isQueued = false
     this.#host.unhold(this.#searcher)
   }
 
-  #hold (): void {
-    if (this.#isHeld) return
-    this.#isHeld = true
+  #enqueue (): void {
+    if (this.#isQueued) return
+    this.#isQueued = true
     this.#host.hold(this.#searcher)
   }
 
-  #askPermit (choice: Choice, askedAt: number): void {
-    this.#isAsking = true
+  #requestPermit (choice: Choice, requestedAt: number): void {
+    this.#isAwaitingPermit = true
     this.#host.limits.askPermit(choice.view, this.#searcher.order.work, isGiven => {
-      this.#isAsking = false
+      this.#isAwaitingPermit = false
       const at = this.#host.now()
       const isWanted = !this.#searcher.isEnded && !this.#host.fleet.hasStartedAgain(choice.view) && !choice.view.gate.isShut(at)
-      if (isGiven && isWanted) return this.#take(choice, at - askedAt)
+      if (isGiven && isWanted) return this.#accept(choice, at - requestedAt)
       if (isGiven) choice.view.gate.keepPermit(at)
       else this.#denied += 1
       if (!this.#searcher.isEnded) this.start()
@@ -86,25 +86,25 @@
   }
 
   // An answer that has begun is given up only once its time is over.
-  #meetClosed (at: number): void {
+  #handleClosed (at: number): void {
     const { work, arrivedAt, holdUntil } = this.#searcher.order
-    const until = this.#searcher.isBegun ? holdUntil : arrivedAt + work.targetMs
+    const waitUntil = this.#searcher.isBegun ? holdUntil : arrivedAt + work.targetMs
     const openAt = this.#host.fleet.findOpening(work, this.#tried, at)
     this.#closedMs = Math.max(this.#closedMs, openAt - at)
-    const ruling = this.#host.limits.ruleClosed(work, openAt, until, at)
+    const ruling = this.#host.limits.ruleClosed(work, openAt, waitUntil, at)
     switch (ruling.type) {
-      case 'wait': return this.#hold()
+      case 'wait': return this.#enqueue()
       case 'return': return this.#fail({ type: 'closed', retryAfterMs: ruling.afterMs })
     }
   }
 
-  #take (choice: Choice, permitMs: number | null): void {
+  #accept (choice: Choice, permitMs: number | null): void {
     this.stop()
     this.#tried.push(choice.view.id)
     this.#searcher.send(choice, permitMs)
   }
 
-  #fail (end: SendEnd): void {
+  #fail (end: SendOutcome): void {
     this.stop()
     this.#searcher.fail(end)
   }
--- a/src/gateway/exchange-host.ts
+++ b/src/gateway/exchange-host.ts
@@ -7,7 +7,7 @@
 import type { Order } from './order.js'
 
 /** What an exchange needs of its box; `One` is the exchange. */
-export interface ExchangeHost<One> {
+export interface ExchangeHost<E> {
   readonly dialect: Dialect
   readonly fleet: Fleet
   readonly agent: EndpointAgent
@@ -21,10 +21,10 @@
   /** The work at the endpoints has changed. */
   noteLoad (): void
   /** Holds the exchange until `tryPlace` finds room for it. */
-  hold (exchange: One): void
+  hold (exchange: E): void
   /** The exchange waits no more. */
-  unhold (exchange: One): void
+  unhold (exchange: E): void
   /** An endpoint began with the request at `at`, as far as this box can tell. */
   noteRun (order: Order, at: number): void
-  noteEnd (exchange: One, summary: ExchangeSummary): void
+  noteEnd (exchange: E, summary: ExchangeSummary): void
 }
--- a/src/gateway/exchange-report.ts
+++ b/src/gateway/exchange-report.ts
@@ -5,13 +5,13 @@
 import { identifyRequest } from './fingerprint.js'
 
 /** Logs how an exchange went, and counts it. */
-export function tellEnd (summary: ExchangeSummary, log: EventLog, metrics: Metrics): void {
+export function reportExchange (summary: ExchangeSummary, log: EventLog, metrics: Metrics): void {
   const { order, outcome, attempts, firstMs, totalMs } = summary
   const route = order.route.name
   metrics.count('exchange', { route, outcome })
   metrics.time('exchange', totalMs, { route })
   if (firstMs !== null) metrics.time('first', firstMs, { route })
-  if (summary.longestPauseMs > 0) metrics.time('pause', summary.longestPauseMs, { route })
+  if (summary.maxPauseMs > 0) metrics.time('pause', summary.maxPauseMs, { route })
   const fields = {
     request: order.words.requestId,
     route,
@@ -25,7 +25,7 @@
     targetMs: order.work.targetMs,
     totalMs: Math.round(totalMs),
     events: summary.events,
-    pauseMs: Math.round(summary.longestPauseMs),
+    pauseMs: Math.round(summary.maxPauseMs),
     pauseLimitMs: order.work.pauseMs ?? undefined,
     priority: order.work.cost === null ? undefined : order.work.priority,
     prompt: order.work.cost?.parts.at(-1)?.id,
@@ -50,8 +50,8 @@
 }
 
 // The endpoint, when it was sent there, ms after arrival, what decided for it, and how it ended.
-function formatAttempt (one: Attempt, arrivedAt: number): string {
-  return `${one.endpoint}@${Math.round(one.sentAt - arrivedAt)}:expected=${one.expectedMs}:of=${one.candidates}:apart=${one.share}:read=${Math.round(one.plan.readTokens)}:fetch=${formatFetch(one)}:home=${one.isHome ? 1 : 0}${one.permitMs === null ? '' : `:permit=${Math.round(one.permitMs)}`}:${one.end}`
+function formatAttempt (attempt: Attempt, arrivedAt: number): string {
+  return `${attempt.endpoint}@${Math.round(attempt.sentAt - arrivedAt)}:expected=${attempt.expectedMs}:of=${attempt.candidates}:apart=${attempt.share}:read=${Math.round(attempt.plan.readTokens)}:fetch=${formatFetch(attempt)}:home=${attempt.isHome ? 1 : 0}${attempt.permitMs === null ? '' : `:permit=${Math.round(attempt.permitMs)}`}:${attempt.end}`
 }
 
 function formatFetch ({ plan: { fetch } }: Attempt): string {
--- a/src/gateway/exchange-summary.ts
+++ b/src/gateway/exchange-summary.ts
@@ -29,7 +29,7 @@
   readonly firstMs: number | null
   readonly totalMs: number
   readonly events: number
-  readonly longestPauseMs: number
+  readonly maxPauseMs: number
   /** Permits that were denied to it. */
   readonly denied: number
   /** The longest time until an endpoint takes requests again, ms, as seen when none did; 0 where one always did. */
--- a/src/gateway/exchange.ts
+++ b/src/gateway/exchange.ts
@@ -11,36 +11,36 @@
 import { EndpointCall } from './endpoint-call.js'
 import type { AnswerHead, CallFailure } from './endpoint-call.js'
 import { EndpointSearch } from './endpoint-search.js'
-import { EventCutter } from './event-cutter.js'
-import type { NumberedEvent } from './event-cutter.js'
+import { EventSplitter } from './event-splitter.js'
+import type { StreamEvent } from './event-splitter.js'
 import type { ExchangeHost } from './exchange-host.js'
 import type { Attempt, ExchangeSummary } from './exchange-summary.js'
 import type { Order } from './order.js'
 import { passHeaders } from './pass-headers.js'
 import { PassedEvents } from './passed-events.js'
-import { limitSilence } from './repeat-rules.js'
-import { SendCourse } from './send-course.js'
-import type { NextStep, SendEnd } from './send-course.js'
-import type { Sent } from './sent.js'
+import { computeMaxSilenceMs } from './retry-rules.js'
+import { RetryPolicy } from './retry-policy.js'
+import type { NextStep, SendOutcome } from './retry-policy.js'
+import type { ActiveSend } from './active-send.js'
 
 type Phase = 'waiting' | 'relaying' | 'ended'
 
 /** Answers that are not passed on event by event are held whole, up to this, bytes. */
-const largestAnswer = 64 * 2 ** 20
+const maxAnswerBytes = 64 * 2 ** 20
 
 export class Exchange {
   readonly order: Order
   #host: ExchangeHost<Exchange>
   #response: ServerResponse
   #phase: Phase = 'waiting'
-  #sent: Sent | null = null
+  #activeSend: ActiveSend | null = null
   #admission: Admission | null = null
   #attempts: Attempt[] = []
   #search: EndpointSearch<Exchange>
-  #course: SendCourse
+  #retryPolicy: RetryPolicy
   #events: PassedEvents
-  #firstAt: number | null = null
-  #hasRun = false
+  #firstOutputAt: number | null = null
+  #isRunReported = false
 
   constructor (host: ExchangeHost<Exchange>, order: Order, response: ServerResponse) {
     this.#host = host
@@ -48,8 +48,8 @@
     this.#response = response
     this.#events = new PassedEvents(order.words.lastEvent)
     this.#search = new EndpointSearch(host, this)
-    this.#course = new SendCourse(order.route, () => host.takeRetry(order))
-    response.on('drain', () => this.#sent?.call.resume())
+    this.#retryPolicy = new RetryPolicy(order.route, () => host.takeRetry(order))
+    response.on('drain', () => this.#activeSend?.call.resume())
   }
 
   get isEnded (): boolean { return this.#phase === 'ended' }
@@ -68,28 +68,28 @@
   }
 
   /** The caller is gone: whatever runs for it is called off. */
-  leave (): void {
+  abandon (): void {
     if (this.#phase === 'ended') return
-    this.#dropCall('left')
-    this.#end('left', 0)
+    this.#cancelActive('left')
+    this.#endExchange('left', 0)
   }
 
   /** The box stops: a begun answer ends as one that broke off. */
   cut (): void {
     if (this.#phase === 'ended') return
-    this.#dropCall('cut')
+    this.#cancelActive('cut')
     this.#response.destroy()
-    this.#end('cut', 0)
+    this.#endExchange('cut', 0)
   }
 
   /** Looks at the time: connections that don't come about, streams that went silent, requests to be given up. */
   check (now: number): void {
     if (this.#phase === 'ended') return
-    if (now >= this.order.holdUntil) return this.#giveUp()
-    this.#sent?.call.check(now)
-    if (this.#sent !== null && this.#host.fleet.hasStartedAgain(this.#sent.view)) return this.#moveOn(this.#sent, 'lost', 'the endpoint has started again')
-    if (this.#sent !== null && this.#isSilent(this.#sent, now)) return this.#moveOn(this.#sent, 'broken', 'silent')
-    if (this.#sent !== null && this.#isStuck(this.#sent, now)) this.#moveOn(this.#sent, 'broken', 'its zone fell silent')
+    if (now >= this.order.holdUntil) return this.#timeOut()
+    this.#activeSend?.call.check(now)
+    if (this.#activeSend !== null && this.#host.fleet.hasStartedAgain(this.#activeSend.view)) return this.#failOver(this.#activeSend, 'lost', 'the endpoint has started again')
+    if (this.#activeSend !== null && this.#isStalled(this.#activeSend, now)) return this.#failOver(this.#activeSend, 'broken', 'silent')
+    if (this.#activeSend !== null && this.#isZoneCutOff(this.#activeSend, now)) this.#failOver(this.#activeSend, 'broken', 'its zone fell silent')
   }
 
   // Sending.
@@ -100,174 +100,174 @@
     const at = this.#host.now()
     const attempt: Attempt = { endpoint: view.id, expectedMs: Math.round(expectedMs), candidates, share, plan, isHome, sentAt: at, permitMs, end: 'open' }
     this.#attempts.push(attempt)
-    this.#course.noteSend()
+    this.#retryPolicy.noteSend()
     const placed = view.place(order.work, plan, at)
     this.#host.fleet.noteBegun(order.work, at)
-    const sent: Sent = { view, placed, attempt, call: this.#call(view, plan, at, () => sent), head: null, chunks: [], size: 0, cutter: null }
-    this.#sent = sent
+    const sent: ActiveSend = { view, placed, attempt, call: this.#startCall(view, plan, at, () => sent), head: null, chunks: [], size: 0, splitter: null }
+    this.#activeSend = sent
     this.#host.noteLoad()
   }
 
-  #call (view: EndpointView, plan: PromptPlan, at: number, getSent: () => Sent): EndpointCall {
+  #startCall (view: EndpointView, plan: PromptPlan, at: number, getSent: () => ActiveSend): EndpointCall {
     const { dialect, agent } = this.#host
-    const target = composeTarget(this.order, { dialect, agent, view, plan, lastEvent: this.#events.lastId, at })
+    const target = composeTarget(this.order, { dialect, agent, view, plan, lastEvent: this.#events.lastId, now: at })
     return new EndpointCall(target, dialect, {
-      begin: head => this.#begin(getSent(), head),
-      take: chunk => this.#take(getSent(), chunk),
-      finish: () => this.#finish(getSent()),
-      fail: (failure, reason) => this.#moveOn(getSent(), failure, reason)
+      receiveHead: head => this.#receiveHead(getSent(), head),
+      receiveChunk: chunk => this.#receiveChunk(getSent(), chunk),
+      finish: () => this.#handleCallEnd(getSent()),
+      fail: (failure, reason) => this.#failOver(getSent(), failure, reason)
     }, at)
   }
 
   /** Takes why the search found no endpoint. */
-  fail (end: SendEnd): void { this.#follow(this.#course.decide(end)) }
+  fail (end: SendOutcome): void { this.#execute(this.#retryPolicy.decide(end)) }
 
   // Answers.
 
-  #begin (sent: Sent, head: AnswerHead): void {
+  #receiveHead (sent: ActiveSend, head: AnswerHead): void {
     sent.head = head
-    const { words } = head
+    const { headers } = head
     // Another endpoint's answer says nothing of this one.
-    if (words.isOtherEndpoint) return this.#noteNotRun(sent, head)
-    if (words.isMarked || words.isNotRun) this.#host.limits.noteAnswer(sent.view, words.notices, !words.isNotRun)
-    if (words.isNotRun) return this.#noteNotRun(sent, head)
-    const isAnswer = words.isMarked && !head.isEncoded
-    if (!isAnswer) return this.#moveOn(sent, 'broken', `not an answer of an endpoint (${head.status})`)
-    if (head.status >= 500) return this.#noteFailed(sent, head)
+    if (headers.isOtherEndpoint) return this.#handleNotRun(sent, head)
+    if (headers.isMarked || headers.isNotRun) this.#host.limits.noteAnswer(sent.view, headers.notices, !headers.isNotRun)
+    if (headers.isNotRun) return this.#handleNotRun(sent, head)
+    const isAnswer = headers.isMarked && !head.isEncoded
+    if (!isAnswer) return this.#failOver(sent, 'broken', `not an answer of an endpoint (${head.status})`)
+    if (head.status >= 500) return this.#handleFailure(sent, head)
     sent.view.trust.noteGood()
-    this.#receive(sent, head)
+    this.#acceptAnswer(sent, head)
   }
 
   // An answer of the endpoint's own that the caller is to have.
-  #receive (sent: Sent, head: AnswerHead): void {
+  #acceptAnswer (sent: ActiveSend, head: AnswerHead): void {
     const isStream = this.order.route.kind === 'events' && head.status === 200
     // What has begun can only go on as a stream.
     if (this.#phase === 'relaying' && !isStream) return this.cut()
-    if (isStream) sent.cutter = new EventCutter()
+    if (isStream) sent.splitter = new EventSplitter()
     else this.#noteFirst(sent)
   }
 
-  #take (sent: Sent, chunk: Buffer): boolean {
+  #receiveChunk (sent: ActiveSend, chunk: Buffer): boolean {
     sent.placed.heardAt = this.#host.now()
-    if (sent.cutter !== null) return this.#relay(sent, sent.cutter, chunk)
+    if (sent.splitter !== null) return this.#relayEvents(sent, sent.splitter, chunk)
     sent.chunks.push(chunk)
     sent.size += chunk.length
-    if (sent.size > largestAnswer) this.#moveOn(sent, 'broken', 'the answer is too large')
+    if (sent.size > maxAnswerBytes) this.#failOver(sent, 'broken', 'the answer is too large')
     return true
   }
 
   // Events are passed on whole and at once; the head goes with the first.
-  #relay (sent: Sent, cutter: EventCutter, chunk: Buffer): boolean {
+  #relayEvents (sent: ActiveSend, splitter: EventSplitter, chunk: Buffer): boolean {
     let events
     try {
-      events = cutter.push(chunk)
+      events = splitter.push(chunk)
     } catch (error) {
-      this.#moveOn(sent, 'broken', (error as Error).message)
+      this.#failOver(sent, 'broken', (error as Error).message)
       return true
     }
     if (events.length === 0) return true
     if (sent.placed.firstAt === null) this.#noteFirst(sent)
-    this.#openStream(sent)
+    this.#startStream(sent)
     return this.#writeEvents(events)
   }
 
-  #openStream (sent: Sent): void {
+  #startStream (sent: ActiveSend): void {
     if (this.#phase === 'relaying' || sent.head === null) return
     this.#phase = 'relaying'
     this.#response.writeHead(sent.head.status, passHeaders(sent.head, null))
   }
 
-  #writeEvents (events: readonly NumberedEvent[]): boolean {
+  #writeEvents (events: readonly StreamEvent[]): boolean {
     const now = this.#host.now()
     const pauseMs = this.#events.add(events, now)
-    if (pauseMs !== null && events.length === 1 && this.#sent !== null) this.#host.fleet.noteGap(this.#sent.view, pauseMs, now)
+    if (pauseMs !== null && events.length === 1 && this.#activeSend !== null) this.#host.fleet.noteGap(this.#activeSend.view, pauseMs, now)
     return this.#response.write(events.length === 1 ? events[0].bytes : Buffer.concat(events.map(event => event.bytes)))
   }
 
-  #noteFirst (sent: Sent): void {
+  #noteFirst (sent: ActiveSend): void {
     const now = this.#host.now()
-    this.#firstAt ??= now
+    this.#firstOutputAt ??= now
     sent.view.noteFirst(sent.placed, now)
     // A stream begins with its first event; a plain call about when it was sent.
-    this.#noteRun(sent.cutter === null ? sent.attempt.sentAt : now)
+    this.#reportRun(sent.splitter === null ? sent.attempt.sentAt : now)
     this.#host.noteLoad()
   }
 
   // One request counts once, wherever it goes on.
-  #noteRun (at: number): void {
-    if (this.#hasRun) return
-    this.#hasRun = true
+  #reportRun (at: number): void {
+    if (this.#isRunReported) return
+    this.#isRunReported = true
     this.#host.noteRun(this.order, at)
   }
 
-  #finish (sent: Sent): void {
-    if (sent.cutter !== null) return this.#finishStream(sent, sent.cutter)
+  #handleCallEnd (sent: ActiveSend): void {
+    if (sent.splitter !== null) return this.#handleStreamEnd(sent, sent.splitter)
     const { head } = sent
     if (head === null) return
-    this.#release(sent, 'done')
+    this.#endSend(sent, 'done')
     this.#noteSendEnd(sent, 'answered')
-    const next = this.#course.decide({ type: 'answered', status: head.status })
-    if (next.type !== 'pass') return this.#follow(next)
+    const next = this.#retryPolicy.decide({ type: 'answered', status: head.status })
+    if (next.type !== 'pass') return this.#execute(next)
     const body = Buffer.concat(sent.chunks)
     this.#response.writeHead(head.status, passHeaders(head, body.length))
     this.#response.end(body)
-    this.#end(head.status < 400 ? 'ok' : 'endpoint-status', head.status)
+    this.#endExchange(head.status < 400 ? 'ok' : 'endpoint-status', head.status)
   }
 
-  #finishStream (sent: Sent, cutter: EventCutter): void {
-    if (cutter.isInside) return this.#moveOn(sent, 'broken', 'the stream ended inside an event')
-    this.#openStream(sent)
-    this.#release(sent, 'done')
+  #handleStreamEnd (sent: ActiveSend, splitter: EventSplitter): void {
+    if (splitter.isMidEvent) return this.#failOver(sent, 'broken', 'the stream ended inside an event')
+    this.#startStream(sent)
+    this.#endSend(sent, 'done')
     this.#noteSendEnd(sent, 'answered')
     this.#response.end()
-    this.#end('ok', 200)
+    this.#endExchange('ok', 200)
   }
 
   // Failures.
 
-  #noteNotRun (sent: Sent, head: AnswerHead): void {
-    const { isOtherEndpoint } = head.words
+  #handleNotRun (sent: ActiveSend, head: AnswerHead): void {
+    const { isOtherEndpoint } = head.headers
     if (isOtherEndpoint) sent.view.trust.noteUnreachable(this.#host.now())
     else sent.view.trust.noteGood()
-    this.#dropSent(sent, `not-run ${head.status}`)
+    this.#cancelSend(sent, `not-run ${head.status}`)
     const at = this.#host.now()
     const openMs = Math.max(0, this.#host.fleet.findOpening(this.order.work, [], at) - at)
-    this.#follow(this.#course.decide({ type: 'not-run', isOther: isOtherEndpoint, openMs: Number.isFinite(openMs) ? openMs : 0 }))
+    this.#execute(this.#retryPolicy.decide({ type: 'not-run', isOther: isOtherEndpoint, openMs: Number.isFinite(openMs) ? openMs : 0 }))
   }
 
-  #noteFailed (sent: Sent, head: AnswerHead): void {
+  #handleFailure (sent: ActiveSend, head: AnswerHead): void {
     sent.view.trust.noteFailure()
-    this.#noteRun(sent.attempt.sentAt)
+    this.#reportRun(sent.attempt.sentAt)
     this.#noteSendEnd(sent, 'answered')
-    const next = this.#course.decide({ type: 'failed' })
-    if (next.type === 'pass') return this.#receive(sent, head)
-    this.#dropSent(sent, `failed ${head.status}`)
-    this.#follow(next)
+    const next = this.#retryPolicy.decide({ type: 'failed' })
+    if (next.type === 'pass') return this.#acceptAnswer(sent, head)
+    this.#cancelSend(sent, `failed ${head.status}`)
+    this.#execute(next)
   }
 
   // Leaves an endpoint, and goes to another where that is allowed.
-  #moveOn (sent: Sent, failure: CallFailure, reason: string): void {
-    if (this.#phase === 'ended' || this.#sent !== sent) return
+  #failOver (sent: ActiveSend, failure: CallFailure, reason: string): void {
+    if (this.#phase === 'ended' || this.#activeSend !== sent) return
     const at = this.#host.now()
     if (failure === 'unreachable') sent.view.trust.noteUnreachable(at)
     else sent.view.trust.noteBroken(at)
     if (failure !== 'unreachable') this.#noteSendEnd(sent, failure)
-    this.#dropSent(sent, `${failure} ${reason}`)
-    this.#follow(this.#course.decide({ type: 'broke', failure, reason }))
+    this.#cancelSend(sent, `${failure} ${reason}`)
+    this.#execute(this.#retryPolicy.decide({ type: 'broke', failure, reason }))
   }
 
-  #noteSendEnd (sent: Sent, end: SendEvidence): void {
+  #noteSendEnd (sent: ActiveSend, end: SendEvidence): void {
     this.#host.guard.noteSendEnd(this.order, sent.view, end, this.#host.now() - sent.attempt.sentAt)
   }
 
-  #giveUp (): void {
-    const wasWritten = this.#sent?.call.mayHaveRun ?? false
-    if (this.#sent !== null && wasWritten) this.#noteSendEnd(this.#sent, 'silent')
-    this.#dropCall('given up')
-    this.#follow(this.#course.decide({ type: 'given-up', wasWritten }))
+  #timeOut (): void {
+    const wasWritten = this.#activeSend?.call.mayHaveRun ?? false
+    if (this.#activeSend !== null && wasWritten) this.#noteSendEnd(this.#activeSend, 'silent')
+    this.#cancelActive('given up')
+    this.#execute(this.#retryPolicy.decide({ type: 'given-up', wasWritten }))
   }
 
-  #follow (next: NextStep): void {
+  #execute (next: NextStep): void {
     switch (next.type) {
       case 'pass': return
       case 'send': return this.#search.start()
@@ -276,42 +276,42 @@
   }
 
   // An answer that has not begun is looked for elsewhere where the endpoint's zone can't be heard any more.
-  #isStuck (sent: Sent, now: number): boolean {
-    if (!this.#course.mayLeave || sent.placed.firstAt !== null || !sent.call.mayHaveRun) return false
+  #isZoneCutOff (sent: ActiveSend, now: number): boolean {
+    if (!this.#retryPolicy.mayRetry || sent.placed.firstAt !== null || !sent.call.mayHaveRun) return false
     return this.#host.fleet.zones.isCut(sent.view.record.zone, now)
   }
 
-  #isSilent (sent: Sent, now: number): boolean {
-    if (!this.#course.mayLeave || sent.cutter === null || this.#phase !== 'relaying') return false
-    return now - sent.placed.heardAt > limitSilence(this.order.route)
+  #isStalled (sent: ActiveSend, now: number): boolean {
+    if (!this.#retryPolicy.mayRetry || sent.splitter === null || this.#phase !== 'relaying') return false
+    return now - sent.placed.heardAt > computeMaxSilenceMs(this.order.route)
   }
 
   // An answer that has begun can only break off.
   #refuse (refusal: Refusal): void {
     if (this.#phase === 'relaying') return this.cut()
     sendRefusal(this.#response, refusal, this.#host.dialect)
-    this.#end(refusal.kind, this.#response.statusCode)
+    this.#endExchange(refusal.kind, this.#response.statusCode)
   }
 
   // Ends.
 
-  #dropCall (how: string): void {
-    if (this.#sent !== null) this.#dropSent(this.#sent, how)
+  #cancelActive (outcome: string): void {
+    if (this.#activeSend !== null) this.#cancelSend(this.#activeSend, outcome)
   }
 
-  #dropSent (sent: Sent, how: string): void {
+  #cancelSend (sent: ActiveSend, outcome: string): void {
     sent.call.cancel()
-    this.#release(sent, how)
+    this.#endSend(sent, outcome)
   }
 
-  #release (sent: Sent, how: string): void {
-    if (this.#sent === sent) this.#sent = null
-    sent.attempt.end = how
+  #endSend (sent: ActiveSend, outcome: string): void {
+    if (this.#activeSend === sent) this.#activeSend = null
+    sent.attempt.end = outcome
     sent.view.remove(sent.placed, this.#host.now())
     this.#host.noteLoad()
   }
 
-  #end (outcome: ExchangeSummary['outcome'], status: number): void {
+  #endExchange (outcome: ExchangeSummary['outcome'], status: number): void {
     if (this.#phase === 'ended') return
     this.#search.stop()
     this.#phase = 'ended'
@@ -322,10 +322,10 @@
       status,
       admission: this.#admission,
       attempts: this.#attempts,
-      firstMs: this.#firstAt === null ? null : this.#firstAt - order.arrivedAt,
+      firstMs: this.#firstOutputAt === null ? null : this.#firstOutputAt - order.arrivedAt,
       totalMs: this.#host.now() - order.arrivedAt,
       events: this.#events.count,
-      longestPauseMs: this.#events.longestPauseMs,
+      maxPauseMs: this.#events.maxPauseMs,
       denied: this.#search.denied,
       closedMs: this.#search.closedMs
     })
--- a/src/gateway/gateway-box.ts
+++ b/src/gateway/gateway-box.ts
@@ -11,91 +11,91 @@
 import type { BoxId, CrashNews, EndpointRecord, ZoneName } from '../core/index.js'
 import type { CallerWords } from '../protocol/index.js'
 import type { Refusal } from './answers.js'
-import { CallerDoor } from './caller-door.js'
+import { CallerServer } from './caller-server.js'
 import { CrashGuard } from './crash-guard.js'
 import { EndpointAgent } from './endpoint-agent.js'
 import { EndpointProber } from './endpoint-prober.js'
 import { Exchange } from './exchange.js'
 import type { ExchangeHost } from './exchange-host.js'
-import { tellEnd } from './exchange-report.js'
+import { reportExchange } from './exchange-report.js'
 import type { ExchangeSummary } from './exchange-summary.js'
 import type { GatewaySurroundings } from './gateway-surroundings.js'
-import { sweepMs, endpointsMs, lagMs, beliefsMs, gatewayCountMs, quietMs, endMs } from './gateway-timing.js'
+import { sweepIntervalMs, readyWithoutEndpointsMs, balancerLagMs, beliefsIntervalMs, gatewayCountTtlMs, idleMs, cutReserveMs } from './gateway-timing.js'
 import { LimitDesk } from './limit-desk.js'
 import { LoadReporter } from './load-reporter.js'
 import type { Order } from './order.js'
-import { ReadyDoor } from './ready-door.js'
+import { ReadinessServer } from './readiness-server.js'
 import { RegistryFollower } from './registry-follower.js'
-import { RetryAllowance } from './retry-allowance.js'
-import { UsageTeller } from './usage-teller.js'
-import { WaitingLine } from './waiting-line.js'
+import { RetryBudgets } from './retry-budgets.js'
+import { UsageReporter } from './usage-reporter.js'
+import { WaitQueue } from './wait-queue.js'
 
 /** Rising time of this process, ms. */
 function now (): number { return performance.now() }
 
 export class GatewayBox {
   #settings: GatewaySettings
-  #around: GatewaySurroundings
+  #dependencies: GatewaySurroundings
   #fleet: Fleet
   #directory = new EndpointDirectory()
   #table: RouteTable | null = null
-  #tableAt = 0
-  #noteRouted: () => void = () => {}
-  #routed = new Promise<void>(resolve => { this.#noteRouted = resolve })
-  #retries: RetryAllowance
-  #gatewayCount = new RecentMost(gatewayCountMs)
+  #tableSetAt = 0
+  #resolveRouted: () => void = () => {}
+  #routed = new Promise<void>(resolve => { this.#resolveRouted = resolve })
+  #retryBudgets: RetryBudgets
+  #gatewayCount = new RecentMost(gatewayCountTtlMs)
   #agent = new EndpointAgent()
   #exchanges = new Set<Exchange>()
-  #door: CallerDoor
-  #ready: ReadyDoor
-  #loads: LoadReporter
+  #callerServer: CallerServer
+  #readinessServer: ReadinessServer
+  #loadReporter: LoadReporter
   #follower: RegistryFollower
   #exchangeHost: ExchangeHost<Exchange>
-  #line: WaitingLine
+  #waitQueue: WaitQueue
   #prober: EndpointProber
   #guard: CrashGuard
   #limits: LimitDesk
   /** Null where usage is not asked for. */
-  #usage: UsageTeller | null
-  #leaving = false
-  #leavesAt: number | null = null
-  #busyAt = 0
-  #requests = 0
-  #timer: NodeJS.Timeout | null = null
-  #teller: NodeJS.Timeout | null = null
+  #usageReporter: UsageReporter | null
+  #isLeaving = false
+  #drainDeadline: number | null = null
+  #lastActiveAt = 0
+  #requestCount = 0
+  #sweepTimer: NodeJS.Timeout | null = null
+  #beliefsTimer: NodeJS.Timeout | null = null
   port = 0
   readyPort = 0
 
-  constructor (settings: GatewaySettings, around: GatewaySurroundings) {
+  constructor (settings: GatewaySettings, dependencies: GatewaySurroundings) {
     this.#settings = settings
-    this.#around = around
-    const { dialect, log } = around
+    this.#dependencies = dependencies
+    const { dialect, log } = dependencies
     const notices = new NoticeBook()
     this.#fleet = new Fleet(brandId<ZoneName>(settings.zone), ({ record }) => this.#agent.isConnected(record.host, record.port), id => notices.find(id))
-    this.#retries = new RetryAllowance(settings.retries)
-    this.#loads = this.#createReporter()
+    this.#retryBudgets = new RetryBudgets(settings.retries)
+    this.#loadReporter = this.#createLoadReporter()
     this.#follower = this.#createFollower()
-    this.#line = new WaitingLine({
+    this.#waitQueue = new WaitQueue({
       now,
       draw: Math.random,
-      countHolders: (service, priority) => this.#fleet.countHolders(service, priority),
-      countApart: service => this.#fleet.countApart(service)
+      countWaitingBoxes: (service, priority) => this.#fleet.countHolders(service, priority),
+      countReservedEngines: service => this.#fleet.countApart(service)
     })
     this.#prober = new EndpointProber(log, now)
-    this.#guard = new CrashGuard({ log, metrics: around.metrics, fleet: this.#fleet, prober: this.#prober, now, tell: news => this.#follower.tell({ type: 'crashes', news }) })
-    this.#limits = this.#createLimitDesk(notices)
+    this.#guard = new CrashGuard({ log, metrics: dependencies.metrics, fleet: this.#fleet, prober: this.#prober, now, broadcast: news => this.#follower.broadcast({ type: 'crashes', news }) })
+    this.#limits = this.#createLimits(notices)
     const windowMs = settings.usageWindowSeconds * 1000
-    this.#usage = windowMs === 0 ? null : new UsageTeller({ windowMs, now, findLink: () => this.#follower.findNear() })
+    this.#usageReporter = windowMs === 0 ? null : new UsageReporter({ windowMs, now, findLink: () => this.#follower.findPreferredLink() })
     this.#exchangeHost = this.#createExchangeHost()
-    this.#door = this.#createDoor()
-    this.#ready = new ReadyDoor(dialect.readyPath, () => this.isReady)
+    this.#callerServer = this.#createCallerServer()
+    this.#readinessServer = new ReadinessServer(dialect.readyPath, () => this.isReady)
   }
 
   get isReady (): boolean {
-    if (this.#table === null || this.#leaving) return false
+    if (this.#table === null || this.#isLeaving) return false
     const { services } = this.#table.document
     const isServing = this.#directory.records.some(({ stage, service }) => stage === 'ready' && services.some(({ name }) => name === service))
-    return isServing || now() - this.#tableAt > endpointsMs
+    return isServing || now() - this.#tableSetAt > readyWithoutEndpointsMs
   }
 
   get inFlight (): number { return this.#exchanges.size }
@@ -108,14 +108,14 @@
   /** Begins to serve; callers are refused until there are routes. */
   async start (): Promise<void> {
     const { listen, ready, host, seeds } = this.#settings
-    this.port = await this.#door.listen(parseAddress(listen))
-    this.readyPort = await this.#ready.listen(parseAddress(ready))
-    await this.#loads.open(host)
+    this.port = await this.#callerServer.listen(parseAddress(listen))
+    this.readyPort = await this.#readinessServer.listen(parseAddress(ready))
+    await this.#loadReporter.open(host)
     this.#follower.start(seeds)
-    this.#timer = setInterval(() => this.#sweep(), sweepMs)
-    this.#teller = setInterval(() => this.#tellBeliefs(), beliefsMs)
-    this.#usage?.start()
-    this.#around.log.info('gateway-started', { listen, seeds: seeds.join(',') })
+    this.#sweepTimer = setInterval(() => this.#sweep(), sweepIntervalMs)
+    this.#beliefsTimer = setInterval(() => this.#logBeliefs(), beliefsIntervalMs)
+    this.#usageReporter?.start()
+    this.#dependencies.log.info('gateway-started', { listen, seeds: seeds.join(',') })
   }
 
   /** Takes other seeds. */
@@ -123,63 +123,63 @@
 
   /** Stops without cutting a request: callers that still come are served until it is quiet. Returns what had to be cut. */
   async stop (): Promise<number> {
-    this.#leaving = true
+    this.#isLeaving = true
     const startedAt = now()
-    const until = startedAt + this.#settings.drainSeconds * 1000 - endMs
-    this.#leavesAt = until
-    this.#around.log.info('gateway-leaving', { inFlight: this.inFlight })
-    while (now() < until && !this.#isQuiet(startedAt)) await new Promise(resolve => setTimeout(resolve, sweepMs))
+    const until = startedAt + this.#settings.drainSeconds * 1000 - cutReserveMs
+    this.#drainDeadline = until
+    this.#dependencies.log.info('gateway-leaving', { inFlight: this.inFlight })
+    while (now() < until && !this.#isIdle(startedAt)) await new Promise(resolve => setTimeout(resolve, sweepIntervalMs))
     const cut = this.inFlight
     for (const exchange of [...this.#exchanges]) exchange.cut()
-    this.#usage?.end()
+    this.#usageReporter?.flush()
     await new Promise(resolve => setImmediate(resolve))
     this.kill()
-    this.#around.log.info('gateway-stopped', { cut, ms: Math.round(now() - startedAt) })
+    this.#dependencies.log.info('gateway-stopped', { cut, ms: Math.round(now() - startedAt) })
     return cut
   }
 
   /** Ends at once, as a crash does. */
   kill (): void {
-    if (this.#timer !== null) clearInterval(this.#timer)
-    if (this.#teller !== null) clearInterval(this.#teller)
-    this.#usage?.close()
-    this.#line.close()
-    this.#door.close()
-    this.#ready.close()
-    this.#loads.close()
+    if (this.#sweepTimer !== null) clearInterval(this.#sweepTimer)
+    if (this.#beliefsTimer !== null) clearInterval(this.#beliefsTimer)
+    this.#usageReporter?.close()
+    this.#waitQueue.close()
+    this.#callerServer.close()
+    this.#readinessServer.close()
+    this.#loadReporter.close()
     this.#follower.close()
     this.#agent.destroy()
   }
 
-  #isQuiet (startedAt: number): boolean {
+  #isIdle (startedAt: number): boolean {
     const at = now()
-    return at - startedAt > lagMs && this.inFlight === 0 && at - this.#busyAt > quietMs
+    return at - startedAt > balancerLagMs && this.inFlight === 0 && at - this.#lastActiveAt > idleMs
   }
 
-  #createReporter (): LoadReporter {
+  #createLoadReporter (): LoadReporter {
     const { id, zone, loadPort } = this.#settings
     return new LoadReporter({
       id: brandId<BoxId>(id),
       zone: brandId<ZoneName>(zone),
-      log: this.#around.log,
+      log: this.#dependencies.log,
       hubPort: loadPort,
       now,
-      listHubs: () => this.#follower.listNear(),
+      listHubs: () => this.#follower.listReachable(),
       composeLoad: () => this.#fleet.composeLoad(now()),
       listNotices: () => this.#limits.listUntold(),
       takeNotices: (notices, hub) => this.#limits.mergeNotices(notices, hub),
-      noteHub: () => this.#limits.noteHub(),
+      noteHub: () => this.#limits.noteHubChange(),
       takeOthers: (others, intervalMs) => {
         this.#fleet.noteOthers(others, now())
-        this.#line.setStaleness(intervalMs)
-        this.#line.look()
+        this.#waitQueue.setStaleness(intervalMs)
+        this.#waitQueue.retry()
       }
     })
   }
 
   #createFollower (): RegistryFollower {
     const { id, zone, linkPort } = this.#settings
-    const { log, secret } = this.#around
+    const { log, secret } = this.#dependencies
     return new RegistryFollower({
       log,
       secret,
@@ -188,9 +188,9 @@
       zone: brandId<ZoneName>(zone),
       now,
       draw: Math.random,
-      takeDocument: document => this.#adopt(document),
+      takeDocument: document => this.#applyDocument(document),
       takePrompts: prompts => this.#fleet.notePrompts(prompts),
-      takeRecords: records => this.#takeRecords(records),
+      takeRecords: records => this.#applyRecords(records),
       takeCrashes: news => this.#guard.merge(news),
       listCrashes: () => this.listCrashes(),
       takeGatewayCount: count => {
@@ -203,24 +203,24 @@
     })
   }
 
-  #createLimitDesk (notices: NoticeBook): LimitDesk {
-    const { log, metrics } = this.#around
+  #createLimits (notices: NoticeBook): LimitDesk {
+    const { log, metrics } = this.#dependencies
     return new LimitDesk({
       log,
       metrics,
       fleet: this.#fleet,
       now,
       countBoxes: () => this.#gatewayCount.find(now(), 0),
-      countHeld: (service, priority) => this.#line.count(service, priority),
-      noteNews: () => this.#loads.noteChange(),
-      askIssuer: message => this.#follower.askIssuer(message),
+      countHeld: (service, priority) => this.#waitQueue.count(service, priority),
+      noteNews: () => this.#loadReporter.noteChange(),
+      askIssuer: message => this.#follower.sendToIssuer(message),
       setIssuer: registry => this.#follower.setIssuer(registry)
     }, notices)
   }
 
   #createExchangeHost (): ExchangeHost<Exchange> {
     return {
-      dialect: this.#around.dialect,
+      dialect: this.#dependencies.dialect,
       fleet: this.#fleet,
       agent: this.#agent,
       guard: this.#guard,
@@ -228,72 +228,72 @@
       now,
       draw: Math.random,
       takeRetry: order => this.#takeRetry(order),
-      noteLoad: () => this.#loads.noteChange(),
-      hold: exchange => this.#hold(exchange),
-      unhold: exchange => this.#unhold(exchange),
-      noteRun: ({ workspace }, at) => { if (workspace !== null) this.#usage?.note(workspace.name, at) },
+      noteLoad: () => this.#loadReporter.noteChange(),
+      hold: exchange => this.#enqueue(exchange),
+      unhold: exchange => this.#dequeue(exchange),
+      noteRun: ({ workspace }, at) => { if (workspace !== null) this.#usageReporter?.note(workspace.name, at) },
       noteEnd: (exchange, summary) => this.#noteEnd(exchange, summary)
     }
   }
 
-  #createDoor (): CallerDoor {
+  #createCallerServer (): CallerServer {
     const box = this
-    return new CallerDoor({
-      dialect: this.#around.dialect,
+    return new CallerServer({
+      dialect: this.#dependencies.dialect,
       get table () { return box.#table },
       routed: this.#routed,
-      get isLeaving () { return box.#leaving },
-      get leavesInMs () { return box.#leavesAt === null ? null : box.#leavesAt - now() },
+      get isLeaving () { return box.#isLeaving },
+      get leavesInMs () { return box.#drainDeadline === null ? null : box.#drainDeadline - now() },
       now,
       draw: Math.random,
       makeRequestId: () => this.#makeRequestId(),
-      begin: (order, response) => this.#begin(order, response),
+      begin: (order, response) => this.#startExchange(order, response),
       noteRefused: (words, refusal) => this.#noteRefused(words, refusal)
     }, this.#settings.maxConnections)
   }
 
   #makeRequestId (): string {
-    this.#requests += 1
-    return `${this.#settings.id}-${Date.now().toString(36)}-${this.#requests}`
+    this.#requestCount += 1
+    return `${this.#settings.id}-${Date.now().toString(36)}-${this.#requestCount}`
   }
 
   // Documents and endpoints.
 
-  #adopt ({ version, text }: VersionedText): void {
+  #applyDocument ({ version, text }: VersionedText): void {
     const startedAt = now()
     let table
     try {
-      table = new RouteTable(this.#around.dialect.decodeDocument(text))
+      table = new RouteTable(this.#dependencies.dialect.decodeDocument(text))
     } catch (error) {
-      return this.#around.log.error('document-not-read', { version, error: (error as Error).message })
+      return this.#dependencies.log.error('document-not-read', { version, error: (error as Error).message })
     }
     this.#table = table
-    this.#noteRouted()
-    this.#tableAt = now()
+    this.#resolveRouted()
+    this.#tableSetAt = now()
     const { services, routes, limits } = table.document
     this.#fleet.configure(services)
-    this.#door.setLimits(limits)
-    for (const { name } of services) this.#retries.open(name)
+    this.#callerServer.setLimits(limits)
+    for (const { name } of services) this.#retryBudgets.addService(name)
     const readMs = Math.round(now() - startedAt)
-    this.#around.log.info('routes-in-force', { version, routes: routes.length, services: services.length, readMs })
-    this.#around.metrics.gauge('document-version', version)
+    this.#dependencies.log.info('routes-in-force', { version, routes: routes.length, services: services.length, readMs })
+    this.#dependencies.metrics.gauge('document-version', version)
   }
 
-  #takeRecords (records: readonly EndpointRecord[]): void {
+  #applyRecords (records: readonly EndpointRecord[]): void {
     const changed = records.flatMap(record => this.#directory.merge(record))
     if (changed.length === 0) return
     this.#fleet.applyRecords(changed)
     this.#limits.noteRecords(changed)
     for (const record of changed) this.#guard.noteRecord(record)
-    for (const { id, service, stage, sequence, zone } of changed) this.#around.log.info('endpoint', { endpoint: id, service, stage, sequence, zone })
+    for (const { id, service, stage, sequence, zone } of changed) this.#dependencies.log.info('endpoint', { endpoint: id, service, stage, sequence, zone })
   }
 
   // Requests.
 
-  #begin (order: Order, response: ServerResponse): Exchange {
+  #startExchange (order: Order, response: ServerResponse): Exchange {
     const at = now()
-    this.#busyAt = at
-    this.#retries.noteRequest(order.service, at)
+    this.#lastActiveAt = at
+    this.#retryBudgets.noteRequest(order.service, at)
     this.#fleet.noteArrival(order.work, at)
     this.#limits.noteArrival(order.work, at)
     const exchange = new Exchange(this.#exchangeHost, order, response)
@@ -302,45 +302,45 @@
     return exchange
   }
 
-  #hold (exchange: Exchange): void {
-    this.#line.add(exchange)
+  #enqueue (exchange: Exchange): void {
+    this.#waitQueue.add(exchange)
     this.#fleet.noteHeld(exchange.order.work, true)
-    this.#loads.noteChange()
+    this.#loadReporter.noteChange()
   }
 
-  #unhold (exchange: Exchange): void {
-    this.#line.remove(exchange)
+  #dequeue (exchange: Exchange): void {
+    this.#waitQueue.remove(exchange)
     this.#fleet.noteHeld(exchange.order.work, false)
-    this.#loads.noteChange()
+    this.#loadReporter.noteChange()
   }
 
   #takeRetry (order: Order): boolean {
     if (!this.#guard.maySendAgain(order)) return false
     const at = now()
-    return this.#retries.take(order.service, at, this.#gatewayCount.find(at, 1))
+    return this.#retryBudgets.take(order.service, at, this.#gatewayCount.find(at, 1))
   }
 
   #sweep (): void {
     const at = now()
     for (const exchange of this.#exchanges) exchange.check(at)
     this.#limits.check(at)
-    this.#prober.look(this.#fleet.views)
+    this.#prober.probeDue(this.#fleet.views)
   }
 
-  #tellBeliefs (): void {
-    for (const { service, text } of this.#fleet.describe(now())) this.#around.log.info('beliefs', { service, text })
+  #logBeliefs (): void {
+    for (const { service, text } of this.#fleet.describe(now())) this.#dependencies.log.info('beliefs', { service, text })
   }
 
-  #noteRefused (words: CallerWords | null, refusal: Refusal): void {
-    this.#around.metrics.count('refused', { kind: refusal.kind })
-    this.#around.log.warn('refused', { request: words?.requestId, kind: refusal.kind, version: this.#table?.version ?? 0, text: refusal.text })
+  #noteRefused (headers: CallerWords | null, refusal: Refusal): void {
+    this.#dependencies.metrics.count('refused', { kind: refusal.kind })
+    this.#dependencies.log.warn('refused', { request: headers?.requestId, kind: refusal.kind, version: this.#table?.version ?? 0, text: refusal.text })
   }
 
   #noteEnd (exchange: Exchange, summary: ExchangeSummary): void {
-    this.#busyAt = now()
+    this.#lastActiveAt = now()
     this.#exchanges.delete(exchange)
     this.#guard.forget(exchange.order)
-    this.#door.release(exchange)
-    tellEnd(summary, this.#around.log, this.#around.metrics)
+    this.#callerServer.release(exchange)
+    reportExchange(summary, this.#dependencies.log, this.#dependencies.metrics)
   }
 }
--- a/src/gateway/limit-desk.ts
+++ b/src/gateway/limit-desk.ts
@@ -6,8 +6,8 @@
 import type { BoxId, EndpointNotice, EndpointRecord, EndpointView, Fleet, ServiceName, ServiceOpening, Work } from '../core/index.js'
 import type { EndpointNotices, RouteMessage } from '../protocol/index.js'
 import type { EventLog, Metrics } from '../runtime/index.js'
-import { NoticeDesk } from './notice-desk.js'
-import { PermitDesk } from './permit-desk.js'
+import { NoticeTracker } from './notice-tracker.js'
+import { PermitClient } from './permit-client.js'
 import type { PermitAnswer } from './registry-follower.js'
 
 /** What the desk needs of its box. */
@@ -35,16 +35,16 @@
 export class LimitDesk {
   #host: LimitDeskHost
   #book: NoticeBook
-  #notices: NoticeDesk
-  #permits: PermitDesk
+  #noticeTracker: NoticeTracker
+  #permitClient: PermitClient
   #returns = new ReturnPlanner()
 
   /** `book`: what endpoints have said, shared with the fleet. */
   constructor (host: LimitDeskHost, book: NoticeBook) {
     this.#host = host
     this.#book = book
-    this.#notices = new NoticeDesk(host, book)
-    this.#permits = new PermitDesk({
+    this.#noticeTracker = new NoticeTracker(host, book)
+    this.#permitClient = new PermitClient({
       log: host.log,
       now: () => host.now(),
       countBoxes: () => host.countBoxes(),
@@ -56,30 +56,30 @@
   }
 
   /** Takes what an endpoint says of itself on an answer; `hasRun`: the answer is that of a run. */
-  noteAnswer (view: EndpointView, notices: EndpointNotices, hasRun: boolean): void { this.#notices.noteAnswer(view, notices, hasRun) }
+  noteAnswer (view: EndpointView, notices: EndpointNotices, hasRun: boolean): void { this.#noticeTracker.noteAnswer(view, notices, hasRun) }
 
   /** Takes what the hub tells. */
-  mergeNotices (notices: readonly EndpointNotice[], hub: BoxId): void { this.#notices.merge(notices, hub) }
+  mergeNotices (notices: readonly EndpointNotice[], hub: BoxId): void { this.#noticeTracker.merge(notices, hub) }
 
   /** The notices that the hub may not know. */
-  listUntold (): readonly EndpointNotice[] { return this.#notices.listUntold() }
+  listUntold (): readonly EndpointNotice[] { return this.#noticeTracker.listUntold() }
 
   /** Another hub is told from now on. */
-  noteHub (): void { this.#notices.noteHub() }
+  noteHubChange (): void { this.#noticeTracker.noteHubChange() }
 
-  noteRecords (records: readonly EndpointRecord[]): void { this.#notices.noteRecords(records) }
+  noteRecords (records: readonly EndpointRecord[]): void { this.#noticeTracker.noteRecords(records) }
 
   /** Takes word that a request arrived. */
   noteArrival ({ service, priority }: Work, at: number): void { this.#returns.noteArrival(service, priority, at) }
 
   /** Asks for a permit for one send; `take` hears once whether there is one. */
-  askPermit (view: EndpointView, { priority }: Work, take: (isGiven: boolean) => void): void { this.#permits.ask(view, priority, take) }
+  askPermit (view: EndpointView, { priority }: Work, respond: (isGiven: boolean) => void): void { this.#permitClient.request(view, priority, respond) }
 
   /** Takes a registry's answer about permits. */
-  takePermits (answer: PermitAnswer): void { this.#permits.receive(answer) }
+  takePermits (answer: PermitAnswer): void { this.#permitClient.receive(answer) }
 
   /** Looks at the time: calls that were not answered. */
-  check (now: number): void { this.#permits.check(now) }
+  check (now: number): void { this.#permitClient.check(now) }
 
   /** Rules on a request that no endpoint takes at `at`: it waits where an endpoint is expected to take it by `until`. */
   ruleClosed ({ service, priority }: Work, openAt: number, until: number, at: number): ClosedRuling {
--- a/src/gateway/load-reporter.ts
+++ b/src/gateway/load-reporter.ts
@@ -49,38 +49,38 @@
   | { readonly type: 'tick' }
 
 /** A change is told after this, ms, so that changes of one moment share a datagram; later where the hub tells more seldom. */
-const gatherMs = 8
+const coalesceMs = 8
 /** Part of the hub's interval after which a change is told. */
-const gatherShare = 0.4
+const coalesceShare = 0.4
 /** Without a change a word goes out this often, ms. */
-const beatMs = 250
+const heartbeatMs = 250
 /** A hub that was silent for so long is left for another, ms: two of its beats and a little. */
-const hubSilentMs = 450
+const hubTimeoutMs = 450
 /** It is passed over for so long, ms: its own restart takes about a second. */
-const passOverMs = 1500
+const avoidHubMs = 1500
 /** After so long without a word of any hub the others' work no longer counts, ms. */
-const forgetMs = 1500
+const othersTtlMs = 1500
 /** Own words that are kept, to be taken off totals that hold them: those of a second at the fastest pace. */
-const mostKept = 128
+const maxSentLoads = 128
 /** Datagrams that wait to be read; more are dropped, as the network may. */
-const mostWaiting = 2000
+const maxQueuedDatagrams = 2000
 
 export class LoadReporter {
   #host: LoadReporterHost
   #datagrams: DatagramPort
-  #inbox = new Inbox<Input>(mostWaiting)
+  #inbox = new Inbox<Input>(maxQueuedDatagrams)
   #hub: Hub | null = null
-  #passedOver = new Map<string, number>()
+  #avoidedUntil = new Map<string, number>()
   #start = randomInt(startLimit)
   #number = 0
-  #kept = new Map<number, BoxLoad>()
+  #sentLoads = new Map<number, BoxLoad>()
   #intervalMs = 0
   /** What the others have, as last told; null once nothing of it counts. */
   #others: LoadTotals | null = null
-  #saidAt = -Infinity
+  #sentAt = -Infinity
   #heardAt = -Infinity
   #isScheduled = false
-  #closed = false
+  #isClosed = false
   #timer: NodeJS.Timeout | null = null
 
   constructor (host: LoadReporterHost) {
@@ -89,19 +89,19 @@
       receive: (bytes, from) => this.#inbox.offer({ type: 'datagram', bytes, host: from }),
       noteFault: error => host.log.warn('load-port-fault', { error: error.message })
     })
-    this.#inbox.run(input => this.#take(input))
+    this.#inbox.run(input => this.#handleInput(input))
   }
 
   /** Begins to tell; hubs answer to whatever port the words come from. */
   async open (host: string): Promise<void> {
-    this.#timer = setInterval(() => this.#inbox.post({ type: 'tick' }), beatMs / 2)
+    this.#timer = setInterval(() => this.#inbox.post({ type: 'tick' }), heartbeatMs / 2)
     await this.#datagrams.open(host, 0)
   }
 
   /** Ends the reporter; a second call does nothing. */
   close (): void {
-    if (this.#closed) return
-    this.#closed = true
+    if (this.#isClosed) return
+    this.#isClosed = true
     if (this.#timer !== null) clearInterval(this.#timer)
     this.#inbox.close()
     this.#datagrams.close()
@@ -111,48 +111,48 @@
   noteChange (): void {
     if (this.#isScheduled) return
     this.#isScheduled = true
-    setTimeout(() => this.#send(), Math.max(gatherMs, this.#intervalMs * gatherShare))
+    setTimeout(() => this.#send(), Math.max(coalesceMs, this.#intervalMs * coalesceShare))
   }
 
-  #take (input: Input): void {
+  #handleInput (input: Input): void {
     switch (input.type) {
-      case 'datagram': return this.#receive(input.bytes, input.host)
+      case 'datagram': return this.#receiveTotals(input.bytes, input.host)
       case 'tick': return this.#tick()
     }
   }
 
-  #receive (bytes: Buffer, from: string): void {
+  #receiveTotals (bytes: Buffer, from: string): void {
     const hub = this.#hub
     if (hub === null || hub.host !== from) return
-    const word = decodeTotalsWord(bytes)
-    if (word === null || !isNewerWord(word, hub.newest)) return
+    const update = decodeTotalsWord(bytes)
+    if (update === null || !isNewerWord(update, hub.newest)) return
     const now = this.#host.now()
-    hub.newest = { start: word.start, number: word.number }
+    hub.newest = { start: update.start, number: update.number }
     hub.heardAt = now
     this.#heardAt = now
-    this.#intervalMs = word.intervalMs
-    if (word.notices.length > 0) this.#host.takeNotices(word.notices, brandId(hub.host))
-    const totals = hub.reader.take(word.news)
-    if (totals !== null) this.#passOthers(subtractOwn(totals, this.#kept.get(word.ownNumber) ?? null), word.intervalMs)
+    this.#intervalMs = update.intervalMs
+    if (update.notices.length > 0) this.#host.takeNotices(update.notices, brandId(hub.host))
+    const totals = hub.reader.take(update.news)
+    if (totals !== null) this.#setOthers(subtractOwn(totals, this.#sentLoads.get(update.ownNumber) ?? null), update.intervalMs)
   }
 
   #tick (): void {
     const now = this.#host.now()
     this.#updateHub(now)
-    this.#ageOthers(now - this.#heardAt)
-    if (now - this.#saidAt >= beatMs) this.#send()
+    this.#expireOthers(now - this.#heardAt)
+    if (now - this.#sentAt >= heartbeatMs) this.#send()
   }
 
   // Without a word of any hub, what waits by the others counts no more, then nothing of them.
-  #ageOthers (silentMs: number): void {
+  #expireOthers (silentMs: number): void {
     if (this.#others === null || silentMs <= staleMs) return
-    if (silentMs <= forgetMs) return this.#passOthers(dropWaiting(this.#others), this.#intervalMs)
+    if (silentMs <= othersTtlMs) return this.#setOthers(dropWaiting(this.#others), this.#intervalMs)
     this.#others = null
     this.#host.log.warn('hubs-silent', { hub: this.#hub?.host ?? '' })
     this.#host.takeOthers(noTotals, 0)
   }
 
-  #passOthers (others: LoadTotals, intervalMs: number): void {
+  #setOthers (others: LoadTotals, intervalMs: number): void {
     this.#others = others
     this.#host.takeOthers(others, intervalMs)
   }
@@ -160,11 +160,11 @@
   // Leaves a hub that is silent, and one of another zone where one of the own zone can be reached again.
   #updateHub (now: number): void {
     const hub = this.#hub
-    if (hub !== null && now - Math.max(hub.heardAt, hub.chosenAt) > hubSilentMs) this.#passedOver.set(hub.host, now + passOverMs)
+    if (hub !== null && now - Math.max(hub.heardAt, hub.chosenAt) > hubTimeoutMs) this.#avoidedUntil.set(hub.host, now + avoidHubMs)
     const best = this.#findHub(now)
     if (best === hub?.host || best === undefined) return
     this.#host.log.info('hub-chosen', { hub: best, before: hub?.host ?? '' })
-    if (hub !== null) this.#tell(hub.host, null)
+    if (hub !== null) this.#sendLoad(hub.host, null)
     this.#host.noteHub()
     this.#hub = { host: best, chosenAt: now, reader: new SumReader(), newest: undefined, heardAt: -Infinity }
     this.#send()
@@ -172,29 +172,29 @@
 
   // The host that all gateways of the zone find, as far as they reach it; undefined where no registry is reached.
   #findHub (now: number): string | undefined {
-    const reached = this.#host.listHubs().filter(({ host }) => (this.#passedOver.get(host) ?? 0) <= now)
-    const near = reached.filter(({ zone }) => zone === this.#host.zone)
-    return chooseByHash('hub', (near.length > 0 ? near : reached).map(({ host }) => host))
+    const reached = this.#host.listHubs().filter(({ host }) => (this.#avoidedUntil.get(host) ?? 0) <= now)
+    const local = reached.filter(({ zone }) => zone === this.#host.zone)
+    return chooseByHash('hub', (local.length > 0 ? local : reached).map(({ host }) => host))
   }
 
   #send (): void {
     this.#isScheduled = false
-    if (this.#closed || this.#hub === null) return
-    this.#saidAt = this.#host.now()
+    if (this.#isClosed || this.#hub === null) return
+    this.#sentAt = this.#host.now()
     const load = this.#host.composeLoad()
-    this.#tell(this.#hub.host, load)
-    this.#keep(load)
+    this.#sendLoad(this.#hub.host, load)
+    this.#rememberLoad(load)
   }
 
   // `load`: null where this box tells another hub from now on.
-  #tell (host: string, load: BoxLoad | null): void {
+  #sendLoad (host: string, load: BoxLoad | null): void {
     this.#number += 1
     const { id, zone, hubPort } = this.#host
     this.#datagrams.send(encodeLoadWord({ box: id, zone, start: this.#start, number: this.#number, load, notices: this.#host.listNotices() }), host, hubPort)
   }
 
-  #keep (load: BoxLoad): void {
-    this.#kept.set(this.#number, load)
-    this.#kept.delete(this.#number - mostKept)
+  #rememberLoad (load: BoxLoad): void {
+    this.#sentLoads.set(this.#number, load)
+    this.#sentLoads.delete(this.#number - maxSentLoads)
   }
 }
--- a/src/gateway/notice-desk.ts
+++ b/src/gateway/notice-tracker.ts
@@ -8,7 +8,7 @@
 import type { EventLog, Metrics } from '../runtime/index.js'
 
 /** What the desk needs of its box. */
-export interface NoticeDeskHost {
+export interface NoticeTrackerHost {
   readonly log: EventLog
   readonly metrics: Metrics
   readonly fleet: Fleet
@@ -18,17 +18,17 @@
 }
 
 /** Faulty headers of one endpoint are reported this often at most, ms. */
-const faultyEveryMs = 1000
+const faultyLogIntervalMs = 1000
 /** Endpoints whose faulty headers are remembered. */
-const mostFaulty = 1000
+const maxFaultyEndpoints = 1000
 
-export class NoticeDesk {
-  #host: NoticeDeskHost
+export class NoticeTracker {
+  #host: NoticeTrackerHost
   #book: NoticeBook
   #uplink: NoticeUplink
-  #faultyAt = new Map<EndpointId, number>()
+  #faultyLoggedAt = new Map<EndpointId, number>()
 
-  constructor (host: NoticeDeskHost, book: NoticeBook) {
+  constructor (host: NoticeTrackerHost, book: NoticeBook) {
     this.#host = host
     this.#book = book
     this.#uplink = new NoticeUplink(book)
@@ -44,7 +44,7 @@
       this.#uplink.note(notice)
       this.#host.noteNews()
     }
-    if (faulty.length > 0) this.#reportFaulty(id, service, faulty)
+    if (faulty.length > 0) this.#logFaulty(id, service, faulty)
   }
 
   /** Takes what the hub tells. */
@@ -62,7 +62,7 @@
   listUntold (): readonly EndpointNotice[] { return this.#uplink.list() }
 
   /** Another hub is told from now on. */
-  noteHub (): void { this.#uplink.reset() }
+  noteHubChange (): void { this.#uplink.reset() }
 
   #apply (notices: readonly EndpointNotice[], from: 'answer' | 'box'): void {
     const { fleet, log, metrics } = this.#host
@@ -87,11 +87,11 @@
     this.#host.log.info('endpoint-backoff', { endpoint: id, service, backoffMs: Math.round(backoffMs) })
   }
 
-  #reportFaulty (id: EndpointId, service: string, faulty: EndpointNotices['faulty']): void {
+  #logFaulty (id: EndpointId, service: string, faulty: EndpointNotices['faulty']): void {
     const at = this.#host.now()
-    if (at - (this.#faultyAt.get(id) ?? -Infinity) < faultyEveryMs) return
-    if (this.#faultyAt.size >= mostFaulty) this.#faultyAt.clear()
-    this.#faultyAt.set(id, at)
+    if (at - (this.#faultyLoggedAt.get(id) ?? -Infinity) < faultyLogIntervalMs) return
+    if (this.#faultyLoggedAt.size >= maxFaultyEndpoints) this.#faultyLoggedAt.clear()
+    this.#faultyLoggedAt.set(id, at)
     for (const { name, value } of faulty) this.#host.log.warn('endpoint-header-faulty', { endpoint: id, service, name, value })
   }
 }
--- a/src/gateway/passed-events.ts
+++ b/src/gateway/passed-events.ts
@@ -1,11 +1,11 @@
-import type { NumberedEvent } from './event-cutter.js'
+import type { StreamEvent } from './event-splitter.js'
 
 /** The events of a stream that the caller was given, from whichever endpoints they came. */
 export class PassedEvents {
   #lastId: string | null
   #count = 0
-  #at = 0
-  #longestPauseMs = 0
+  #lastAt = 0
+  #maxPauseMs = 0
 
   /** `lastId`: of the last event that the caller has from before. */
   constructor (lastId: string | null) {
@@ -14,13 +14,13 @@
 
   get lastId (): string | null { return this.#lastId }
   get count (): number { return this.#count }
-  get longestPauseMs (): number { return this.#longestPauseMs }
+  get maxPauseMs (): number { return this.#maxPauseMs }
 
   /** Notes events that go out together. Returns the pause before them, ms; null for the first ones. */
-  add (events: readonly NumberedEvent[], at: number): number | null {
-    const pauseMs = this.#count === 0 ? null : at - this.#at
-    this.#longestPauseMs = Math.max(this.#longestPauseMs, pauseMs ?? 0)
-    this.#at = at
+  add (events: readonly StreamEvent[], at: number): number | null {
+    const pauseMs = this.#count === 0 ? null : at - this.#lastAt
+    this.#maxPauseMs = Math.max(this.#maxPauseMs, pauseMs ?? 0)
+    this.#lastAt = at
     this.#count += events.length
     for (const { id } of events) this.#lastId = id ?? this.#lastId
     return pauseMs
--- a/src/gateway/ready-door.ts
+++ b/src/gateway/readiness-server.ts
@@ -4,7 +4,7 @@
 import { listen } from '../runtime/index.js'
 
 /** Tells a balancer whether this box may be given callers, on an address of its own. */
-export class ReadyDoor {
+export class ReadinessServer {
   #server: Server
 
   constructor (path: string, isReady: () => boolean) {
--- a/src/gateway/registry-follower.ts
+++ b/src/gateway/registry-follower.ts
@@ -57,10 +57,10 @@
   | { readonly type: 'tick' }
 
 /** Heartbeats of links, ms: two of them missing show a cut zone. */
-const pulse = { everyMs: 300, silentMs: 1500 }
-const dialing = { connectMs: 500, longestRetryMs: 500 }
+const heartbeat = { everyMs: 300, silentMs: 1500 }
+const dialOptions = { connectMs: 500, longestRetryMs: 500 }
 /** A registry that was silent for so long may be cut off, ms: two heartbeats and a little. */
-const nearMs = 700
+const aliveWindowMs = 700
 /** How often the follower looks at its links, ms. */
 const tickMs = 100
 /**
@@ -68,38 +68,38 @@
  * whole document of a few thousand routes, packed, takes a tenth of a second of
  * a gateway's link; a box that takes seconds over it is held up.
  */
-const patience: PullPatience = { firstMs: 1000, longestMs: 8000 }
+const pullTimeouts: PullPatience = { firstMs: 1000, longestMs: 8000 }
 /** At the start, documents are taken from a registry that isn't sure of them only after the others had so long to name a newer one, ms. */
 const settleMs = 250
 /** Without a document, the next registry is called after this: it takes a registry some tens of ms to name one, ms. */
-const nextCallMs = 200
+const nextDialMs = 200
 /** Prompts that engines hold are asked for again after this: the registry that was asked may know of none yet, or be gone, ms. */
-const promptsMs = 1500
+const promptsRetryMs = 1500
 /** They are asked for so often: there may be none. */
-const mostPromptTries = 4
+const maxPromptRequests = 4
 /** Links to registries at most: one for each of a system of today's size. */
-const mostLinks = 12
+const maxLinks = 12
 /** Messages that may wait; they are few, as registries send only changes. */
-const mostWaiting = 10_000
+const maxQueuedInputs = 10_000
 
 export class RegistryFollower {
   #host: FollowerHost
   #links: LinkPool<RouteMessage>
-  #inbox = new Inbox<Input>(mostWaiting)
+  #inbox = new Inbox<Input>(maxQueuedInputs)
   #hosts = new Set<string>()
   /** Those of them that are still to be called. */
-  #uncalled: string[] = []
-  #calledAt = -Infinity
+  #undialed: string[] = []
+  #lastDialAt = -Infinity
   #zones = new Map<Link<RouteMessage>, ZoneName>()
-  #pull = new DocumentPull<Link<RouteMessage>>(patience)
-  #held: VersionedText | null = null
+  #pull = new DocumentPull<Link<RouteMessage>>(pullTimeouts)
+  #document: VersionedText | null = null
   /** What came last was told against the document held, yet could not be made out: the whole is asked for. */
-  #wantsWhole = false
-  #askedAt = 0
-  #promptsAskedAt = -Infinity
-  #promptTries = 0
+  #needsFullDocument = false
+  #documentRequestedAt = 0
+  #promptsRequestedAt = -Infinity
+  #promptRequests = 0
   #issuer: string | null = null
-  #firstNamedAt: number | null = null
+  #firstAnnouncedAt: number | null = null
   /** A registry that was sure of it has named the newest document. */
   #knowsNewest = false
   #timer: NodeJS.Timeout | null = null
@@ -109,59 +109,59 @@
     this.#links = new LinkPool<RouteMessage>({
       id: host.id,
       secret: host.secret,
-      pulse,
+      pulse: heartbeat,
       clock: host.log.clock,
       receive: (link, message) => this.#inbox.post({ type: 'message', link, message }),
       noteOpen: link => this.#inbox.post({ type: 'open', link }),
       noteClosed: link => this.#inbox.post({ type: 'closed', link }),
       noteFault: (fault, peer) => host.log.warn('link-fault', { fault, peer })
-    }, dialing)
-    this.#inbox.run(input => this.#take(input))
+    }, dialOptions)
+    this.#inbox.run(input => this.#handleInput(input))
   }
 
-  get #version (): number { return this.#held?.version ?? 0 }
+  get #version (): number { return this.#document?.version ?? 0 }
 
   /** Registries in touch. */
   get linkCount (): number { return this.#links.dialed.length }
 
   /** Registries that were heard from just now. */
-  listNear (): ReachedRegistry[] {
-    const since = this.#host.now() - nearMs
+  listReachable (): ReachedRegistry[] {
+    const since = this.#host.now() - aliveWindowMs
     return this.#links.listHeard(since).map(({ host, link }) => ({ host, zone: this.#zones.get(link) ?? null }))
   }
 
   start (seeds: readonly string[]): void {
     this.setSeeds(seeds)
-    this.#call()
+    this.#dialNext()
     this.#timer = setInterval(() => this.#inbox.post({ type: 'tick' }), tickMs)
   }
 
   /** Takes other seeds; registries known before stay known. */
   setSeeds (seeds: readonly string[]): void {
-    for (const seed of seeds) this.#meet(parseAddress(seed).host)
+    for (const seed of seeds) this.#addRegistry(parseAddress(seed).host)
   }
 
   /** Tells every registry in touch. */
-  tell (message: RouteMessage): void {
+  broadcast (message: RouteMessage): void {
     for (const link of this.#links.dialed) link.send(message)
   }
 
   /** The link to a registry that is heard, of the own zone where there is one; the same until it is silent. Undefined where there is none. */
-  findNear (): Link<RouteMessage> | undefined {
-    const heard = this.#links.listHeard(this.#host.now() - nearMs)
-    const near = heard.filter(({ link }) => this.#zones.get(link) === this.#host.zone)
-    const hosts = near.length > 0 ? near : heard
-    const host = chooseByHash('usage', hosts.map(one => one.host))
-    return hosts.find(one => one.host === host)?.link
+  findPreferredLink (): Link<RouteMessage> | undefined {
+    const alive = this.#links.listHeard(this.#host.now() - aliveWindowMs)
+    const local = alive.filter(({ link }) => this.#zones.get(link) === this.#host.zone)
+    const preferred = local.length > 0 ? local : alive
+    const host = chooseByHash('usage', preferred.map(one => one.host))
+    return preferred.find(candidate => candidate.host === host)?.link
   }
 
   /** Takes which registry gives permits; null where that isn't known any more. */
   setIssuer (host: string | null): void { this.#issuer = host }
 
   /** Sends to the registry that gives permits, or to one that knows which does; false where none is heard. */
-  askIssuer (message: RouteMessage): boolean {
-    const heard = this.#links.listHeard(this.#host.now() - nearMs)
-    const link = heard.find(({ host }) => host === this.#issuer)?.link ?? this.findNear()
+  sendToIssuer (message: RouteMessage): boolean {
+    const alive = this.#links.listHeard(this.#host.now() - aliveWindowMs)
+    const link = alive.find(({ host }) => host === this.#issuer)?.link ?? this.findPreferredLink()
     return link?.send(message) ?? false
   }
 
@@ -171,25 +171,25 @@
     this.#links.close()
   }
 
-  #meet (host: string): void {
-    if (this.#hosts.has(host) || this.#hosts.size >= mostLinks) return
+  #addRegistry (host: string): void {
+    if (this.#hosts.has(host) || this.#hosts.size >= maxLinks) return
     this.#hosts.add(host)
-    this.#uncalled.push(host)
+    this.#undialed.push(host)
   }
 
   // One registry after another, each gateway in an order of its own: hundreds that start together would keep every
   // registry busy with all of them, before the log has a leader. The next waits until there is a document, or a while.
-  #call (): void {
+  #dialNext (): void {
     const now = this.#host.now()
-    const pauseMs = this.#held === null ? nextCallMs : tickMs
-    if (this.#uncalled.length === 0 || now - this.#calledAt < pauseMs) return
-    const host = chooseByHash(this.#host.id, this.#uncalled) ?? this.#uncalled[0]
-    this.#uncalled = this.#uncalled.filter(one => one !== host)
-    this.#calledAt = now
+    const intervalMs = this.#document === null ? nextDialMs : tickMs
+    if (this.#undialed.length === 0 || now - this.#lastDialAt < intervalMs) return
+    const host = chooseByHash(this.#host.id, this.#undialed) ?? this.#undialed[0]
+    this.#undialed = this.#undialed.filter(one => one !== host)
+    this.#lastDialAt = now
     this.#links.dial(host, this.#host.linkPort)
   }
 
-  #take (input: Input): void {
+  #handleInput (input: Input): void {
     switch (input.type) {
       case 'open':
         input.link.send({ type: 'gateway-hello', gateway: this.#host.id, version: this.#version })
@@ -213,83 +213,83 @@
         return
       case 'version':
         this.#pull.noteNamed(link, message.version)
-        if (message.version > 0) this.#firstNamedAt ??= this.#host.now()
+        if (message.version > 0) this.#firstAnnouncedAt ??= this.#host.now()
         if (message.version > 0 && message.isCurrent) this.#knowsNewest = true
-        return this.#ask()
-      case 'document': return this.#takeDocument(link, message.document)
+        return this.#requestDocument()
+      case 'document': return this.#receiveDocument(link, message.document)
       case 'endpoints': return this.#host.takeRecords(message.records)
       case 'crashes': return this.#host.takeCrashes(message.news)
       case 'notices': return this.#host.takeNotices(message.notices, brandId(link.peer))
       case 'permits':
       case 'permits-elsewhere': return this.#host.takePermits(message)
       case 'prompts':
-        this.#promptTries = mostPromptTries
+        this.#promptRequests = maxPromptRequests
         return this.#host.takePrompts(message.prompts)
       case 'boxes':
-        for (const host of message.registries) this.#meet(host)
+        for (const host of message.registries) this.#addRegistry(host)
         return this.#host.takeGatewayCount(message.gateways)
       default: return this.#host.log.error('violation', { rule: 'messages-for-gateways', detail: message.type })
     }
   }
 
-  #takeDocument (link: Link<RouteMessage>, packed: PackedDocument): void {
+  #receiveDocument (link: Link<RouteMessage>, packed: PackedDocument): void {
     const { version, base, steps } = packed
-    const document = unpackDocument(packed, this.#held)
-    const ms = Math.round(this.#host.now() - this.#askedAt)
+    const document = unpackDocument(packed, this.#document)
+    const ms = Math.round(this.#host.now() - this.#documentRequestedAt)
     this.#host.log.info('document-received', { version, base, registry: link.peer, bytes: steps.length, ms, usable: document !== null })
     this.#pull.noteAnswer()
-    this.#wantsWhole = document === null && base === this.#version
-    if (document !== null && version > this.#version) this.#adopt(document)
-    this.#ask()
+    this.#needsFullDocument = document === null && base === this.#version
+    if (document !== null && version > this.#version) this.#applyDocument(document)
+    this.#requestDocument()
   }
 
-  #adopt (document: VersionedText): void {
-    this.#held = document
+  #applyDocument (document: VersionedText): void {
+    this.#document = document
     this.#host.takeDocument(document)
-    this.#askPrompts()
-    this.tell({ type: 'gateway-hello', gateway: this.#host.id, version: document.version })
+    this.#requestPrompts()
+    this.broadcast({ type: 'gateway-hello', gateway: this.#host.id, version: document.version })
   }
 
   #tick (): void {
     for (const [link, zone] of this.#zones) {
-      if (this.#host.now() - link.heardAt < 2 * pulse.everyMs) this.#host.noteZone(zone)
+      if (this.#host.now() - link.heardAt < 2 * heartbeat.everyMs) this.#host.noteZone(zone)
     }
-    this.#call()
-    this.#ask()
-    this.#askPrompts()
+    this.#dialNext()
+    this.#requestDocument()
+    this.#requestPrompts()
   }
 
   // Once there are routes: a few thousand prompts would keep the document waiting on a box's link.
-  #askPrompts (): void {
+  #requestPrompts (): void {
     const now = this.#host.now()
-    if (this.#held === null || this.#promptTries >= mostPromptTries || now - this.#promptsAskedAt < promptsMs) return
-    const link = this.findNear()
+    if (this.#document === null || this.#promptRequests >= maxPromptRequests || now - this.#promptsRequestedAt < promptsRetryMs) return
+    const link = this.findPreferredLink()
     if (link?.send({ type: 'ask-prompts' }) !== true) return
-    this.#promptsAskedAt = now
-    this.#promptTries += 1
+    this.#promptsRequestedAt = now
+    this.#promptRequests += 1
   }
 
-  #ask (): void {
+  #requestDocument (): void {
     const now = this.#host.now()
     if (this.#isSettling(now)) return
-    const choice = this.#pull.choose(this.#version, now, this.#host.draw(), link => this.#look(link, now))
+    const choice = this.#pull.choose(this.#version, now, this.#host.draw(), link => this.#describeHolder(link, now))
     if (choice === null) return
     const { holder, version, why } = choice
-    const held = this.#wantsWhole ? 0 : this.#version
-    this.#askedAt = now
+    const held = this.#needsFullDocument ? 0 : this.#version
+    this.#documentRequestedAt = now
     this.#host.log.info('document-asked', { version, held, registry: holder.peer, why })
     holder.send({ type: 'ask-document', held })
   }
 
   // At the start, before one of them is sure, the others may still name a newer version.
   #isSettling (now: number): boolean {
-    if (this.#firstNamedAt === null) return true
+    if (this.#firstAnnouncedAt === null) return true
     if (this.#knowsNewest) return false
-    return this.#held === null && this.#pull.namedCount < this.#hosts.size && now - this.#firstNamedAt < settleMs
+    return this.#document === null && this.#pull.namedCount < this.#hosts.size && now - this.#firstAnnouncedAt < settleMs
   }
 
   // Bytes between zones are dear.
-  #look (link: Link<RouteMessage>, now: number): HolderState {
-    return { isHeard: link.isOpen && now - link.heardAt < nearMs, isNear: this.#zones.get(link) === this.#host.zone }
+  #describeHolder (link: Link<RouteMessage>, now: number): HolderState {
+    return { isHeard: link.isOpen && now - link.heardAt < aliveWindowMs, isNear: this.#zones.get(link) === this.#host.zone }
   }
 }
--- a/src/gateway/send-course.ts
+++ b/src/gateway/retry-policy.ts
@@ -8,10 +8,10 @@
 import type { Route } from '../core/index.js'
 import type { Refusal } from './answers.js'
 import type { CallFailure } from './endpoint-call.js'
-import { allowSend, mayGoOn, mayRepeat } from './repeat-rules.js'
+import { classifySend, mayRetryAfter, mayRepeat } from './retry-rules.js'
 
 /** What became of a send, or why there was none. */
-export type SendEnd =
+export type SendOutcome =
   /** No endpoint could be chosen. */
   | { readonly type: 'unplaced', readonly why: 'none-known' | 'none-usable' }
   /** The box backs off from every endpoint, or their limits are used up; `retryAfterMs`: until one takes the request. */
@@ -36,13 +36,13 @@
   | { readonly type: 'refuse', readonly refusal: Refusal }
 
 /** Statuses that promise a caller that its request did not run and never will. */
-const promisingStatuses = new Set([408, 421, 429, 503])
+const notRunStatuses = new Set([408, 421, 429, 503])
 /** When a caller is to come back where an endpoint was full, ms: about a place's time to come free. */
 const fullRetryMs = 250
 /** When a caller is to come back where no endpoint can be used, ms: about the time until one is tried again. */
-const noneRetryMs = 400
+const unusableRetryMs = 400
 
-export class SendCourse {
+export class RetryPolicy {
   #route: Route
   #takeRetry: () => boolean
   #attempts = 0
@@ -56,77 +56,77 @@
   }
 
   /** True where a request that was sent may go elsewhere. Asking costs nothing. */
-  get mayLeave (): boolean { return mayRepeat(this.#route) && this.#allowance !== 'no' }
+  get mayRetry (): boolean { return mayRepeat(this.#route) && this.#allowance !== 'no' }
 
   /** The request is sent once more. */
   noteSend (): void { this.#attempts += 1 }
 
-  decide (end: SendEnd): NextStep {
-    switch (end.type) {
-      case 'unplaced': return this.#endUnplaced(end.why)
-      case 'closed': return this.#endClosed(end.retryAfterMs)
-      case 'not-run': return this.#leaveFull(end.isOther, end.openMs)
-      case 'failed': return this.#leaveFailed()
-      case 'broke': return this.#leaveBroken(end.failure, end.reason)
-      case 'answered': return this.#endAnswered(end.status)
-      case 'quarantined': return this.#endQuarantined(end.ends, end.retryAfterMs)
-      case 'given-up': return this.#giveUp(end.wasWritten)
+  decide (outcome: SendOutcome): NextStep {
+    switch (outcome.type) {
+      case 'unplaced': return this.#handleUnplaced(outcome.why)
+      case 'closed': return this.#handleClosed(outcome.retryAfterMs)
+      case 'not-run': return this.#handleNotRun(outcome.isOther, outcome.openMs)
+      case 'failed': return this.#handleFailed()
+      case 'broke': return this.#handleBroken(outcome.failure, outcome.reason)
+      case 'answered': return this.#handleAnswered(outcome.status)
+      case 'quarantined': return this.#handleQuarantined(outcome.ends, outcome.retryAfterMs)
+      case 'given-up': return this.#handleTimeout(outcome.wasWritten)
     }
   }
 
-  #endUnplaced (why: 'none-known' | 'none-usable'): NextStep {
+  #handleUnplaced (why: 'none-known' | 'none-usable'): NextStep {
     if (this.#mayHaveRun) return refuse('engine-failed', 'no other endpoint could be tried')
-    return refuse('no-engine', why === 'none-known' ? 'the service has no endpoint' : 'no endpoint of the service can be used now', noneRetryMs)
+    return refuse('no-engine', why === 'none-known' ? 'the service has no endpoint' : 'no endpoint of the service can be used now', unusableRetryMs)
   }
 
-  #endClosed (retryAfterMs: number): NextStep {
+  #handleClosed (retryAfterMs: number): NextStep {
     if (this.#mayHaveRun) return refuse('engine-failed', 'an earlier send broke, and no other endpoint takes requests now')
     return refuse('overloaded', 'no endpoint takes the request now', retryAfterMs)
   }
 
-  #leaveFull (isOther: boolean, openMs: number): NextStep {
+  #handleNotRun (isOther: boolean, openMs: number): NextStep {
     if (isOther) this.#unreachable += 1
-    if (this.#takeSend()) return { type: 'send' }
+    if (this.#takeAttempt()) return { type: 'send' }
     if (this.#mayHaveRun) return refuse('engine-failed', 'an earlier send broke, and another endpoint is full')
     return refuse('overloaded', 'the endpoint is full', Math.max(fullRetryMs, openMs))
   }
 
   // The endpoint ran the request and said so; another may be asked as well.
-  #leaveFailed (): NextStep {
-    if (!mayRepeat(this.#route) || !this.#takeSend()) return { type: 'pass' }
+  #handleFailed (): NextStep {
+    if (!mayRepeat(this.#route) || !this.#takeAttempt()) return { type: 'pass' }
     this.#mayHaveRun = true
     return { type: 'send' }
   }
 
-  #leaveBroken (failure: CallFailure, reason: string): NextStep {
+  #handleBroken (failure: CallFailure, reason: string): NextStep {
     if (failure === 'unreachable') this.#unreachable += 1
     else this.#mayHaveRun = true
-    if (mayGoOn(this.#route, failure, this.#mayHaveRun) && this.#takeSend()) return { type: 'send' }
+    if (mayRetryAfter(this.#route, failure, this.#mayHaveRun) && this.#takeAttempt()) return { type: 'send' }
     if (this.#mayHaveRun) return refuse('engine-failed', `the endpoint failed: ${reason}`)
-    return refuse('no-engine', 'no endpoint could be reached', noneRetryMs)
+    return refuse('no-engine', 'no endpoint could be reached', unusableRetryMs)
   }
 
   // What an endpoint ran must not be called "not run" by its status.
-  #endAnswered (status: number): NextStep {
-    if (!promisingStatuses.has(status)) return { type: 'pass' }
+  #handleAnswered (status: number): NextStep {
+    if (!notRunStatuses.has(status)) return { type: 'pass' }
     return refuse('engine-failed', `the endpoint answered ${status}`)
   }
 
-  #endQuarantined (ends: number, retryAfterMs: number): NextStep {
+  #handleQuarantined (ends: number, retryAfterMs: number): NextStep {
     if (this.#mayHaveRun) return refuse('engine-failed', 'endpoints ended under this request')
     return refuse('quarantined', `${ends} endpoints ended under this request`, retryAfterMs)
   }
 
-  #giveUp (wasWritten: boolean): NextStep {
+  #handleTimeout (wasWritten: boolean): NextStep {
     if (this.#mayHaveRun || wasWritten) return refuse('engine-timeout', 'the endpoint did not answer in time')
-    return refuse('overloaded', 'no endpoint took the request in time', noneRetryMs)
+    return refuse('overloaded', 'no endpoint took the request in time', unusableRetryMs)
   }
 
-  get #allowance (): ReturnType<typeof allowSend> {
-    return allowSend(this.#route, { attempts: this.#attempts, unreachable: this.#unreachable })
+  get #allowance (): ReturnType<typeof classifySend> {
+    return classifySend(this.#route, { attempts: this.#attempts, unreachable: this.#unreachable })
   }
 
-  #takeSend (): boolean {
+  #takeAttempt (): boolean {
     switch (this.#allowance) {
       case 'no': return false
       case 'free': return true
--- a/src/gateway/usage-meter.ts
+++ b/src/gateway/usage-meter.ts
@@ -10,16 +10,16 @@
 /** What the meter needs of its box. */
 export interface UsageMeterHost {
   /** True time at a moment of the box's rising clock, ms since 1970. */
-  readDay (at: number): number
+  toWallClockMs (at: number): number
   now (): number
   /** Length of a window, ms. */
   readonly windowMs: number
 }
 
 /** Windows that are kept to be told again: half a minute of windows of 5 s. */
-const mostWindows = 7
+const maxWindows = 7
 /** A request is counted at latest so long after it began, ms: plain calls are known to have begun once they are answered. */
-const knownAfterMs = 1000
+const countingDelayMs = 1000
 
 export class UsageMeter {
   #host: UsageMeterHost
@@ -33,7 +33,7 @@
 
   /** Notes that a request of a workspace began at `at` on the box's rising clock. */
   note (workspace: WorkspaceName, at: number): void {
-    const window = Math.floor(this.#host.readDay(at) / this.#host.windowMs)
+    const window = Math.floor(this.#host.toWallClockMs(at) / this.#host.windowMs)
     const counts = this.#windows.get(window) ?? new Map<WorkspaceName, number>()
     this.#windows.set(window, counts)
     counts.set(workspace, (counts.get(workspace) ?? 0) + 1)
@@ -41,19 +41,19 @@
   }
 
   /** What is to be told: what is new, or `all` that is kept. `isLast`: nothing more will begin here. */
-  compose (all: boolean, isLast = false): UsageTelling {
-    const day = this.#host.readDay(this.#host.now())
-    this.#forget(Math.floor(day / this.#host.windowMs))
-    const windows = [...this.#windows].filter(([window]) => all || this.#changed.has(window))
+  composeReport (isFull: boolean, isLast = false): UsageTelling {
+    const wallClockMs = this.#host.toWallClockMs(this.#host.now())
+    this.#dropOld(Math.floor(wallClockMs / this.#host.windowMs))
+    const windows = [...this.#windows].filter(([window]) => isFull || this.#changed.has(window))
     this.#changed.clear()
     return {
       source: this.#source,
-      through: isLast ? Number.MAX_SAFE_INTEGER : Math.floor(day - knownAfterMs),
+      through: isLast ? Number.MAX_SAFE_INTEGER : Math.floor(wallClockMs - countingDelayMs),
       windows: windows.map(([window, counts]) => [window, [...counts]])
     }
   }
 
-  #forget (current: UsageWindow): void {
-    for (const window of this.#windows.keys()) if (window <= current - mostWindows) this.#windows.delete(window)
+  #dropOld (current: UsageWindow): void {
+    for (const window of this.#windows.keys()) if (window <= current - maxWindows) this.#windows.delete(window)
   }
 }
--- a/src/gateway/usage-teller.ts
+++ b/src/gateway/usage-reporter.ts
@@ -5,7 +5,7 @@
 import { UsageMeter } from './usage-meter.js'
 
 /** What the teller needs of its box. */
-export interface UsageTellerHost {
+export interface UsageReporterHost {
   /** Length of a window, ms. */
   readonly windowMs: number
   now (): number
@@ -14,39 +14,39 @@
 }
 
 /** How often what is new is told, ms: what a box that is killed takes with it. */
-const tellMs = 500
+const reportIntervalMs = 500
 
-export class UsageTeller {
+export class UsageReporter {
   #meter: UsageMeter
-  #host: UsageTellerHost
-  #told: Link<RouteMessage> | undefined
+  #host: UsageReporterHost
+  #reportedLink: Link<RouteMessage> | undefined
   #timer: NodeJS.Timeout | null = null
 
-  constructor (host: UsageTellerHost) {
+  constructor (host: UsageReporterHost) {
     const clock = new DayClock(host.now, Date.now)
     this.#host = host
-    this.#meter = new UsageMeter({ windowMs: host.windowMs, now: host.now, readDay: at => clock.convert(at) })
+    this.#meter = new UsageMeter({ windowMs: host.windowMs, now: host.now, toWallClockMs: at => clock.convert(at) })
   }
 
-  start (): void { this.#timer = setInterval(() => this.#tell(false), tellMs) }
+  start (): void { this.#timer = setInterval(() => this.#report(false), reportIntervalMs) }
 
   /** Notes that a request of a workspace began at `at` on the box's rising clock. */
   note (workspace: WorkspaceName, at: number): void { this.#meter.note(workspace, at) }
 
   /** Tells what is left, as nothing more will begin here. */
-  end (): void { this.#tell(true) }
+  flush (): void { this.#report(true) }
 
   close (): void {
     if (this.#timer !== null) clearInterval(this.#timer)
   }
 
-  #tell (isLast: boolean): void {
+  #report (isLast: boolean): void {
     const link = this.#host.findLink()
     if (link === undefined) {
-      this.#told = undefined
+      this.#reportedLink = undefined
       return
     }
-    const telling = this.#meter.compose(link !== this.#told, isLast)
-    this.#told = link.send({ type: 'usage', tellings: [telling] }) ? link : undefined
+    const report = this.#meter.composeReport(link !== this.#reportedLink, isLast)
+    this.#reportedLink = link.send({ type: 'usage', tellings: [report] }) ? link : undefined
   }
 }
--- a/src/gateway/waiting-line.ts
+++ b/src/gateway/wait-queue.ts
@@ -7,29 +7,29 @@
 import type { Exchange } from './exchange.js'
 
 /** What the line needs of its box. */
-export interface LineHost {
+export interface WaitQueueHost {
   now (): number
   draw (): number
   /** Boxes, this one included, in which requests of the service wait that don't go after one of this priority. */
-  countHolders (service: ServiceName, priority: number): number
+  countWaitingBoxes (service: ServiceName, priority: number): number
   /** Engines of the service that are set apart for what waits. */
-  countApart (service: ServiceName): number
+  countReservedEngines (service: ServiceName): number
 }
 
 /** How often the line is looked at while something waits, ms: a few times in the reading of one prompt. */
-const lookMs = 15
+const retryIntervalMs = 15
 /** Turns for each engine set apart: those that wait want different engines, though not evenly. */
-const turnShare = 0.5
+const turnsPerEngine = 0.5
 /** Requests that are tried at one look; those behind them would find no room either. */
-const mostTries = 12
+const maxTries = 12
 
-export class WaitingLine {
-  #host: LineHost
+export class WaitQueue {
+  #host: WaitQueueHost
   #waiting: Exchange[] = []
   #timer: NodeJS.Timeout | null = null
   #stalenessMs = 0
 
-  constructor (host: LineHost) {
+  constructor (host: WaitQueueHost) {
     this.#host = host
   }
 
@@ -47,7 +47,7 @@
   /** Lets a request wait until it is taken out with `remove`. */
   add (exchange: Exchange): void {
     this.#waiting.push(exchange)
-    this.#timer ??= setInterval(() => this.look(), lookMs)
+    this.#timer ??= setInterval(() => this.retry(), retryIntervalMs)
   }
 
   /** Takes a request out; does nothing for one that doesn't wait. */
@@ -63,12 +63,12 @@
    * them for each engine goes ahead in the time that a word takes, by lot. Boxes
    * whose requests all go after the first of this one don't take part.
    */
-  look (): void {
+  retry (): void {
     if (this.#waiting.length === 0) return
     const now = this.#host.now()
-    const ordered = [...this.#waiting].sort((a, b) => compare(a, b, now))
+    const ordered = [...this.#waiting].sort((a, b) => compareUrgency(a, b, now))
     if (!this.#drawTurn(ordered[0].order.work)) return
-    for (const exchange of ordered.slice(0, mostTries)) exchange.tryPlace()
+    for (const exchange of ordered.slice(0, maxTries)) exchange.tryPlace()
   }
 
   /** Stops looking; whatever waits is left as it is. */
@@ -79,19 +79,19 @@
 
   // The share of turns is the engines' over the boxes', spread over the looks of the time that a word takes.
   #drawTurn ({ service, priority }: Work): boolean {
-    const holders = this.#host.countHolders(service, priority)
-    if (holders <= 1) return true
-    const looksPerWord = Math.max(1, this.#stalenessMs / lookMs)
-    return this.#host.draw() * holders * looksPerWord < Math.max(1, this.#host.countApart(service) * turnShare)
+    const boxes = this.#host.countWaitingBoxes(service, priority)
+    if (boxes <= 1) return true
+    const retriesPerUpdate = Math.max(1, this.#stalenessMs / retryIntervalMs)
+    return this.#host.draw() * boxes * retriesPerUpdate < Math.max(1, this.#host.countReservedEngines(service) * turnsPerEngine)
   }
 }
 
-function compare (a: Exchange, b: Exchange, now: number): number {
+function compareUrgency (a: Exchange, b: Exchange, now: number): number {
   const first = a.order
   const second = b.order
   if (first.work.priority !== second.work.priority) return first.work.priority - second.work.priority
-  const late = Number(isLate(a, now)) - Number(isLate(b, now))
-  return late !== 0 ? late : first.arrivedAt - second.arrivedAt
+  const lateness = Number(isLate(a, now)) - Number(isLate(b, now))
+  return lateness !== 0 ? lateness : first.arrivedAt - second.arrivedAt
 }
 
 function isLate ({ order }: Exchange, now: number): boolean {
--- a/test/crashing-requests.test.ts
+++ b/test/crashing-requests.test.ts
@@ -20,18 +20,18 @@
 const endpoints = 8
 /** Until an endpoint that ended is back, ms. */
 const downMs = 150
-let place: RouteDeployment
+let deployment: RouteDeployment
 
 before(async () => {
-  place = await RouteDeployment.start({ number: 91, gateways, gateway: { retries: { ratio: 0.2, extra: 500, windowSeconds: 10 } } })
-  await place.putDocument(composeDocument(1))
-  for (let i = 0; i < endpoints; i++) (await place.addEndpoint('desk')).crash = { afterMs: 20, downMs }
+  deployment = await RouteDeployment.start({ number: 91, gateways, gateway: { retries: { ratio: 0.2, extra: 500, windowSeconds: 10 } } })
+  await deployment.putDocument(composeDocument(1))
+  for (let i = 0; i < endpoints; i++) (await deployment.addEndpoint('desk')).crash = { afterMs: 20, downMs }
 })
 
-after(() => place.stop())
+after(() => deployment.stop())
 
-function countEnds (body: string): number {
-  return place.endpoints.flatMap(endpoint => endpoint.ends).filter(ended => ended === body).length
+function countCrashes (body: string): number {
+  return deployment.endpoints.flatMap(endpoint => endpoint.ends).filter(ended => ended === body).length
 }
 
 async function awaitEndpoints (): Promise<void> { await sleep(2 * downMs) }
@@ -40,14 +40,14 @@
 async function repeat (path: string, body: string, times: number): Promise<CallAnswer[]> {
   const answers: CallAnswer[] = []
   for (let i = 0; i < times; i++) {
-    answers.push(await place.ask(path, { body, gateway: i % gateways }))
+    answers.push(await deployment.ask(path, { body, gateway: i % gateways }))
     await sleep(40)
   }
   return answers
 }
 
 /** Ends under one request that are borne: three show what it is, and one may be under way. */
-const mostEnds = 4
+const maxCrashes = 4
 const kinds = [
   { name: 'may be repeated', path: '/again/x' },
   { name: 'may run once', path: '/once/x' },
@@ -60,7 +60,7 @@
   for (const { name, path } of kinds) {
     const body = `${crashMark}: ${name}`
     const answers = await repeat(path, body, 12)
-    ended.push(`one that ${name}: ${countEnds(body) <= mostEnds ? 'few' : countEnds(body)}`)
+    ended.push(`one that ${name}: ${countCrashes(body) <= maxCrashes ? 'few' : countCrashes(body)}`)
     for (const { status, headers, body: text } of answers.slice(-gateways)) {
       ended.push(status === 503 && Number(headers['retry-after']) > 0 && text.includes('not-run') ? 'refused' : `answered ${status}`)
     }
@@ -71,112 +71,112 @@
 
 test('one that came through one gateway first ends few endpoints more as it comes through all at once', async () => {
   const body = `${crashMark}: at one, then at all`
-  await place.ask('/again/y', { body })
+  await deployment.ask('/again/y', { body })
   await sleep(40)
   for (let round = 0; round < 4; round++) {
-    await Promise.all(Array.from({ length: 2 * gateways }, (_, i) => place.ask('/again/y', { body, gateway: i % gateways })))
+    await Promise.all(Array.from({ length: 2 * gateways }, (_, i) => deployment.ask('/again/y', { body, gateway: i % gateways })))
     await sleep(40)
   }
-  assert.ok(countEnds(body) <= mostEnds + 1, `${countEnds(body)} ended`)
+  assert.ok(countCrashes(body) <= maxCrashes + 1, `${countCrashes(body)} ended`)
   await awaitEndpoints()
 })
 
 test('a request that harms nobody is not refused for those that it runs beside, though it shares their path and caller and its sends end with theirs', async () => {
   const body = `${crashMark}: with others beside it`
-  for (const endpoint of place.endpoints) endpoint.answerMs = 30
+  for (const endpoint of deployment.endpoints) endpoint.answerMs = 30
   const harmless = { isOver: false }
   const beside = Array.from({ length: gateways }, async (_, gateway) => {
     const answers: CallAnswer[] = []
-    while (!harmless.isOver) answers.push(await place.ask('/again/z', { body: 'harms nobody', gateway }))
+    while (!harmless.isOver) answers.push(await deployment.ask('/again/z', { body: 'harms nobody', gateway }))
     return answers
   })
   await repeat('/again/z', body, 10)
   harmless.isOver = true
   const answers = (await Promise.all(beside)).flat()
-  for (const endpoint of place.endpoints) endpoint.answerMs = 1
-  assert.ok(countEnds(body) <= mostEnds, `${countEnds(body)} ended`)
+  for (const endpoint of deployment.endpoints) endpoint.answerMs = 1
+  assert.ok(countCrashes(body) <= maxCrashes, `${countCrashes(body)} ended`)
   assert.deepEqual(answers.filter(answer => answer.body.includes('quarantined')), [])
-  assert.equal((await place.ask('/again/z', { body: 'harms nobody' })).status, 200)
+  assert.equal((await deployment.ask('/again/z', { body: 'harms nobody' })).status, 200)
   await awaitEndpoints()
 })
 
 test('connections that are reset by endpoints that go on are no ends: nothing is refused for them', async () => {
-  for (const endpoint of place.endpoints) endpoint.fault = { type: 'lose' }
+  for (const endpoint of deployment.endpoints) endpoint.fault = { type: 'lose' }
   await repeat('/again/lost', 'its answer is lost', 8)
-  for (const endpoint of place.endpoints) endpoint.fault = { type: 'none' }
-  assert.equal((await place.ask('/again/lost', { body: 'its answer is lost' })).status, 200)
+  for (const endpoint of deployment.endpoints) endpoint.fault = { type: 'none' }
+  assert.equal((await deployment.ask('/again/lost', { body: 'its answer is lost' })).status, 200)
 })
 
 /** Sends a request until it is in quarantine, and gives its fingerprint. */
-async function condemn (body: string): Promise<string> {
+async function quarantine (body: string): Promise<string> {
   await repeat('/again/q', body, 6)
   const entries = await listQuarantine()
-  assert.equal((await place.ask('/again/q', { body })).status, 503)
+  assert.equal((await deployment.ask('/again/q', { body })).status, 503)
   await awaitEndpoints()
   return entries.at(-1)?.fingerprint ?? ''
 }
 
 async function listQuarantine (): Promise<{ fingerprint: string, state: string, ends: number }[]> {
-  return JSON.parse((await place.operate('GET', '/v1/quarantine')).body) as { fingerprint: string, state: string, ends: number }[]
+  return JSON.parse((await deployment.operate('GET', '/v1/quarantine')).body) as { fingerprint: string, state: string, ends: number }[]
 }
 
 test('a gateway that starts anew, and one that starts beside registries that all began anew from their disks, refuse it at once', async () => {
   const body = `${crashMark}: before the boxes were gone`
-  await condemn(body)
-  const ended = countEnds(body)
-  place.gateways[0].kill()
-  await place.startGateway(0)
-  await until(async () => (await place.ask('/public/up', { body: 'x', gateway: 0, keyed: false })).status === 200, 'the gateway serves')
-  assert.equal((await place.ask('/again/q', { body, gateway: 0 })).status, 503)
-  for (const gateway of place.gateways) gateway.kill()
-  for (const registry of place.registries) registry?.kill()
-  for (let i = 0; i < 3; i++) await place.startRegistry(i, false)
-  await place.startGateway(0)
-  await until(async () => (await place.ask('/public/up', { body: 'x', gateway: 0, keyed: false })).status === 200, 'the gateway serves')
-  assert.equal((await place.ask('/again/q', { body, gateway: 0 })).status, 503)
-  for (let i = 1; i < gateways; i++) await place.startGateway(i)
-  await until(() => place.gateways.every(({ table }) => table !== null), 'all gateways have the document')
-  assert.equal(countEnds(body), ended)
+  await quarantine(body)
+  const ended = countCrashes(body)
+  deployment.gateways[0].kill()
+  await deployment.startGateway(0)
+  await until(async () => (await deployment.ask('/public/up', { body: 'x', gateway: 0, keyed: false })).status === 200, 'the gateway serves')
+  assert.equal((await deployment.ask('/again/q', { body, gateway: 0 })).status, 503)
+  for (const gateway of deployment.gateways) gateway.kill()
+  for (const registry of deployment.registries) registry?.kill()
+  for (let i = 0; i < 3; i++) await deployment.startRegistry(i, false)
+  await deployment.startGateway(0)
+  await until(async () => (await deployment.ask('/public/up', { body: 'x', gateway: 0, keyed: false })).status === 200, 'the gateway serves')
+  assert.equal((await deployment.ask('/again/q', { body, gateway: 0 })).status, 503)
+  for (let i = 1; i < gateways; i++) await deployment.startGateway(i)
+  await until(() => deployment.gateways.every(({ table }) => table !== null), 'all gateways have the document')
+  assert.equal(countCrashes(body), ended)
 })
 
 test('a registry that comes back without its disk learns it from the others', async () => {
   const body = `${crashMark}: while a registry was gone`
-  place.registries[2]?.kill()
-  const fingerprint = await condemn(body)
-  rmSync(join(place.folder, 'registry-2'), { recursive: true, force: true })
-  await place.startRegistry(2, false)
-  await until(async () => (await place.operate('GET', '/v1/quarantine', '', 2)).body.includes(fingerprint), 'the registry knows')
+  deployment.registries[2]?.kill()
+  const fingerprint = await quarantine(body)
+  rmSync(join(deployment.folder, 'registry-2'), { recursive: true, force: true })
+  await deployment.startRegistry(2, false)
+  await until(async () => (await deployment.operate('GET', '/v1/quarantine', '', 2)).body.includes(fingerprint), 'the registry knows')
 })
 
 test('an operator sees what is refused and for what, and can lift it; it is then tried, and refused anew once more has ended', async () => {
   const body = `${crashMark}: until an operator lifts it`
-  const fingerprint = await condemn(body)
-  const ended = countEnds(body)
+  const fingerprint = await quarantine(body)
+  const ended = countCrashes(body)
   const [entry] = (await listQuarantine()).filter(one => one.fingerprint === fingerprint)
   assert.deepEqual([entry.state, entry.ends >= 3], ['refused', true])
-  assert.ok(place.lines.some(line => line.includes('event=exchange') && line.includes('outcome=quarantined') && line.includes(fingerprint)))
-  assert.ok(place.lines.some(line => line.includes('event=quarantine ') && line.includes(fingerprint)))
-  assert.equal((await place.operate('DELETE', '/v1/quarantine/unknown')).status, 404)
-  assert.equal((await place.operate('DELETE', `/v1/quarantine/${fingerprint}`)).status, 200)
-  await until(async () => (await place.ask('/again/q', { body })).status === 502, 'it is sent again')
+  assert.ok(deployment.lines.some(line => line.includes('event=exchange') && line.includes('outcome=quarantined') && line.includes(fingerprint)))
+  assert.ok(deployment.lines.some(line => line.includes('event=quarantine ') && line.includes(fingerprint)))
+  assert.equal((await deployment.operate('DELETE', '/v1/quarantine/unknown')).status, 404)
+  assert.equal((await deployment.operate('DELETE', `/v1/quarantine/${fingerprint}`)).status, 200)
+  await until(async () => (await deployment.ask('/again/q', { body })).status === 502, 'it is sent again')
   await awaitEndpoints()
   await repeat('/again/q', body, 6)
-  assert.ok(countEnds(body) - ended <= mostEnds, `${countEnds(body) - ended} ended`)
-  assert.equal((await place.ask('/again/q', { body })).status, 503)
+  assert.ok(countCrashes(body) - ended <= maxCrashes, `${countCrashes(body) - ended} ended`)
+  assert.equal((await deployment.ask('/again/q', { body })).status, 503)
   await awaitEndpoints()
 })
 
 // An answer that an endpoint lost told, with the endpoint's end seconds later, against a request that had nothing to do with it.
 test('a request whose answer an endpoint lost is not held against it when that endpoint ends later', async () => {
   const body = 'its answer is lost, then the endpoint ends'
-  for (const endpoint of place.endpoints) endpoint.fault = { type: 'lose' }
-  assert.equal((await place.ask('/again/l', { body })).status, 502)
-  for (const endpoint of place.endpoints) endpoint.fault = { type: 'none' }
+  for (const endpoint of deployment.endpoints) endpoint.fault = { type: 'lose' }
+  assert.equal((await deployment.ask('/again/l', { body })).status, 502)
+  for (const endpoint of deployment.endpoints) endpoint.fault = { type: 'none' }
   await sleep(1100)
-  for (const endpoint of place.endpoints) {
-    await place.ask('/again/l', { body: `${crashMark}: ${endpoint.id}`, gateway: 0 })
+  for (const endpoint of deployment.endpoints) {
+    await deployment.ask('/again/l', { body: `${crashMark}: ${endpoint.id}`, gateway: 0 })
   }
   await awaitEndpoints()
-  const { ends } = place.gateways[0].listCrashes()
+  const { ends } = deployment.gateways[0].listCrashes()
   assert.ok(ends.length > 0 && ends.every(({ runs }) => runs.length <= 1), JSON.stringify(ends))
 })
--- a/test/endpoint-backoff.test.ts
+++ b/test/endpoint-backoff.test.ts
@@ -10,13 +10,13 @@
 const pauseMs = 15
 const answerMs = 40
 
-let place: RouteDeployment
+let deployment: RouteDeployment
 let endpoints: StandinEndpoint[]
 
 before(async () => {
-  place = await RouteDeployment.start({ number: 48, registries: 3, gateways })
-  await place.putDocument(composeDocument(1))
-  endpoints = [await place.addEndpoint('desk'), await place.addEndpoint('desk'), await place.addEndpoint('desk', 'zone-b')]
+  deployment = await RouteDeployment.start({ number: 48, registries: 3, gateways })
+  await deployment.putDocument(composeDocument(1))
+  endpoints = [await deployment.addEndpoint('desk'), await deployment.addEndpoint('desk'), await deployment.addEndpoint('desk', 'zone-b')]
 })
 beforeEach(() => {
   for (const endpoint of endpoints) {
@@ -25,7 +25,7 @@
     endpoint.isLeaving = false
   }
 })
-after(() => place.stop())
+after(() => deployment.stop())
 
 // Several callers at a time, so that all endpoints are used; resolves with the statuses that they got.
 async function call (gateway: number, ms: number): Promise<number[]> {
@@ -33,7 +33,7 @@
   const statuses: number[] = []
   await Promise.all(Array.from({ length: callers }, async (_, caller) => {
     while (performance.now() < until) {
-      statuses.push((await place.ask(caller % 2 === 0 ? '/again/x' : '/once/x', { gateway })).status)
+      statuses.push((await deployment.ask(caller % 2 === 0 ? '/again/x' : '/once/x', { gateway })).status)
       await sleep(pauseMs)
     }
   }))
@@ -71,7 +71,7 @@
   first.backoff = { share: 1, seconds: 9 }
   third.backoff = { share: 1, seconds: 4 }
   await call(1, 300)
-  const answer = await place.ask('/again/x', { gateway: 1 })
+  const answer = await deployment.ask('/again/x', { gateway: 1 })
   assert.equal(answer.status, 503)
   const seconds = Number(answer.headers['retry-after'])
   assert.ok(seconds >= 3 && seconds <= 4, `${seconds} s`)
--- a/test/endpoint-lives.test.ts
+++ b/test/endpoint-lives.test.ts
@@ -11,30 +11,30 @@
 import { RouteDeployment, composeDocument } from './support/route-deployment.js'
 import { createFleet, createRecord, createWork, desk } from './support/fleet-builder.js'
 
-let place: RouteDeployment
+let deployment: RouteDeployment
 
 before(async () => {
-  place = await RouteDeployment.start({ number: 92 })
-  await place.putDocument(composeDocument(1))
-  for (let i = 0; i < 2; i++) await place.addEndpoint('desk')
+  deployment = await RouteDeployment.start({ number: 92 })
+  await deployment.putDocument(composeDocument(1))
+  for (let i = 0; i < 2; i++) await deployment.addEndpoint('desk')
 })
 
-after(() => place.stop())
+after(() => deployment.stop())
 
 function findStage (id: string): string | undefined {
-  return place.registries[0]?.records.find(record => record.id === id)?.stage
+  return deployment.registries[0]?.records.find(record => record.id === id)?.stage
 }
 
 function compose (more: object): string {
-  const [endpoint] = place.endpoints
-  return JSON.stringify({ service: 'desk', host: place.endpointHost, port: endpoint.port, zone: 'zone-a', slots: 8, stage: 'ready', ...more })
+  const [endpoint] = deployment.endpoints
+  return JSON.stringify({ service: 'desk', host: deployment.endpointHost, port: endpoint.port, zone: 'zone-a', slots: 8, stage: 'ready', ...more })
 }
 
 test('what runs at the earlier life of an endpoint is sent elsewhere as soon as the new one says where it is', async () => {
-  for (const endpoint of place.endpoints) endpoint.fault = { type: 'hang' }
-  const asked = place.ask('/again/hangs', { requestId: 'hangs' })
-  await until(() => place.endpoints.some(({ runs }) => runs.length > 0), 'it runs')
-  const [first, second] = place.endpoints[0].runs.length > 0 ? place.endpoints : [...place.endpoints].reverse()
+  for (const endpoint of deployment.endpoints) endpoint.fault = { type: 'hang' }
+  const asked = deployment.ask('/again/hangs', { requestId: 'hangs' })
+  await until(() => deployment.endpoints.some(({ runs }) => runs.length > 0), 'it runs')
+  const [first, second] = deployment.endpoints[0].runs.length > 0 ? deployment.endpoints : [...deployment.endpoints].reverse()
   second.fault = { type: 'none' }
   first.fault = { type: 'none' }
   first.noteRestart()
@@ -43,20 +43,20 @@
 })
 
 test('a last word that names no life, right after the first of a new one, is taken for the earlier life\'s', async () => {
-  const { id } = place.endpoints[0]
+  const { id } = deployment.endpoints[0]
   const born = Date.now()
-  await place.operate('PUT', `/v1/endpoints/${id}`, compose({ born, sequence: 1 }))
-  assert.equal((await place.operate('DELETE', `/v1/endpoints/${id}`)).status, 200)
+  await deployment.operate('PUT', `/v1/endpoints/${id}`, compose({ born, sequence: 1 }))
+  assert.equal((await deployment.operate('DELETE', `/v1/endpoints/${id}`)).status, 200)
   assert.equal(findStage(id), 'ready')
 })
 
 test('a life that has ended as it said is over, and the next one has work again', async () => {
-  const endpoint = await place.addEndpoint('desk')
+  const endpoint = await deployment.addEndpoint('desk')
   const { id } = endpoint
-  await place.operate('DELETE', `/v1/endpoints/${id}`)
+  await deployment.operate('DELETE', `/v1/endpoints/${id}`)
   await until(() => findStage(id) === 'gone', 'it is gone')
   endpoint.noteRestart()
-  await until(() => findStage(id) === 'ready' && place.gateways[0].fleet.findView(id as EndpointId) !== undefined, 'its next life is known')
+  await until(() => findStage(id) === 'ready' && deployment.gateways[0].fleet.findView(id as EndpointId) !== undefined, 'its next life is known')
 })
 
 test('a new life begins without what was believed of the earlier one', () => {
--- a/test/prompt-fetch.test.ts
+++ b/test/prompt-fetch.test.ts
@@ -6,20 +6,20 @@
 
 const headers = { 'x-wrenlane-tokens': '4500,20', 'x-wrenlane-prompt-parts': 'shared:4000,own:500' }
 const fetchHeader = 'x-wrenlane-fetch-from'
-let place: RouteDeployment
+let deployment: RouteDeployment
 let endpoints: StandinEndpoint[]
 
 before(async () => {
-  place = await RouteDeployment.start({ number: 41, registries: 1, gateways: 2 })
+  deployment = await RouteDeployment.start({ number: 41, registries: 1, gateways: 2 })
   const engine = { slots: 8, memoryTokens: 100_000, transfer: { tokenBytes: 1000, bytesPerMs: 1_000_000 } }
-  await place.putDocument(composeDocument(1, { services: [{ name: 'desk', engine }] }))
-  endpoints = [await place.addEndpoint('desk'), await place.addEndpoint('desk')]
+  await deployment.putDocument(composeDocument(1, { services: [{ name: 'desk', engine }] }))
+  endpoints = [await deployment.addEndpoint('desk'), await deployment.addEndpoint('desk')]
 })
 
-after(async () => await place.stop())
+after(async () => await deployment.stop())
 
 async function askFrom (gateway: number, requestId: string, more: Record<string, string> = {}): Promise<{ status: number, fetchFrom: unknown, endpoint: string }> {
-  const { status } = await place.ask('/stream/events-2', { gateway, requestId, headers: { ...headers, ...more } })
+  const { status } = await deployment.ask('/stream/events-2', { gateway, requestId, headers: { ...headers, ...more } })
   const ran = endpoints.find(endpoint => endpoint.runs.some(run => run.requestId === requestId))
   const run = ran?.runs.find(one => one.requestId === requestId)
   return { status, fetchFrom: run?.headers[fetchHeader], endpoint: ran?.id ?? '' }
@@ -30,11 +30,11 @@
   assert.deepEqual([first.status, first.fetchFrom], [200, undefined])
   const holder = endpoints.find(({ id }) => id === first.endpoint)!
   const parts = [{ id: 'shared', tokens: 4000 }]
-  await until(() => place.gateways[1].fleet.findView(holder.id as never)?.kept.countHeld(parts) === 4000, 'the holder known to the other gateway')
+  await until(() => deployment.gateways[1].fleet.findView(holder.id as never)?.kept.countHeld(parts) === 4000, 'the holder known to the other gateway')
   holder.fault = { type: 'full' }
   const second = await askFrom(1, 'second reader')
   holder.fault = { type: 'none' }
-  assert.deepEqual([second.status, second.fetchFrom], [200, `${place.endpointHost}:${holder.port}`])
+  assert.deepEqual([second.status, second.fetchFrom], [200, `${deployment.endpointHost}:${holder.port}`])
   assert.notEqual(second.endpoint, holder.id)
 })
 
--- a/test/rate-limits.test.ts
+++ b/test/rate-limits.test.ts
@@ -14,17 +14,17 @@
 const namedMs = 9000
 const pauseMs = 30
 
-let place: RouteDeployment
+let deployment: RouteDeployment
 let limited: StandinEndpoint
 
 before(async () => {
-  place = await RouteDeployment.start({ number: 46, registries: 3, gateways })
-  await place.putDocument(composeDocument(1))
-  limited = await place.addEndpoint('desk')
-  await place.addEndpoint('desk', 'zone-b')
-  await place.addEndpoint('desk', 'zone-c')
+  deployment = await RouteDeployment.start({ number: 46, registries: 3, gateways })
+  await deployment.putDocument(composeDocument(1))
+  limited = await deployment.addEndpoint('desk')
+  await deployment.addEndpoint('desk', 'zone-b')
+  await deployment.addEndpoint('desk', 'zone-c')
 })
-after(() => place.stop())
+after(() => deployment.stop())
 
 // Asks every gateway again and again; resolves with the statuses that callers got.
 async function call (ms: number): Promise<number[]> {
@@ -33,7 +33,7 @@
   await Promise.all(Array.from({ length: gateways }, async (_, gateway) => {
     const agent = new Agent({ keepAlive: true })
     while (performance.now() < until) {
-      statuses.push((await place.ask(gateway % 2 === 0 ? '/again/x' : '/once/x', { gateway, agent })).status)
+      statuses.push((await deployment.ask(gateway % 2 === 0 ? '/again/x' : '/once/x', { gateway, agent })).status)
       await sleep(pauseMs)
     }
     agent.destroy()
@@ -47,14 +47,14 @@
     limited.limit = limit
     const namedAt = performance.now()
     const statuses = await call(namedMs)
-    const [told] = await readNotices({ host: place.registryHost(1), port: 7002 })
+    const [notice] = await readNotices({ host: deployment.registryHost(1), port: 7002 })
     limited.limit = null
     const allowed = countAllowed(limit)
     const arrivals = limited.arrivals.map(({ at }) => at).filter(at => at >= namedAt + toldMs)
-    const most = countMost(arrivals, windowMs, namedAt + settleMs)
-    assert.ok(most <= allowed, `${most} in ${windowMs} ms, allowed ${allowed}`)
-    assert.deepEqual([told.endpoint, told.service, told.limit], [limited.id, 'desk', limit])
-    assert.match(formatNotices([told]), new RegExp(`${limited.id}  service desk  limit ${limit}/s  known for \\d+\\.\\d s, told by (gateway|registry)-\\d`))
+    const maxArrivals = countMost(arrivals, windowMs, namedAt + settleMs)
+    assert.ok(maxArrivals <= allowed, `${maxArrivals} in ${windowMs} ms, allowed ${allowed}`)
+    assert.deepEqual([notice.endpoint, notice.service, notice.limit], [limited.id, 'desk', limit])
+    assert.match(formatNotices([notice]), new RegExp(`${limited.id}  service desk  limit ${limit}/s  known for \\d+\\.\\d s, told by (gateway|registry)-\\d`))
     assert.ok(statuses.every(status => status === 200), 'the other endpoints serve the rest')
   })
 }
@@ -64,9 +64,9 @@
   const isKnown = (gateway: GatewayBox): boolean => gateway.fleet.findView(limited.id as never)?.gate.limit === 1
   await until(async () => {
     await call(100)
-    return place.gateways.every(isKnown)
+    return deployment.gateways.every(isKnown)
   }, 'the others know it')
-  const gateway = await place.startGateway(gateways)
+  const gateway = await deployment.startGateway(gateways)
   await until(() => gateway.isReady && gateway.fleet.findView(limited.id as never) !== undefined, 'the gateway serves')
   assert.ok(isKnown(gateway))
   limited.limit = null
--- a/test/registry-follower.test.ts
+++ b/test/registry-follower.test.ts
@@ -36,9 +36,9 @@
 }
 
 /** A follower before a registry that the test plays. */
-class Stage {
-  readonly asked: number[] = []
-  readonly taken: number[] = []
+class FakeRegistry {
+  readonly requests: number[] = []
+  readonly applied: number[] = []
   #links: LinkPool<RouteMessage>
   #follower: RegistryFollower
   #link: Link<RouteMessage> | null = null
@@ -57,70 +57,70 @@
     })
     this.#follower = createFollower(now, ({ version, text }) => {
       assert.equal(text, compose(version).text)
-      this.taken.push(version)
+      this.applied.push(version)
     })
   }
 
   /** `others`: registries that are never reached. */
-  static async run (play: (stage: Stage) => Promise<void>, others: readonly string[] = [], now = () => performance.now()): Promise<void> {
-    const stage = new Stage(now)
-    await stage.#links.listen(host, linkPort)
-    stage.#follower.start([`${host}:1`, ...others])
+  static async run (scenario: (stage: FakeRegistry) => Promise<void>, others: readonly string[] = [], now = () => performance.now()): Promise<void> {
+    const registry = new FakeRegistry(now)
+    await registry.#links.listen(host, linkPort)
+    registry.#follower.start([`${host}:1`, ...others])
     try {
-      await until(() => stage.#link !== null, 'the follower presents itself')
-      await play(stage)
+      await until(() => registry.#link !== null, 'the follower presents itself')
+      await scenario(registry)
     } finally {
-      stage.#follower.close()
-      stage.#links.close()
+      registry.#follower.close()
+      registry.#links.close()
     }
   }
 
-  name (version: number, isCurrent = false): void { this.#link?.send({ type: 'version', version, isCurrent }) }
-  give (document: PackedDocument): void { this.#link?.send({ type: 'document', document }) }
+  announce (version: number, isCurrent = false): void { this.#link?.send({ type: 'version', version, isCurrent }) }
+  send (document: PackedDocument): void { this.#link?.send({ type: 'document', document }) }
 
   #receive (link: Link<RouteMessage>, message: RouteMessage): void {
     if (message.type === 'gateway-hello') this.#link = link
-    if (message.type === 'ask-document') this.asked.push(message.held)
+    if (message.type === 'ask-document') this.requests.push(message.held)
   }
 }
 
-test('versions that are named while an answer is on its way are not asked for, and told against what came', () => Stage.run(async stage => {
-  stage.name(3)
-  await until(() => stage.asked.length === 1, 'the first asked for')
-  for (const version of [4, 5, 6]) stage.name(version)
-  stage.give(packDocument(compose(3), null))
-  await until(() => stage.asked.length === 2, 'the newest asked for')
-  stage.give(packDocument(compose(6), compose(3)))
-  await until(() => stage.taken.length === 2, 'both taken')
-  assert.deepEqual([stage.asked, stage.taken], [[0, 3], [3, 6]])
+test('versions that are named while an answer is on its way are not asked for, and told against what came', () => FakeRegistry.run(async registry => {
+  registry.announce(3)
+  await until(() => registry.requests.length === 1, 'the first asked for')
+  for (const version of [4, 5, 6]) registry.announce(version)
+  registry.send(packDocument(compose(3), null))
+  await until(() => registry.requests.length === 2, 'the newest asked for')
+  registry.send(packDocument(compose(6), compose(3)))
+  await until(() => registry.applied.length === 2, 'both taken')
+  assert.deepEqual([registry.requests, registry.applied], [[0, 3], [3, 6]])
 }))
 
-test('a document that can\'t be made out is asked for whole, and one told against an older version for what changed', () => Stage.run(async stage => {
-  stage.name(3)
-  await until(() => stage.asked.length === 1, 'the first asked for')
-  stage.give(packDocument(compose(3), null))
-  await until(() => stage.taken.length === 1, 'the first taken')
-  stage.name(4)
-  await until(() => stage.asked.length === 2, 'the change asked for')
-  stage.give({ ...packDocument(compose(4), compose(3)), digest: Buffer.alloc(32) })
-  await until(() => stage.asked.length === 3, 'asked again')
-  stage.give(packDocument(compose(4), compose(2)))
-  await until(() => stage.asked.length === 4, 'asked once more')
-  stage.give(packDocument(compose(4), compose(3)))
-  await until(() => stage.taken.length === 2, 'the second taken')
-  assert.deepEqual([stage.asked, stage.taken], [[0, 3, 0, 3], [3, 4]])
+test('a document that can\'t be made out is asked for whole, and one told against an older version for what changed', () => FakeRegistry.run(async registry => {
+  registry.announce(3)
+  await until(() => registry.requests.length === 1, 'the first asked for')
+  registry.send(packDocument(compose(3), null))
+  await until(() => registry.applied.length === 1, 'the first taken')
+  registry.announce(4)
+  await until(() => registry.requests.length === 2, 'the change asked for')
+  registry.send({ ...packDocument(compose(4), compose(3)), digest: Buffer.alloc(32) })
+  await until(() => registry.requests.length === 3, 'asked again')
+  registry.send(packDocument(compose(4), compose(2)))
+  await until(() => registry.requests.length === 4, 'asked once more')
+  registry.send(packDocument(compose(4), compose(3)))
+  await until(() => registry.applied.length === 2, 'the second taken')
+  assert.deepEqual([registry.requests, registry.applied], [[0, 3, 0, 3], [3, 4]])
 }))
 
 // Gateways that start beside a registry that is lost waited each time for what it might have named.
 test('a document is asked for at once where a registry is sure of it, and not before where none is', () => {
   const startedAt = performance.now()
-  return Stage.run(async stage => {
-    stage.name(3)
-    stage.name(4, true)
-    await until(() => stage.asked.length === 1, 'the sure one asked for')
-    stage.give(packDocument(compose(4), null))
-    await until(() => stage.taken.length === 1, 'it is taken')
-    assert.deepEqual([stage.asked, stage.taken], [[0], [4]])
+  return FakeRegistry.run(async registry => {
+    registry.announce(3)
+    registry.announce(4, true)
+    await until(() => registry.requests.length === 1, 'the sure one asked for')
+    registry.send(packDocument(compose(4), null))
+    await until(() => registry.applied.length === 1, 'it is taken')
+    assert.deepEqual([registry.requests, registry.applied], [[0], [4]])
   }, ['127.44.0.9:1'], () => startedAt)
 })
 
--- a/test/repeat-rules.test.ts
+++ b/test/repeat-rules.test.ts
@@ -9,32 +9,32 @@
 }
 
 // For each kind of route: whether a request may go elsewhere after [unreachable, unreachable after an earlier send, broken].
-const kinds: readonly { name: string, route: Route, goesOn: readonly [boolean, boolean, boolean] }[] = [
-  { name: 'may run once', route: createRoute({ kind: 'once' }), goesOn: [true, false, false] },
-  { name: 'may be repeated', route: createRoute({ kind: 'repeatable' }), goesOn: [true, true, true] },
-  { name: 'a stream that can\'t be continued', route: createRoute({ kind: 'events' }), goesOn: [true, false, false] },
-  { name: 'a stream that can', route: createRoute({ kind: 'events', resumable: true }), goesOn: [true, true, true] },
-  { name: 'resumable means nothing without events', route: createRoute({ kind: 'once', resumable: true }), goesOn: [true, false, false] }
+const kinds: readonly { name: string, route: Route, mayRetry: readonly [boolean, boolean, boolean] }[] = [
+  { name: 'may run once', route: createRoute({ kind: 'once' }), mayRetry: [true, false, false] },
+  { name: 'may be repeated', route: createRoute({ kind: 'repeatable' }), mayRetry: [true, true, true] },
+  { name: 'a stream that can\'t be continued', route: createRoute({ kind: 'events' }), mayRetry: [true, false, false] },
+  { name: 'a stream that can', route: createRoute({ kind: 'events', resumable: true }), mayRetry: [true, true, true] },
+  { name: 'resumable means nothing without events', route: createRoute({ kind: 'once', resumable: true }), mayRetry: [true, false, false] }
 ]
 
-for (const { name, route, goesOn } of kinds) {
+for (const { name, route, mayRetry } of kinds) {
   test(`what a failure allows: ${name}`, () => {
-    assert.deepEqual([mayGoOn(route, 'unreachable', false), mayGoOn(route, 'unreachable', true), mayGoOn(route, 'broken', true)], goesOn)
+    assert.deepEqual([mayGoOn(route, 'unreachable', false), mayGoOn(route, 'unreachable', true), mayGoOn(route, 'broken', true)], mayRetry)
   })
 }
 
-const sends: readonly { attempts: number, unreachable: number, most: number, allowed: ReturnType<typeof allowSend> }[] = [
-  { attempts: 0, unreachable: 0, most: 1, allowed: 'free' },
-  { attempts: 1, unreachable: 0, most: 1, allowed: 'no' },
-  { attempts: 1, unreachable: 0, most: 2, allowed: 'paid' },
-  { attempts: 2, unreachable: 0, most: 2, allowed: 'no' },
-  { attempts: 3, unreachable: 3, most: 1, allowed: 'free' },
-  { attempts: 3, unreachable: 2, most: 2, allowed: 'paid' },
-  { attempts: 4, unreachable: 4, most: 9, allowed: 'no' }
+const sends: readonly { attempts: number, unreachable: number, maxAttempts: number, allowed: ReturnType<typeof allowSend> }[] = [
+  { attempts: 0, unreachable: 0, maxAttempts: 1, allowed: 'free' },
+  { attempts: 1, unreachable: 0, maxAttempts: 1, allowed: 'no' },
+  { attempts: 1, unreachable: 0, maxAttempts: 2, allowed: 'paid' },
+  { attempts: 2, unreachable: 0, maxAttempts: 2, allowed: 'no' },
+  { attempts: 3, unreachable: 3, maxAttempts: 1, allowed: 'free' },
+  { attempts: 3, unreachable: 2, maxAttempts: 2, allowed: 'paid' },
+  { attempts: 4, unreachable: 4, maxAttempts: 9, allowed: 'no' }
 ]
 
 test('one more send is free, paid or not allowed', () => {
-  for (const { attempts, unreachable, most, allowed } of sends) assert.equal(allowSend(createRoute({ mostAttempts: most }), { attempts, unreachable }), allowed, `${attempts} ${unreachable} ${most}`)
+  for (const { attempts, unreachable, maxAttempts, allowed } of sends) assert.equal(allowSend(createRoute({ mostAttempts: maxAttempts }), { attempts, unreachable }), allowed, `${attempts} ${unreachable} ${maxAttempts}`)
 })
 
 test('a stream may be silent for some of its pauses, and for a least time', () => {
--- a/test/routes-path.test.ts
+++ b/test/routes-path.test.ts
@@ -7,17 +7,17 @@
 import { RouteDeployment, composeDocument } from './support/route-deployment.js'
 import type { CallAnswer } from './support/route-deployment.js'
 
-let place: RouteDeployment
+let deployment: RouteDeployment
 let first: StandinEndpoint
 let second: StandinEndpoint
 
 before(async () => {
-  place = await RouteDeployment.start({ number: 11, registries: 1, gateways: 1 })
-  await place.putDocument(composeDocument(1))
-  first = await place.addEndpoint('desk')
-  second = await place.addEndpoint('desk')
+  deployment = await RouteDeployment.start({ number: 11, registries: 1, gateways: 1 })
+  await deployment.putDocument(composeDocument(1))
+  first = await deployment.addEndpoint('desk')
+  second = await deployment.addEndpoint('desk')
 })
-after(() => place.stop())
+after(() => deployment.stop())
 
 function composeStream (path: string, from: number, to: number): string {
   return Array.from({ length: to - from + 1 }, (_, i) => composeEvent(path, from + i)).join('')
@@ -25,8 +25,8 @@
 
 // Until both endpoints are trusted again, each after an answer of its own.
 async function settle (): Promise<void> {
-  const isGood = (endpoint: StandinEndpoint): boolean => place.gateways[0].fleet.findView(endpoint.id as never)?.trust.look(performance.now()) === 'good'
-  await until(async () => (await place.ask('/again/x', { method: 'GET', body: '' })).status === 200 && isGood(first) && isGood(second), 'both endpoints trusted')
+  const isGood = (endpoint: StandinEndpoint): boolean => deployment.gateways[0].fleet.findView(endpoint.id as never)?.trust.look(performance.now()) === 'good'
+  await until(async () => (await deployment.ask('/again/x', { method: 'GET', body: '' })).status === 200 && isGood(first) && isGood(second), 'both endpoints trusted')
 }
 
 function countRuns (requestId: string): number {
@@ -45,7 +45,7 @@
   test(`${name} is passed on byte for byte`, async () => {
     const requestId = `served ${name}`
     const headers: Record<string, string> = name.startsWith('events after') ? { 'last-event-id': '5' } : {}
-    const answer = await place.ask(path, { requestId, method, body, headers })
+    const answer = await deployment.ask(path, { requestId, method, body, headers })
     assert.deepEqual([answer.status, answer.isWhole, answer.body], [200, true, expected(requestId)])
     assert.equal(answer.headers['x-wrenlane-request-id'], requestId)
     const run = [first, second].flatMap(endpoint => endpoint.runs).find(one => one.requestId === requestId)
@@ -67,32 +67,32 @@
 for (const { name, path, more, status } of refused) {
   test(`${name}: ${status}, and nothing runs`, async () => {
     const requestId = `refused ${name}`
-    assert.equal((await place.ask(path, { requestId, ...more })).status, status)
+    assert.equal((await deployment.ask(path, { requestId, ...more })).status, status)
     assert.equal(countRuns(requestId), 0)
   })
 }
 
 test('a request whose headers come too late is told that it did not run, and does not, though its rest comes', async () => {
   const { connect } = await import('node:net')
-  await place.putDocument(composeDocument(2, { limits: { headerMs: 200 } }))
-  const socket = connect({ host: place.gatewayHost(0), port: 7003, allowHalfOpen: true })
+  await deployment.putDocument(composeDocument(2, { limits: { headerMs: 200 } }))
+  const socket = connect({ host: deployment.gatewayHost(0), port: 7003, allowHalfOpen: true })
   let answer = ''
   socket.on('data', (chunk: Buffer) => { answer += chunk.toString() })
   socket.on('error', () => {})
-  const headers = { host: 'camp.example', ...place.spoken.composeCall('late headers', 'test-key', 5000) }
+  const headers = { host: 'camp.example', ...deployment.spoken.composeCall('late headers', 'test-key', 5000) }
   const lines = Object.entries(headers).map(([name, value]) => `${name}: ${value}\r\n`)
   socket.write(`POST /once/x HTTP/1.1\r\n${lines.join('')}`)
   // The rest comes just as the answer does.
   await until(() => answer.startsWith('HTTP/1.1 408'), 'the answer')
   socket.write('content-length: 0\r\n\r\n')
-  await place.ask('/once/x')
+  await deployment.ask('/once/x')
   await settle()
   assert.equal(countRuns('late headers'), 0)
   socket.destroy()
 })
 
 test('a public route needs no key', async () => {
-  assert.equal((await place.ask('/public/x', { keyed: false })).status, 200)
+  assert.equal((await deployment.ask('/public/x', { keyed: false })).status, 200)
 })
 
 /** What a caller gets, and how often its request runs, where both endpoints fail alike. */
@@ -122,7 +122,7 @@
     first.fault = fault
     second.fault = fault
     try {
-      const answer = await place.ask(path, { requestId })
+      const answer = await deployment.ask(path, { requestId })
       assert.deepEqual([answer.status, answer.isWhole, countRuns(requestId)], [status, isWhole, runs])
       if (status === 503) assert.ok(Number(answer.headers['retry-after']) > 0)
     } finally {
@@ -139,7 +139,7 @@
     endpoint.fault = { type: 'break', afterEvents: 3 }
     const other = endpoint === first ? second : first
     // Whichever is chosen first: where it's the sound one, the answer is whole at once.
-    const answer = await place.ask('/resume/events-8', { requestId })
+    const answer = await deployment.ask('/resume/events-8', { requestId })
     endpoint.fault = { type: 'none' }
     assert.deepEqual([answer.status, answer.isWhole, answer.body], [200, true, composeStream('/resume/events-8', 1, 8)])
     const resumed = other.runs.find(run => run.requestId === requestId)
@@ -154,13 +154,13 @@
     const requestId = `broken twice ${i}`
     first.fault = { type: 'break', afterEvents: 3 }
     second.fault = { type: 'error' }
-    const answer = await place.ask('/resume/events-8', { requestId })
+    const answer = await deployment.ask('/resume/events-8', { requestId })
     first.fault = second.fault = { type: 'none' }
     isCovered = first.runs.some(run => run.requestId === requestId && run.headers['last-event-id'] === undefined) && answer.status === 200
     if (isCovered) assert.deepEqual([answer.isWhole, answer.body], [false, composeStream('/resume/events-8', 1, 3)])
     await settle()
   }
-  assert.equal((await place.ask('/once/x')).status, 200)
+  assert.equal((await deployment.ask('/once/x')).status, 200)
 })
 
 test('a second send after an endpoint\'s own failure takes one from the retry budget', async () => {
@@ -184,7 +184,7 @@
   const agent = new Agent({ keepAlive: true, maxSockets: 1 })
   for (let i = 0; i < 20; i++) {
     const requestId = `surplus ${i}`
-    const answer = await place.ask('/once/x', { requestId, agent })
+    const answer = await deployment.ask('/once/x', { requestId, agent })
     assert.equal(answer.body, composeWhole({ requestId, method: 'POST', path: '/once/x', body: 'a body' }))
   }
   agent.destroy()
@@ -196,14 +196,14 @@
   const { port } = second
   second.close()
   const { StandinEndpoint: Standin } = await import('../src/standin/index.js')
-  const stranger = new Standin('stranger', place.spoken.endpointHeaders)
-  await stranger.listen(place.endpointHost, port)
+  const stranger = new Standin('stranger', deployment.spoken.endpointHeaders)
+  await stranger.listen(deployment.endpointHost, port)
   try {
-    for (let i = 0; i < 8; i++) assert.equal((await place.ask('/once/x')).status, 200)
+    for (let i = 0; i < 8; i++) assert.equal((await deployment.ask('/once/x')).status, 200)
     assert.equal(stranger.runs.length, 0)
   } finally {
     stranger.close()
-    await second.listen(place.endpointHost, port)
+    await second.listen(deployment.endpointHost, port)
     await settle()
   }
 })
@@ -212,7 +212,7 @@
   first.eventMs = second.eventMs = 30
   const requestId = 'left'
   const { request } = await import('node:http')
-  const asked = request({ host: place.gatewayHost(0), port: 7003, method: 'POST', path: '/stream/events-500', headers: { host: 'camp.example', ...place.spoken.composeCall(requestId, 'test-key', 5000) } })
+  const asked = request({ host: deployment.gatewayHost(0), port: 7003, method: 'POST', path: '/stream/events-500', headers: { host: 'camp.example', ...deployment.spoken.composeCall(requestId, 'test-key', 5000) } })
   asked.on('error', () => {})
   asked.end('x')
   await until(() => countRuns(requestId) === 1, 'the run')
@@ -224,12 +224,12 @@
 test('a request is given up at the end of its route\'s time with a final answer at once', async () => {
   first.fault = second.fault = { type: 'hang' }
   const startedAt = performance.now()
-  const answer = await place.ask('/once/x', { deadlineMs: 300 })
+  const answer = await deployment.ask('/once/x', { deadlineMs: 300 })
   const took = performance.now() - startedAt
   first.fault = second.fault = { type: 'none' }
   assert.equal(answer.status, 504)
   assert.ok(took >= 290, String(took))
-  await until(async () => (await place.ask('/again/x')).status === 200, 'served again')
+  await until(async () => (await deployment.ask('/again/x')).status === 200, 'served again')
 })
 
 test('an endpoint that drains gets no new work, and ends what it has', async () => {
@@ -237,15 +237,15 @@
   const long: Array<Promise<CallAnswer>> = []
   await until(() => {
     if (first.runs.some(run => run.requestId.startsWith('draining'))) return true
-    long.push(place.ask('/stream/events-60', { requestId: `draining ${long.length}` }))
+    long.push(deployment.ask('/stream/events-60', { requestId: `draining ${long.length}` }))
     return false
   }, 'work at the first')
-  await place.register(first, 'desk', 'draining')
-  await until(() => place.gateways[0].fleet.findView(first.id as never)?.record.stage === 'draining', 'the drain known')
+  await deployment.register(first, 'desk', 'draining')
+  await until(() => deployment.gateways[0].fleet.findView(first.id as never)?.record.stage === 'draining', 'the drain known')
   const before = first.runs.length
-  for (let i = 0; i < 10; i++) assert.equal((await place.ask('/again/x')).status, 200)
+  for (let i = 0; i < 10; i++) assert.equal((await deployment.ask('/again/x')).status, 200)
   assert.equal(first.runs.length, before)
   for (const answer of await Promise.all(long)) assert.ok(answer.isWhole)
-  await place.register(first, 'desk', 'ready')
-  await until(() => place.gateways[0].fleet.findView(first.id as never)?.record.stage === 'ready', 'ready again')
+  await deployment.register(first, 'desk', 'ready')
+  await until(() => deployment.gateways[0].fleet.findView(first.id as never)?.record.stage === 'ready', 'ready again')
 })
--- a/test/send-course.test.ts
+++ b/test/send-course.test.ts
@@ -24,53 +24,53 @@
 const unsent: SendEnd = { type: 'given-up', wasWritten: false }
 
 /** What each end of a send leads to: another send, the endpoint's answer, or an error of this kind. */
-const courses: readonly { readonly name: string, readonly route: Route, readonly ends: readonly SendEnd[], readonly steps: readonly string[], readonly retries?: number }[] = [
-  { name: 'nobody reached, nothing may run twice', route: once, ends: [unreachable, unreachable], steps: ['send', 'send'] },
-  { name: 'nobody reached four times', route: once, ends: [unreachable, unreachable, unreachable, unreachable], steps: ['send', 'send', 'send', 'no-engine'] },
-  { name: 'a broken send that may not be repeated', route: once, ends: [broken], steps: ['engine-failed'] },
-  { name: 'a broken send that may be', route: again, ends: [broken, broken], steps: ['send', 'engine-failed'] },
-  { name: 'a broken stream that can\'t be continued', route: events, ends: [broken], steps: ['engine-failed'] },
-  { name: 'a broken stream that can', route: resumable, ends: [broken], steps: ['send'] },
-  { name: 'full, then full again', route: once, ends: [full, full], steps: ['send', 'overloaded'] },
-  { name: 'broken, then nobody has room', route: again, ends: [broken, none], steps: ['send', 'engine-failed'] },
-  { name: 'broken, then full', route: again, ends: [broken, full], steps: ['send', 'engine-failed'] },
-  { name: 'another endpoint at the address, which costs no retry', route: once, ends: [other, other], steps: ['send', 'send'], retries: 0 },
-  { name: 'a failure of its own that may not be repeated', route: once, ends: [failed], steps: ['pass'] },
-  { name: 'one that may be, and no time left after it', route: again, ends: [failed, unsent], steps: ['send', 'engine-timeout'] },
-  { name: 'one that may be, without a retry left', route: again, ends: [failed], steps: ['pass'], retries: 0 },
-  { name: 'broken without a retry left', route: again, ends: [broken], steps: ['engine-failed'], retries: 0 },
-  { name: 'nobody known', route: once, ends: [{ type: 'unplaced', why: 'none-known' }], steps: ['no-engine'] },
-  { name: 'no answer in time', route: once, ends: [late], steps: ['engine-timeout'] },
-  { name: 'never sent in time', route: once, ends: [unsent], steps: ['overloaded'] },
-  { name: 'an answer', route: once, ends: [{ type: 'answered', status: 404 }], steps: ['pass'] },
-  { name: 'an answer whose status would say that it did not run', route: once, ends: [{ type: 'answered', status: 429 }], steps: ['engine-failed'] }
+const cases: readonly { readonly name: string, readonly route: Route, readonly outcomes: readonly SendEnd[], readonly steps: readonly string[], readonly retries?: number }[] = [
+  { name: 'nobody reached, nothing may run twice', route: once, outcomes: [unreachable, unreachable], steps: ['send', 'send'] },
+  { name: 'nobody reached four times', route: once, outcomes: [unreachable, unreachable, unreachable, unreachable], steps: ['send', 'send', 'send', 'no-engine'] },
+  { name: 'a broken send that may not be repeated', route: once, outcomes: [broken], steps: ['engine-failed'] },
+  { name: 'a broken send that may be', route: again, outcomes: [broken, broken], steps: ['send', 'engine-failed'] },
+  { name: 'a broken stream that can\'t be continued', route: events, outcomes: [broken], steps: ['engine-failed'] },
+  { name: 'a broken stream that can', route: resumable, outcomes: [broken], steps: ['send'] },
+  { name: 'full, then full again', route: once, outcomes: [full, full], steps: ['send', 'overloaded'] },
+  { name: 'broken, then nobody has room', route: again, outcomes: [broken, none], steps: ['send', 'engine-failed'] },
+  { name: 'broken, then full', route: again, outcomes: [broken, full], steps: ['send', 'engine-failed'] },
+  { name: 'another endpoint at the address, which costs no retry', route: once, outcomes: [other, other], steps: ['send', 'send'], retries: 0 },
+  { name: 'a failure of its own that may not be repeated', route: once, outcomes: [failed], steps: ['pass'] },
+  { name: 'one that may be, and no time left after it', route: again, outcomes: [failed, unsent], steps: ['send', 'engine-timeout'] },
+  { name: 'one that may be, without a retry left', route: again, outcomes: [failed], steps: ['pass'], retries: 0 },
+  { name: 'broken without a retry left', route: again, outcomes: [broken], steps: ['engine-failed'], retries: 0 },
+  { name: 'nobody known', route: once, outcomes: [{ type: 'unplaced', why: 'none-known' }], steps: ['no-engine'] },
+  { name: 'no answer in time', route: once, outcomes: [late], steps: ['engine-timeout'] },
+  { name: 'never sent in time', route: once, outcomes: [unsent], steps: ['overloaded'] },
+  { name: 'an answer', route: once, outcomes: [{ type: 'answered', status: 404 }], steps: ['pass'] },
+  { name: 'an answer whose status would say that it did not run', route: once, outcomes: [{ type: 'answered', status: 429 }], steps: ['engine-failed'] }
 ]
 
 function describeStep (step: NextStep): string {
   return step.type === 'refuse' ? step.refusal.kind : step.type
 }
 
-for (const { name, route, ends, steps, retries = 9 } of courses) {
+for (const { name, route, outcomes, steps, retries = 9 } of cases) {
   test(`after ${name}`, () => {
     let left = retries
-    const course = new SendCourse(route, () => left-- > 0)
-    const taken = ends.map(end => {
-      course.noteSend()
-      return describeStep(course.decide(end))
+    const policy = new SendCourse(route, () => left-- > 0)
+    const taken = outcomes.map(outcome => {
+      policy.noteSend()
+      return describeStep(policy.decide(outcome))
     })
     assert.deepEqual(taken, steps)
   })
 }
 
 test('whatever happens, what may have run is not sent again unless it may be repeated, and never called not run', () => {
-  const end = fc.constantFrom<SendEnd>(unreachable, broken, full, other, failed, none, late, unsent, { type: 'answered', status: 503 })
-  fc.assert(fc.property(fc.constantFrom(once, again, events, resumable), fc.array(end, { minLength: 1, maxLength: 8 }), fc.boolean(), (route, ends, hasRetries) => {
-    const course = new SendCourse(route, () => hasRetries)
+  const outcome = fc.constantFrom<SendEnd>(unreachable, broken, full, other, failed, none, late, unsent, { type: 'answered', status: 503 })
+  fc.assert(fc.property(fc.constantFrom(once, again, events, resumable), fc.array(outcome, { minLength: 1, maxLength: 8 }), fc.boolean(), (route, outcomes, hasRetries) => {
+    const policy = new SendCourse(route, () => hasRetries)
     const mayRepeat = route === again || route === resumable
     let mayHaveRun = false
-    for (const one of ends) {
-      course.noteSend()
-      const step = course.decide(one)
+    for (const one of outcomes) {
+      policy.noteSend()
+      const step = policy.decide(one)
       mayHaveRun ||= one === broken || one === failed || one === late || one.type === 'answered'
       if (step.type === 'send') assert.ok(mayRepeat || !mayHaveRun)
       if (step.type === 'refuse' && mayHaveRun) assert.notEqual(lookUpError(step.refusal.kind).outcome, 'not-run')
--- a/test/support/route-deployment.ts
+++ b/test/support/route-deployment.ts
@@ -85,11 +85,11 @@
 
   /** Starts the boxes; the log is formed, no document is in force. */
   static async start (shape: RouteShape): Promise<RouteDeployment> {
-    const place = new RouteDeployment(shape)
-    for (let i = 0; i < (shape.registries ?? 3); i++) await place.startRegistry(i, true)
-    for (let i = 0; i < (shape.gateways ?? 1); i++) await place.startGateway(i)
-    await until(() => place.registries.some(one => one?.keeperLog.isLeader === true), 'a leader')
-    return place
+    const deployment = new RouteDeployment(shape)
+    for (let i = 0; i < (shape.registries ?? 3); i++) await deployment.startRegistry(i, true)
+    for (let i = 0; i < (shape.gateways ?? 1); i++) await deployment.startGateway(i)
+    await until(() => deployment.registries.some(one => one?.keeperLog.isLeader === true), 'a leader')
+    return deployment
   }
 
   registryHost (i: number): string { return `127.${this.shape.number}.0.${i + 1}` }
@@ -123,7 +123,7 @@
       lostMs: 30_000,
       maxBodyBytes: 2 ** 20,
       ...this.shape.registry
-    }, { dialect: this.spoken.dialect, ...this.#around(`registry-${i}`) })
+    }, { dialect: this.spoken.dialect, ...this.#createDependencies(`registry-${i}`) })
     this.registries[i] = box
     await box.start()
     return box
@@ -150,7 +150,7 @@
       drainSeconds: 8,
       maxConnections: 1000,
       ...this.shape.gateway
-    }, { dialect: this.spoken.dialect, ...this.#around(`gateway-${i}`) })
+    }, { dialect: this.spoken.dialect, ...this.#createDependencies(`gateway-${i}`) })
     this.gateways[i] = box
     await box.start()
     return box
@@ -208,7 +208,7 @@
     rmSync(this.folder, { recursive: true, force: true, maxRetries: 3 })
   }
 
-  #around (box: string) {
+  #createDependencies (box: string) {
     return { log: new EventLog(box, line => this.lines.push(line)), metrics: new Metrics(null, box), secret: null }
   }
 }
