--- a/test/crashing-requests.test.ts
+++ b/test/crashing-requests.test.ts
@@ -1,10 +1,8 @@
 /**
- * A request that crashed each endpoint that ran it came again and again, with
- * the same path, caller and body but each time another id, at any gateway. It
- * was sent 15 times more after three endpoints had ended under it, and 30 ended
- * in all: 28 sends of it broke off at 21 endpoints in 18 arrivals at 8 of 9
- * gateways, and its first arrivals ended as many as its last. An exchange knew
- * what it had tried itself, and nothing outlived it.
+ * Guards against a request that crashes every endpoint that runs it and is repeated with the same path, caller and body, but
+ * a new id, at any gateway. If each exchange knows only its own attempts, nothing stops the request: it was sent 15 more times
+ * after three endpoints had crashed, and 30 crashed in all. 28 of its sends broke off at 21 endpoints, in 18 arrivals at 8 of
+ * 9 gateways, and its first arrivals crashed as many endpoints as its last.
  */
 import assert from 'node:assert/strict'
 import { rmSync } from 'node:fs'
@@ -18,7 +16,7 @@
 
 const gateways = 4
 const endpoints = 8
-/** Until an endpoint that ended is back, ms. */
+/** Time until an endpoint that crashed is back, ms. */
 const downMs = 150
 let deployment: RouteDeployment
 
@@ -36,7 +34,7 @@
 
 async function awaitEndpoints (): Promise<void> { await sleep(2 * downMs) }
 
-/** Sends a request to one gateway after the other, each time once its last answer is there. */
+/** Sends a request to one gateway after the other, each time after the previous answer. */
 async function repeat (path: string, body: string, times: number): Promise<CallAnswer[]> {
   const answers: CallAnswer[] = []
   for (let i = 0; i < times; i++) {
@@ -46,7 +44,7 @@
   return answers
 }
 
-/** Ends under one request that are borne: three show what it is, and one may be under way. */
+/** Crashes per request that are accepted: three identify it as harmful, and one more send may be in flight. */
 const maxCrashes = 4
 const kinds = [
   { name: 'may be repeated', path: '/again/x' },
@@ -55,7 +53,7 @@
   { name: 'is a stream that is carried on elsewhere', path: '/resume/events-40' }
 ]
 
-test('a request that ends its endpoints ends few of them, and is then refused as not run, whichever gateway it comes to', async () => {
+test('a request that crashes endpoints crashes few of them, and is then refused as not run by every gateway', async () => {
   const ended: string[] = []
   for (const { name, path } of kinds) {
     const body = `${crashMark}: ${name}`
@@ -69,7 +67,7 @@
   assert.deepEqual(ended, kinds.flatMap(({ name }) => [`one that ${name}: few`, ...Array.from({ length: gateways }, () => 'refused')]))
 })
 
-test('one that came through one gateway first ends few endpoints more as it comes through all at once', async () => {
+test('a harmful request seen at one gateway crashes few more endpoints when it arrives at all gateways at once', async () => {
   const body = `${crashMark}: at one, then at all`
   await deployment.ask('/again/y', { body })
   await sleep(40)
@@ -81,7 +79,7 @@
   await awaitEndpoints()
 })
 
-test('a request that harms nobody is not refused for those that it runs beside, though it shares their path and caller and its sends end with theirs', async () => {
+test('a harmless request is not refused because of harmful ones beside it, though they share path and caller and its sends fail with theirs', async () => {
   const body = `${crashMark}: with others beside it`
   for (const endpoint of deployment.endpoints) endpoint.answerMs = 30
   const harmless = { isOver: false }
@@ -100,14 +98,14 @@
   await awaitEndpoints()
 })
 
-test('connections that are reset by endpoints that go on are no ends: nothing is refused for them', async () => {
+test('connections reset by endpoints that keep running don\'t count as crashes: nothing is refused for them', async () => {
   for (const endpoint of deployment.endpoints) endpoint.fault = { type: 'lose' }
   await repeat('/again/lost', 'its answer is lost', 8)
   for (const endpoint of deployment.endpoints) endpoint.fault = { type: 'none' }
   assert.equal((await deployment.ask('/again/lost', { body: 'its answer is lost' })).status, 200)
 })
 
-/** Sends a request until it is in quarantine, and gives its fingerprint. */
+/** Sends a request until it is in quarantine; resolves with its fingerprint. */
 async function quarantine (body: string): Promise<string> {
   await repeat('/again/q', body, 6)
   const entries = await listQuarantine()
@@ -120,7 +118,7 @@
   return JSON.parse((await deployment.operate('GET', '/v1/quarantine')).body) as { fingerprint: string, state: string, ends: number }[]
 }
 
-test('a gateway that starts anew, and one that starts beside registries that all began anew from their disks, refuse it at once', async () => {
+test('a request in quarantine is refused at once by a restarted gateway, also after all registries have restarted from their disks', async () => {
   const body = `${crashMark}: before the boxes were gone`
   await quarantine(body)
   const ended = countCrashes(body)
@@ -139,7 +137,7 @@
   assert.equal(countCrashes(body), ended)
 })
 
-test('a registry that comes back without its disk learns it from the others', async () => {
+test('a registry that restarts without its disk learns of the quarantine from the others', async () => {
   const body = `${crashMark}: while a registry was gone`
   deployment.registries[2]?.kill()
   const fingerprint = await quarantine(body)
@@ -148,7 +146,7 @@
   await until(async () => (await deployment.operate('GET', '/v1/quarantine', '', 2)).body.includes(fingerprint), 'the registry knows')
 })
 
-test('an operator sees what is refused and for what, and can lift it; it is then tried, and refused anew once more has ended', async () => {
+test('an operator can list a quarantine and lift it; the request is then tried, and refused again after another crash', async () => {
   const body = `${crashMark}: until an operator lifts it`
   const fingerprint = await quarantine(body)
   const ended = countCrashes(body)
@@ -166,8 +164,8 @@
   await awaitEndpoints()
 })
 
-// An answer that an endpoint lost told, with the endpoint's end seconds later, against a request that had nothing to do with it.
-test('a request whose answer an endpoint lost is not held against it when that endpoint ends later', async () => {
+// Guards against blaming a request for a crash when its answer was lost seconds before the endpoint crashed for another reason.
+test('a request whose answer was lost is not blamed when the endpoint crashes later', async () => {
   const body = 'its answer is lost, then the endpoint ends'
   for (const endpoint of deployment.endpoints) endpoint.fault = { type: 'lose' }
   assert.equal((await deployment.ask('/again/l', { body })).status, 502)
--- a/test/endpoint-backoff.test.ts
+++ b/test/endpoint-backoff.test.ts
@@ -27,7 +27,7 @@
 })
 after(() => deployment.stop())
 
-// Several callers at a time, so that all endpoints are used; resolves with the statuses that they got.
+// Runs several callers at once, so that all endpoints are used; resolves with the statuses that they got.
 async function call (gateway: number, ms: number): Promise<number[]> {
   const until = performance.now() + ms
   const statuses: number[] = []
@@ -40,9 +40,9 @@
   return statuses
 }
 
-test('an endpoint that asked a box to back off got more requests from it in that time', async () => {
+test('an endpoint that asks a box to back off gets almost no requests from it during that time', async () => {
   const [loaded] = endpoints
-  // An endpoint that was never used is taken last as it is.
+  // An endpoint that was never used is chosen last, so all are used first.
   await call(0, 1000)
   const before = loaded.arrivals.length
   loaded.backoff = { share: 1, seconds: 2 }
@@ -51,13 +51,13 @@
   const broken = arrivals.filter(askedAt => arrivals.filter(at => at > askedAt + toldMs && at < askedAt + 2000).length > mostInBackoff)
   assert.ok(arrivals.length > 0 && broken.length === 0, `${broken.length} of ${arrivals.length} times`)
   const refused = statuses.filter(status => status !== 200).length
-  assert.equal(refused, 0, 'whoever is turned away goes elsewhere')
+  assert.equal(refused, 0, 'refused requests are sent to other endpoints')
 })
 
-test('an endpoint that said on an answer that it leaves got new work later, from boxes that it had not told too', async () => {
+test('an endpoint that announces on an answer that it is leaving gets no new work, not even from boxes that it has not told', async () => {
   const [, leaving] = endpoints
   leaving.isLeaving = true
-  // Only the first box hears it from the endpoint itself.
+  // Only the first box learns it from the endpoint itself.
   await call(0, 300)
   const saidAt = performance.now()
   await sleep(200)
@@ -66,7 +66,7 @@
   assert.equal(late, 0)
 })
 
-test('where every endpoint asked to back off, callers hear the shortest time', async () => {
+test('if every endpoint asks to back off, callers get the shortest time in retry-after', async () => {
   const [first, , third] = endpoints
   first.backoff = { share: 1, seconds: 9 }
   third.backoff = { share: 1, seconds: 4 }
--- a/test/endpoint-lives.test.ts
+++ b/test/endpoint-lives.test.ts
@@ -1,7 +1,8 @@
 /**
- * An endpoint that starts again under its id holds and knows nothing of before.
- * Boxes took its first word, with a sequence of 1, for a late one of the life
- * before, until it counted as lost, and went on waiting for what that had run.
+ * A restarted endpoint keeps its id but none of its state. Guards against taking
+ * its first registration, with sequence 1, for a late one of the earlier
+ * incarnation: boxes would then wait for the requests that ran there until the
+ * endpoint counts as lost.
  */
 import assert from 'node:assert/strict'
 import { after, before, test } from 'node:test'
@@ -30,7 +31,7 @@
   return JSON.stringify({ service: 'desk', host: deployment.endpointHost, port: endpoint.port, zone: 'zone-a', slots: 8, stage: 'ready', ...more })
 }
 
-test('what runs at the earlier life of an endpoint is sent elsewhere as soon as the new one says where it is', async () => {
+test('requests at an earlier incarnation of an endpoint are sent elsewhere as soon as the new one registers', async () => {
   for (const endpoint of deployment.endpoints) endpoint.fault = { type: 'hang' }
   const asked = deployment.ask('/again/hangs', { requestId: 'hangs' })
   await until(() => deployment.endpoints.some(({ runs }) => runs.length > 0), 'it runs')
@@ -42,7 +43,7 @@
   assert.deepEqual([first.runs.length, second.runs.length], [1, 1])
 })
 
-test('a last word that names no life, right after the first of a new one, is taken for the earlier life\'s', async () => {
+test('a deregistration without an incarnation, right after a new one has registered, is taken to be the earlier incarnation\'s', async () => {
   const { id } = deployment.endpoints[0]
   const born = Date.now()
   await deployment.operate('PUT', `/v1/endpoints/${id}`, compose({ born, sequence: 1 }))
@@ -50,7 +51,7 @@
   assert.equal(findStage(id), 'ready')
 })
 
-test('a life that has ended as it said is over, and the next one has work again', async () => {
+test('an endpoint that deregistered is gone, and its next incarnation gets work again', async () => {
   const endpoint = await deployment.addEndpoint('desk')
   const { id } = endpoint
   await deployment.operate('DELETE', `/v1/endpoints/${id}`)
@@ -59,7 +60,7 @@
   await until(() => findStage(id) === 'ready' && deployment.gateways[0].fleet.findView(id as EndpointId) !== undefined, 'its next life is known')
 })
 
-test('a new life begins without what was believed of the earlier one', () => {
+test('a new incarnation starts without the state kept for the earlier one', () => {
   const fleet = createFleet([createRecord('e1', { born: 10, sequence: 50 })])
   const old = fleet.findView(brandId('e1'))
   old?.trust.noteUnreachable(0)
@@ -71,7 +72,7 @@
   assert.equal(fleet.listUsable(desk, 1).length, 1)
 })
 
-test('registries forget what an earlier life held of prompts', () => {
+test('registries forget the prompts that an earlier incarnation held', () => {
   const book = new PromptBook()
   book.note([[brandId('e1'), [['shared', 100]], true], [brandId('e2'), [['shared', 100]], true]])
   const { version } = book
--- a/test/prompt-fetch.test.ts
+++ b/test/prompt-fetch.test.ts
@@ -25,7 +25,7 @@
   return { status, fetchFrom: run?.headers[fetchHeader], endpoint: ran?.id ?? '' }
 }
 
-test('an engine that lacks a shared prompt takes it from the one that read it, also by way of another gateway', async () => {
+test('an engine without a shared prompt fetches it from the engine that processed it, also through another gateway', async () => {
   const first = await askFrom(0, 'first reader')
   assert.deepEqual([first.status, first.fetchFrom], [200, undefined])
   const holder = endpoints.find(({ id }) => id === first.endpoint)!
@@ -38,7 +38,7 @@
   assert.notEqual(second.endpoint, holder.id)
 })
 
-test('a caller can\'t name the engine from which a prompt is taken', async () => {
+test('a caller can\'t choose the engine from which a prompt is fetched', async () => {
   const { status, fetchFrom } = await askFrom(0, 'caller names one', { [fetchHeader]: '10.9.9.9:1' })
   assert.equal(status, 200)
   assert.notEqual(fetchFrom, '10.9.9.9:1')
--- a/test/rate-limits.test.ts
+++ b/test/rate-limits.test.ts
@@ -10,7 +10,7 @@
 import { RouteDeployment, composeDocument } from './support/route-deployment.js'
 
 const gateways = 4
-/** How long the limit is named, and how often each gateway is asked meanwhile, ms. */
+/** How long the limit is announced, and the pause between requests to each gateway during that time, ms. */
 const namedMs = 9000
 const pauseMs = 30
 
@@ -26,7 +26,7 @@
 })
 after(() => deployment.stop())
 
-// Asks every gateway again and again; resolves with the statuses that callers got.
+// Sends requests to every gateway repeatedly; resolves with the statuses that callers got.
 async function call (ms: number): Promise<number[]> {
   const until = performance.now() + ms
   const statuses: number[] = []
@@ -42,7 +42,7 @@
 }
 
 for (const limit of [2.6, 0.2]) {
-  test(`an endpoint that named a limit of ${limit} requests a second got more from all boxes together`, async () => {
+  test(`an endpoint with a limit of ${limit} requests per second gets no more from all boxes together`, async () => {
     await call(500)
     limited.limit = limit
     const namedAt = performance.now()
@@ -59,7 +59,7 @@
   })
 }
 
-test('a gateway that starts knew nothing of a limit when it began to serve', async () => {
+test('a new gateway knows of a limit when it begins to serve', async () => {
   limited.limit = 1
   const isKnown = (gateway: GatewayBox): boolean => gateway.fleet.findView(limited.id as never)?.gate.limit === 1
   await until(async () => {
--- a/test/registry-follower.test.ts
+++ b/test/registry-follower.test.ts
@@ -35,7 +35,7 @@
   })
 }
 
-/** A follower before a registry that the test plays. */
+/** A follower connected to a registry whose messages the test sends. */
 class FakeRegistry {
   readonly requests: number[] = []
   readonly applied: number[] = []
@@ -61,7 +61,7 @@
     })
   }
 
-  /** `others`: registries that are never reached. */
+  /** `others`: registries that are never reachable. */
   static async run (scenario: (stage: FakeRegistry) => Promise<void>, others: readonly string[] = [], now = () => performance.now()): Promise<void> {
     const registry = new FakeRegistry(now)
     await registry.#links.listen(host, linkPort)
@@ -84,7 +84,7 @@
   }
 }
 
-test('versions that are named while an answer is on its way are not asked for, and told against what came', () => FakeRegistry.run(async registry => {
+test('versions announced while an answer is on its way are skipped, and the newest is requested as a delta to that answer', () => FakeRegistry.run(async registry => {
   registry.announce(3)
   await until(() => registry.requests.length === 1, 'the first asked for')
   for (const version of [4, 5, 6]) registry.announce(version)
@@ -95,7 +95,7 @@
   assert.deepEqual([registry.requests, registry.applied], [[0, 3], [3, 6]])
 }))
 
-test('a document that can\'t be made out is asked for whole, and one told against an older version for what changed', () => FakeRegistry.run(async registry => {
+test('a delta that can\'t be applied leads to a request for the full document, one against an older version to a request for a new delta', () => FakeRegistry.run(async registry => {
   registry.announce(3)
   await until(() => registry.requests.length === 1, 'the first asked for')
   registry.send(packDocument(compose(3), null))
@@ -111,8 +111,8 @@
   assert.deepEqual([registry.requests, registry.applied], [[0, 3, 0, 3], [3, 4]])
 }))
 
-// Gateways that start beside a registry that is lost waited each time for what it might have named.
-test('a document is asked for at once where a registry is sure of it, and not before where none is', () => {
+// Guards against a delay on each start while a registry is down: gateways waited for the version that it might announce.
+test('a document is requested at once if a registry is sure that it is the newest, and not before', () => {
   const startedAt = performance.now()
   return FakeRegistry.run(async registry => {
     registry.announce(3)
@@ -124,9 +124,9 @@
   }, ['127.44.0.9:1'], () => startedAt)
 })
 
-// 194 gateways that start together called every seed at once: seeds took 0.4 s longer to start than other registries, and the log
-// waited for them.
-test('a gateway calls one registry at first, the others once it has a document', async () => {
+// Guards against overloading the seeds: when 194 gateways that started together dialled every seed at once, seeds took 0.4 s
+// longer to start than other registries, and the log waited for them.
+test('a gateway dials one registry first, and the others once it has a document', async () => {
   const hosts = ['127.44.0.2', '127.44.0.3', '127.44.0.4']
   const startedAt = performance.now()
   const called: string[] = []
@@ -147,7 +147,7 @@
     noteClosed: nothing,
     noteFault: nothing
   }))
-  // Before there is a document the clock stands; after that it goes on.
+  // The clock stands still until there is a document.
   let isRunning = false
   const follower = createFollower(() => isRunning ? performance.now() : startedAt, () => { isRunning = true })
   for (const [i, pool] of pools.entries()) await pool.listen(hosts[i], linkPort)
--- a/test/repeat-rules.test.ts
+++ b/test/repeat-rules.test.ts
@@ -2,28 +2,28 @@
 import { test } from 'node:test'
 import type { Route } from '../src/core/index.js'
 import { brandId } from '../src/core/index.js'
-import { allowSend, limitSilence, mayGoOn } from '../src/gateway/index.js'
+import { classifySend, computeMaxSilenceMs, mayRetryAfter } from '../src/gateway/index.js'
 
 function createRoute (more: Partial<Route>): Route {
   return { name: brandId('r'), host: 'h', prefix: '/', kind: 'once', timeoutMs: 1000, targetMs: 100, pauseMs: null, priority: 0, services: [], mostAttempts: 2, isPublic: false, resumable: false, ...more }
 }
 
-// For each kind of route: whether a request may go elsewhere after [unreachable, unreachable after an earlier send, broken].
+// For each kind of route: whether a request may be retried after [unreachable, unreachable after an earlier send, broken].
 const kinds: readonly { name: string, route: Route, mayRetry: readonly [boolean, boolean, boolean] }[] = [
   { name: 'may run once', route: createRoute({ kind: 'once' }), mayRetry: [true, false, false] },
   { name: 'may be repeated', route: createRoute({ kind: 'repeatable' }), mayRetry: [true, true, true] },
-  { name: 'a stream that can\'t be continued', route: createRoute({ kind: 'events' }), mayRetry: [true, false, false] },
-  { name: 'a stream that can', route: createRoute({ kind: 'events', resumable: true }), mayRetry: [true, true, true] },
-  { name: 'resumable means nothing without events', route: createRoute({ kind: 'once', resumable: true }), mayRetry: [true, false, false] }
+  { name: 'a stream that can\'t be resumed', route: createRoute({ kind: 'events' }), mayRetry: [true, false, false] },
+  { name: 'a stream that can be resumed', route: createRoute({ kind: 'events', resumable: true }), mayRetry: [true, true, true] },
+  { name: 'resumable has no effect without events', route: createRoute({ kind: 'once', resumable: true }), mayRetry: [true, false, false] }
 ]
 
 for (const { name, route, mayRetry } of kinds) {
-  test(`what a failure allows: ${name}`, () => {
-    assert.deepEqual([mayGoOn(route, 'unreachable', false), mayGoOn(route, 'unreachable', true), mayGoOn(route, 'broken', true)], mayRetry)
+  test(`retries after a failure: ${name}`, () => {
+    assert.deepEqual([mayRetryAfter(route, 'unreachable', false), mayRetryAfter(route, 'unreachable', true), mayRetryAfter(route, 'broken', true)], mayRetry)
   })
 }
 
-const sends: readonly { attempts: number, unreachable: number, maxAttempts: number, allowed: ReturnType<typeof allowSend> }[] = [
+const sends: readonly { attempts: number, unreachable: number, maxAttempts: number, allowed: ReturnType<typeof classifySend> }[] = [
   { attempts: 0, unreachable: 0, maxAttempts: 1, allowed: 'free' },
   { attempts: 1, unreachable: 0, maxAttempts: 1, allowed: 'no' },
   { attempts: 1, unreachable: 0, maxAttempts: 2, allowed: 'paid' },
@@ -34,9 +34,9 @@
 ]
 
 test('one more send is free, paid or not allowed', () => {
-  for (const { attempts, unreachable, maxAttempts, allowed } of sends) assert.equal(allowSend(createRoute({ mostAttempts: maxAttempts }), { attempts, unreachable }), allowed, `${attempts} ${unreachable} ${maxAttempts}`)
+  for (const { attempts, unreachable, maxAttempts, allowed } of sends) assert.equal(classifySend(createRoute({ mostAttempts: maxAttempts }), { attempts, unreachable }), allowed, `${attempts} ${unreachable} ${maxAttempts}`)
 })
 
-test('a stream may be silent for some of its pauses, and for a least time', () => {
-  assert.deepEqual([null, 50, 300].map(pauseMs => limitSilence(createRoute({ pauseMs }))), [600, 600, 1200])
+test('a stream may be silent for a multiple of its pause limit, and for at least a minimum time', () => {
+  assert.deepEqual([null, 50, 300].map(pauseMs => computeMaxSilenceMs(createRoute({ pauseMs }))), [600, 600, 1200])
 })
--- a/test/routes-path.test.ts
+++ b/test/routes-path.test.ts
@@ -23,7 +23,7 @@
   return Array.from({ length: to - from + 1 }, (_, i) => composeEvent(path, from + i)).join('')
 }
 
-// Until both endpoints are trusted again, each after an answer of its own.
+// Sends requests until both endpoints are trusted again, each after an answer of its own.
 async function settle (): Promise<void> {
   const isGood = (endpoint: StandinEndpoint): boolean => deployment.gateways[0].fleet.findView(endpoint.id as never)?.trust.look(performance.now()) === 'good'
   await until(async () => (await deployment.ask('/again/x', { method: 'GET', body: '' })).status === 200 && isGood(first) && isGood(second), 'both endpoints trusted')
@@ -42,7 +42,7 @@
 ]
 
 for (const { name, path, method, body, expected } of served) {
-  test(`${name} is passed on byte for byte`, async () => {
+  test(`${name}: relayed byte for byte`, async () => {
     const requestId = `served ${name}`
     const headers: Record<string, string> = name.startsWith('events after') ? { 'last-event-id': '5' } : {}
     const answer = await deployment.ask(path, { requestId, method, body, headers })
@@ -72,7 +72,7 @@
   })
 }
 
-test('a request whose headers come too late is told that it did not run, and does not, though its rest comes', async () => {
+test('a request whose headers arrive too late is refused as not run, and does not run though the rest of it arrives', async () => {
   const { connect } = await import('node:net')
   await deployment.putDocument(composeDocument(2, { limits: { headerMs: 200 } }))
   const socket = connect({ host: deployment.gatewayHost(0), port: 7003, allowHalfOpen: true })
@@ -82,7 +82,7 @@
   const headers = { host: 'camp.example', ...deployment.spoken.composeCall('late headers', 'test-key', 5000) }
   const lines = Object.entries(headers).map(([name, value]) => `${name}: ${value}\r\n`)
   socket.write(`POST /once/x HTTP/1.1\r\n${lines.join('')}`)
-  // The rest comes just as the answer does.
+  // The rest of the request arrives together with the answer.
   await until(() => answer.startsWith('HTTP/1.1 408'), 'the answer')
   socket.write('content-length: 0\r\n\r\n')
   await deployment.ask('/once/x')
@@ -95,7 +95,7 @@
   assert.equal((await deployment.ask('/public/x', { keyed: false })).status, 200)
 })
 
-/** What a caller gets, and how often its request runs, where both endpoints fail alike. */
+/** The answer to a caller and the number of runs of its request if both endpoints have the same fault. */
 const faults: readonly { fault: EndpointFault, path: string, status: number, runs: number, isWhole?: boolean }[] = [
   { fault: { type: 'full' }, path: '/once/x', status: 503, runs: 0 },
   { fault: { type: 'full' }, path: '/again/x', status: 503, runs: 0 },
@@ -117,7 +117,7 @@
 ]
 
 for (const { fault, path, status, runs, isWhole = true } of faults) {
-  test(`endpoints that ${fault.type}: ${path} gets ${status} and runs ${runs} times`, async () => {
+  test(`endpoint fault '${fault.type}': ${path} gets ${status} and runs ${runs} times`, async () => {
     const requestId = `fault ${fault.type} ${path}`
     first.fault = fault
     second.fault = fault
@@ -133,12 +133,12 @@
   })
 }
 
-test('a stream that may be resumed goes on at the other endpoint, each event once', async () => {
+test('a resumable stream continues at the other endpoint, with each event sent once', async () => {
   for (const endpoint of [first, second]) {
     const requestId = `resumed after ${endpoint.id}`
     endpoint.fault = { type: 'break', afterEvents: 3 }
     const other = endpoint === first ? second : first
-    // Whichever is chosen first: where it's the sound one, the answer is whole at once.
+    // Either endpoint may be chosen first; if it is the one without the fault, the answer is complete at once.
     const answer = await deployment.ask('/resume/events-8', { requestId })
     endpoint.fault = { type: 'none' }
     assert.deepEqual([answer.status, answer.isWhole, answer.body], [200, true, composeStream('/resume/events-8', 1, 8)])
@@ -148,8 +148,8 @@
   }
 })
 
-test('a stream whose continuation fails at the other endpoint ends as one that broke off', async () => {
-  // Until the one that breaks is chosen first: the balancer parts equals by lot.
+test('a stream whose continuation fails at the other endpoint is truncated', async () => {
+  // Repeats until the endpoint that breaks is chosen first: the balancer chooses at random between equal endpoints.
   for (let i = 0, isCovered = false; !isCovered; i++) {
     const requestId = `broken twice ${i}`
     first.fault = { type: 'break', afterEvents: 3 }
@@ -163,7 +163,7 @@
   assert.equal((await deployment.ask('/once/x')).status, 200)
 })
 
-test('a second send after an endpoint\'s own failure takes one from the retry budget', async () => {
+test('a retry after an endpoint\'s own error is taken from the retry budget', async () => {
   const tight = await RouteDeployment.start({ number: 12, registries: 1, gateways: 1, gateway: { retries: { ratio: 0, extra: 2.5, windowSeconds: 60 } } })
   try {
     await tight.putDocument(composeDocument(1))
@@ -178,7 +178,7 @@
   }
 })
 
-test('a surplus answer on a kept connection is never given to the next caller', async () => {
+test('a surplus answer on a keep-alive connection is never sent to the next caller', async () => {
   first.fault = { type: 'surplus' }
   second.fault = { type: 'surplus' }
   const agent = new Agent({ keepAlive: true, maxSockets: 1 })
@@ -192,7 +192,7 @@
   second.fault = { type: 'none' }
 })
 
-test('an endpoint whose address belongs to another one now does not run the request', async () => {
+test('a request to an address that another endpoint has taken over is not run there', async () => {
   const { port } = second
   second.close()
   const { StandinEndpoint: Standin } = await import('../src/standin/index.js')
@@ -208,7 +208,7 @@
   }
 })
 
-test('a caller that leaves has its request called off', async () => {
+test('the request of a caller that disconnects is cancelled', async () => {
   first.eventMs = second.eventMs = 30
   const requestId = 'left'
   const { request } = await import('node:http')
@@ -221,7 +221,7 @@
   first.eventMs = second.eventMs = 5
 })
 
-test('a request is given up at the end of its route\'s time with a final answer at once', async () => {
+test('a request gets its final answer as soon as its deadline passes', async () => {
   first.fault = second.fault = { type: 'hang' }
   const startedAt = performance.now()
   const answer = await deployment.ask('/once/x', { deadlineMs: 300 })
@@ -232,8 +232,8 @@
   await until(async () => (await deployment.ask('/again/x')).status === 200, 'served again')
 })
 
-test('an endpoint that drains gets no new work, and ends what it has', async () => {
-  // One that let a request run into its end is taken last for a while: work comes to it once the other is full.
+test('a draining endpoint gets no new work and finishes what it has', async () => {
+  // An endpoint at which a request timed out is chosen last for a while: it gets work once the other is full.
   const long: Array<Promise<CallAnswer>> = []
   await until(() => {
     if (first.runs.some(run => run.requestId.startsWith('draining'))) return true
--- a/test/send-course.test.ts
+++ b/test/send-course.test.ts
@@ -3,8 +3,8 @@
 import fc from 'fast-check'
 import type { Route } from '../src/core/index.js'
 import { brandId, lookUpError } from '../src/core/index.js'
-import { SendCourse } from '../src/gateway/index.js'
-import type { NextStep, SendEnd } from '../src/gateway/index.js'
+import { RetryPolicy } from '../src/gateway/index.js'
+import type { NextStep, SendOutcome } from '../src/gateway/index.js'
 
 function createRoute (more: Partial<Route>): Route {
   return { name: brandId('r'), host: 'h', prefix: '/', kind: 'once', timeoutMs: 1000, targetMs: 100, pauseMs: null, priority: 0, services: [], mostAttempts: 2, isPublic: false, resumable: false, ...more }
@@ -14,17 +14,17 @@
 const again = createRoute({ kind: 'repeatable' })
 const events = createRoute({ kind: 'events' })
 const resumable = createRoute({ kind: 'events', resumable: true })
-const unreachable: SendEnd = { type: 'broke', failure: 'unreachable', reason: 'refused' }
-const broken: SendEnd = { type: 'broke', failure: 'broken', reason: 'reset' }
-const full: SendEnd = { type: 'not-run', isOther: false, openMs: 0 }
-const other: SendEnd = { type: 'not-run', isOther: true, openMs: 0 }
-const failed: SendEnd = { type: 'failed' }
-const none: SendEnd = { type: 'unplaced', why: 'none-usable' }
-const late: SendEnd = { type: 'given-up', wasWritten: true }
-const unsent: SendEnd = { type: 'given-up', wasWritten: false }
+const unreachable: SendOutcome = { type: 'broke', failure: 'unreachable', reason: 'refused' }
+const broken: SendOutcome = { type: 'broke', failure: 'broken', reason: 'reset' }
+const full: SendOutcome = { type: 'not-run', isOther: false, openMs: 0 }
+const other: SendOutcome = { type: 'not-run', isOther: true, openMs: 0 }
+const failed: SendOutcome = { type: 'failed' }
+const none: SendOutcome = { type: 'unplaced', why: 'none-usable' }
+const late: SendOutcome = { type: 'given-up', wasWritten: true }
+const unsent: SendOutcome = { type: 'given-up', wasWritten: false }
 
-/** What each end of a send leads to: another send, the endpoint's answer, or an error of this kind. */
-const cases: readonly { readonly name: string, readonly route: Route, readonly outcomes: readonly SendEnd[], readonly steps: readonly string[], readonly retries?: number }[] = [
+/** The step after each outcome: another send, passing on the endpoint's answer, or an error of this kind. */
+const cases: readonly { readonly name: string, readonly route: Route, readonly outcomes: readonly SendOutcome[], readonly steps: readonly string[], readonly retries?: number }[] = [
   { name: 'nobody reached, nothing may run twice', route: once, outcomes: [unreachable, unreachable], steps: ['send', 'send'] },
   { name: 'nobody reached four times', route: once, outcomes: [unreachable, unreachable, unreachable, unreachable], steps: ['send', 'send', 'send', 'no-engine'] },
   { name: 'a broken send that may not be repeated', route: once, outcomes: [broken], steps: ['engine-failed'] },
@@ -53,7 +53,7 @@
 for (const { name, route, outcomes, steps, retries = 9 } of cases) {
   test(`after ${name}`, () => {
     let left = retries
-    const policy = new SendCourse(route, () => left-- > 0)
+    const policy = new RetryPolicy(route, () => left-- > 0)
     const taken = outcomes.map(outcome => {
       policy.noteSend()
       return describeStep(policy.decide(outcome))
@@ -62,10 +62,10 @@
   })
 }
 
-test('whatever happens, what may have run is not sent again unless it may be repeated, and never called not run', () => {
-  const outcome = fc.constantFrom<SendEnd>(unreachable, broken, full, other, failed, none, late, unsent, { type: 'answered', status: 503 })
+test('a request that may have run is not sent again unless it may be repeated, and is never reported as not run', () => {
+  const outcome = fc.constantFrom<SendOutcome>(unreachable, broken, full, other, failed, none, late, unsent, { type: 'answered', status: 503 })
   fc.assert(fc.property(fc.constantFrom(once, again, events, resumable), fc.array(outcome, { minLength: 1, maxLength: 8 }), fc.boolean(), (route, outcomes, hasRetries) => {
-    const policy = new SendCourse(route, () => hasRetries)
+    const policy = new RetryPolicy(route, () => hasRetries)
     const mayRepeat = route === again || route === resumable
     let mayHaveRun = false
     for (const one of outcomes) {
--- a/test/support/route-deployment.ts
+++ b/test/support/route-deployment.ts
@@ -1,7 +1,7 @@
 /**
- * Gateways, registries and stand-in endpoints in the test's process, over real
- * sockets and disks. Each box has a loopback address of its own, as boxes find
- * each other by address; the ports are alike on all.
+ * Gateways, registries and stand-in endpoints in the test's process, with real
+ * sockets and disks. Boxes find each other by address, so each has its own
+ * loopback address; the ports are the same on all.
  */
 import { mkdtempSync, rmSync } from 'node:fs'
 import { Agent, request as httpRequest } from 'node:http'
@@ -18,7 +18,7 @@
 import type { EndpointHeaders } from '../../src/standin/index.js'
 import { until } from './deployment.js'
 
-/** A dialect with what stand-ins and clients need to speak it. */
+/** A dialect with the parts that stand-ins and clients need to use it. */
 export interface SpokenDialect {
   readonly dialect: Dialect
   readonly endpointHeaders: EndpointHeaders
@@ -40,9 +40,9 @@
   })
 }
 
-/** What a deployment is made of. */
+/** The shape of a deployment. */
 export interface RouteShape {
-  /** Tells deployments apart: the third part of their loopback addresses and their ports. */
+  /** Distinguishes deployments: the second part of their loopback addresses. */
   readonly number: number
   readonly registries?: number
   readonly gateways?: number
@@ -51,7 +51,7 @@
   readonly gateway?: Partial<GatewaySettings>
 }
 
-/** A caller's answer. `isWhole` is false where it broke off. */
+/** The answer to a caller. `isWhole` is false if it was truncated. */
 export interface CallAnswer {
   readonly status: number
   readonly headers: IncomingHttpHeaders
@@ -83,7 +83,7 @@
     this.spoken = shape.spoken ?? native
   }
 
-  /** Starts the boxes; the log is formed, no document is in force. */
+  /** Starts the boxes; on return the log has a leader, and no document is active. */
   static async start (shape: RouteShape): Promise<RouteDeployment> {
     const deployment = new RouteDeployment(shape)
     for (let i = 0; i < (shape.registries ?? 3); i++) await deployment.startRegistry(i, true)
@@ -156,7 +156,7 @@
     return box
   }
 
-  /** Starts an endpoint and has it register, again and again as real ones do. */
+  /** Starts an endpoint and registers it; it registers again after each restart. */
   async addEndpoint (service: string, zone = zones[0]): Promise<StandinEndpoint> {
     const endpoint = new StandinEndpoint(`endpoint-${this.shape.number}-${this.endpoints.length}`, this.spoken.endpointHeaders)
     await endpoint.listen(this.endpointHost)
@@ -179,19 +179,19 @@
     return await this.operate('PUT', `${this.spoken.paths.endpoints}${endpoint.id}`, body)
   }
 
-  /** A call to a registry; the first that runs, where none is named. */
+  /** Calls a registry: by default the first that is running. */
   async operate (method: string, path: string, body = '', registry?: number): Promise<CallAnswer> {
     const i = registry ?? this.registries.findIndex(one => one !== null)
     return await call({ host: this.registryHost(i), port: operatorPort, method, path, headers: { 'content-type': 'application/json' }, body })
   }
 
-  /** Puts a document in force on all gateways. */
+  /** Stores a routing document and waits until it is active on all gateways. */
   async putDocument (document: object & { readonly version: number }): Promise<void> {
     await until(async () => (await this.operate('PUT', this.spoken.paths.document, JSON.stringify(document))).status === 200, 'the document taken')
     await until(() => this.gateways.every(gateway => (gateway.table?.version ?? 0) >= document.version), 'the document in force')
   }
 
-  /** A caller's request to a gateway. */
+  /** Sends a caller's request to a gateway. */
   async ask (path: string, more: { readonly requestId?: string, readonly method?: string, readonly body?: string, readonly gateway?: number, readonly headers?: Record<string, string>, readonly keyed?: boolean, readonly deadlineMs?: number, readonly agent?: Agent, readonly host?: string } = {}): Promise<CallAnswer> {
     const headers = { host: more.host ?? 'camp.example', ...this.spoken.composeCall(more.requestId ?? `r${Math.random()}`, more.keyed === false ? null : key, more.deadlineMs ?? 5000), ...more.headers }
     return await call({ host: this.gatewayHost(more.gateway ?? 0), port: callerPort, method: more.method ?? 'POST', path, headers, body: more.body ?? 'a body', agent: more.agent })
@@ -213,7 +213,7 @@
   }
 }
 
-/** One HTTP exchange; resolves also where the answer breaks off. */
+/** Makes one HTTP request; also resolves if the answer is truncated. */
 export function call (what: { readonly host: string, readonly port: number, readonly method: string, readonly path: string, readonly headers: Record<string, string>, readonly body: string, readonly agent?: Agent }): Promise<CallAnswer> {
   return new Promise(resolve => {
     const { body, ...options } = what
@@ -228,7 +228,7 @@
   })
 }
 
-/** A document, as far as tests look into it. */
+/** The fields of a routing document that tests read. */
 export interface TestDocument {
   readonly version: number
   readonly routes: readonly object[]
@@ -236,7 +236,7 @@
   readonly workspaces: readonly object[]
 }
 
-/** A document of the native dialect with one route of each kind to the service `desk`. */
+/** Composes a document of the native dialect with one route of each kind to the service `desk`. */
 export function composeDocument (version: number, more: object = {}): TestDocument {
   const route = (name: string, kind: string, extra: object = {}) => ({
     name, host: 'camp.example', prefix: `/${name}/`, kind, timeoutMs: 1500, targetMs: 300, mostAttempts: 2, services: [{ service: 'desk' }], ...extra
