--- a/src/gateway/call-target.ts
+++ b/src/gateway/call-target.ts
@@ -17,16 +17,16 @@
 }
 
 /** Composes the HTTP request to an endpoint. */
-export function composeTarget (order: Order, { dialect, agent, view, plan: { fetch }, lastEvent, now: at }: SendPlan): CallTarget {
-  const headers = dialect.composeRequest(order.rawHeaders, {
-    requestId: order.words.requestId,
-    deadlineMs: order.holdUntil - at,
+export function composeTarget (request: Order, { dialect, agent, view, plan: { fetch }, lastEvent, now: at }: SendPlan): CallTarget {
+  const headers = dialect.composeRequest(request.rawHeaders, {
+    requestId: request.words.requestId,
+    deadlineMs: request.holdUntil - at,
     endpoint: view.id,
-    workspace: order.workspace?.name ?? null,
-    priority: order.work.cost === null ? null : order.work.priority,
+    workspace: request.workspace?.name ?? null,
+    priority: request.work.cost === null ? null : request.work.priority,
     fetchFrom: fetch === null ? null : `${fetch.from.record.host}:${fetch.from.record.port}`,
     lastEvent
   })
   const { host, port } = view.record
-  return { host, port, agent, method: order.method, path: order.url, headers, body: order.body, requestId: order.words.requestId }
+  return { host, port, agent, method: request.method, path: request.url, headers, body: request.body, requestId: request.words.requestId }
 }
--- a/src/gateway/caller-server.ts
+++ b/src/gateway/caller-server.ts
@@ -26,7 +26,7 @@
   now (): number
   draw (): number
   makeRequestId (): string
-  begin (order: Order, response: ServerResponse): Exchange
+  begin (request: Order, response: ServerResponse): Exchange
   noteRefused (headers: CallerWords | null, refusal: Refusal): void
 }
 
@@ -130,11 +130,11 @@
     if (body === null) return
     if (body === 'too-large') return this.#refuse(request, response, headers, { kind: 'body-too-large', text: `a body has at most ${bodyBytes} bytes` })
     if (request.socket.destroyed) return
-    this.#begin(request, response, this.#composeOrder(request, body, headers, match, arrivedAt))
+    this.#begin(request, response, this.#admitRequest(request, body, headers, match, arrivedAt))
   }
 
-  #begin (request: IncomingMessage, response: ServerResponse, order: Order): void {
-    const exchange = this.#host.begin(order, response)
+  #begin (request: IncomingMessage, response: ServerResponse, admitted: Order): void {
+    const exchange = this.#host.begin(admitted, response)
     if (exchange.isEnded) return
     this.#sockets.set(exchange, request.socket)
     this.#exchanges.get(request.socket)?.add(exchange)
@@ -159,7 +159,7 @@
     return left > (route.kind === 'events' ? Math.min(route.timeoutMs, minStreamMs) : route.timeoutMs)
   }
 
-  #composeOrder (request: IncomingMessage, body: Buffer, headers: CallerWords, { table, route, workspace }: RouteMatch, arrivedAt: number): Order {
+  #admitRequest (request: IncomingMessage, body: Buffer, headers: CallerWords, { table, route, workspace }: RouteMatch, arrivedAt: number): Order {
     const service = pickService(route, this.#host.draw())
     const priority = rankRequest(route, workspace, table.ranksPerRoute)
     const work: Work = { service, level: route.priority, priority, cost: headers.cost, pauseMs: route.pauseMs, targetMs: route.targetMs }
--- a/src/gateway/crash-guard.ts
+++ b/src/gateway/crash-guard.ts
@@ -73,46 +73,46 @@
   }
 
   /** Decides whether a request may be sent now, and where. */
-  rule (order: Order): Ruling {
+  rule (request: Order): Ruling {
     if (this.#watch.isIdle) return freeRuling
-    const fingerprint = identifyRequest(order)
+    const fingerprint = identifyRequest(request)
     const at = this.#host.now()
-    const listLabels = (): ReadonlySet<string> => new Set(this.#host.fleet.listUsable(order.service, at).map(({ record }) => labelSoftware(record)))
+    const listLabels = (): ReadonlySet<string> => new Set(this.#host.fleet.listUsable(request.service, at).map(({ record }) => labelSoftware(record)))
     const ruling = this.#watch.rule(fingerprint, listLabels, at)
     if (ruling.type !== 'trial') return ruling
     const running = this.#trials.get(fingerprint)
-    if (running !== undefined && running !== order) return { type: 'refused', retryAfterMs: trialRetryMs, ends: this.#watch.find(fingerprint)?.ends ?? 0 }
-    this.#trials.set(fingerprint, order)
+    if (running !== undefined && running !== request) return { type: 'refused', retryAfterMs: trialRetryMs, ends: this.#watch.find(fingerprint)?.ends ?? 0 }
+    this.#trials.set(fingerprint, request)
     return ruling
   }
 
   /** The endpoints that a ruling allows for a request; null for all. */
-  composeNarrowing (order: Order, ruling: Ruling): Narrowing | null {
+  composeNarrowing (request: Order, ruling: Ruling): Narrowing | null {
     switch (ruling.type) {
       case 'free':
       case 'refused': return null
-      case 'suspect': return { key: identifyRequest(order), avoids: ruling.ended, mayUse: () => true }
+      case 'suspect': return { key: identifyRequest(request), avoids: ruling.ended, mayUse: () => true }
       case 'sound': return { key: null, avoids: new Set(), mayUse: record => ruling.labels.includes(labelSoftware(record)) }
-      case 'trial': return { key: identifyRequest(order), avoids: ruling.ended, mayUse: record => ruling.labels.length === 0 || ruling.labels.includes(labelSoftware(record)) }
+      case 'trial': return { key: identifyRequest(request), avoids: ruling.ended, mayUse: record => ruling.labels.length === 0 || ruling.labels.includes(labelSoftware(record)) }
     }
   }
 
   /** False if a retry of the request risks crashing another endpoint. */
-  maySendAgain (order: Order): boolean {
+  maySendAgain (request: Order): boolean {
     if (this.#watch.isIdle && this.#broken.size === 0) return true
-    const fingerprint = identifyRequest(order)
-    if (this.#trials.get(fingerprint) === order) return false
+    const fingerprint = identifyRequest(request)
+    if (this.#trials.get(fingerprint) === request) return false
     return this.#countCrashes(fingerprint) < singleSendCrashes && this.#watch.find(fingerprint)?.state !== 'refused'
   }
 
   /** Notes how a send ended, `ms` after it was sent. */
-  noteSendEnd (order: Order, view: EndpointView, evidence: SendEvidence, ms: number): void {
+  noteSendEnd (request: Order, view: EndpointView, evidence: SendEvidence, ms: number): void {
     switch (evidence) {
-      case 'answered': return this.#handleAnswered(order, view)
-      case 'lost': return this.#handleLost(order, view, ms)
+      case 'answered': return this.#handleAnswered(request, view)
+      case 'lost': return this.#handleLost(request, view, ms)
       // These don't show whether the endpoint has crashed; only a new incarnation of it does.
       case 'broken':
-      case 'silent': this.#recordBroken(order, view, ms)
+      case 'silent': this.#recordBroken(request, view, ms)
     }
   }
 
@@ -124,10 +124,10 @@
   }
 
   /** Forgets a request that has its final answer. */
-  forget (order: Order): void {
+  forget (request: Order): void {
     if (this.#trials.size === 0) return
-    const fingerprint = identifyRequest(order)
-    if (this.#trials.get(fingerprint) === order) this.#trials.delete(fingerprint)
+    const fingerprint = identifyRequest(request)
+    if (this.#trials.get(fingerprint) === request) this.#trials.delete(fingerprint)
   }
 
   /** Merges what a registry reports. It is not forwarded: registries inform one another, and there are many gateways. */
@@ -137,8 +137,8 @@
   list (): CrashNews { return this.#watch.list(this.#host.now()) }
 
   // The connection ended before the answer was complete.
-  #handleLost (order: Order, view: EndpointView, ms: number): void {
-    const incarnation = this.#recordBroken(order, view, ms)
+  #handleLost (request: Order, view: EndpointView, ms: number): void {
+    const incarnation = this.#recordBroken(request, view, ms)
     if (incarnation === null) return
     if (incarnation.state === 'ended') return this.#reportEnd(incarnation)
     if (this.#host.fleet.hasStartedAgain(view)) return this.#confirmEnd(incarnation)
@@ -149,15 +149,15 @@
     })
   }
 
-  #handleAnswered (order: Order, view: EndpointView): void {
+  #handleAnswered (request: Order, view: EndpointView): void {
     if (this.#watch.isIdle && this.#broken.size === 0) return
-    const fingerprint = identifyRequest(order)
+    const fingerprint = identifyRequest(request)
     for (const { runs } of this.#broken.values()) runs.delete(fingerprint)
     this.#report(this.#watch.noteAnswered(fingerprint, labelSoftware(view.record), this.#host.now()))
   }
 
   // Returns null for endpoints that are draining or gone: their end is expected and proves nothing.
-  #recordBroken (order: Order, view: EndpointView, ms: number): BrokenIncarnation | null {
+  #recordBroken (request: Order, view: EndpointView, ms: number): BrokenIncarnation | null {
     const isLeaving = view.record.stage !== 'ready' || this.#host.fleet.findView(view.id) === undefined
     if (isLeaving) return null
     const at = this.#host.now()
@@ -167,7 +167,7 @@
     const incarnation: BrokenIncarnation = isSameIncarnation ? known : { record: view.record, at, runs: new Map<Fingerprint, BrokenRun>(), state: 'unknown' }
     incarnation.at = at
     this.#broken.set(view.id, incarnation)
-    const fingerprint = identifyRequest(order)
+    const fingerprint = identifyRequest(request)
     incarnation.runs.set(fingerprint, { ms, at })
     return incarnation
   }
--- a/src/gateway/endpoint-search.ts
+++ b/src/gateway/endpoint-search.ts
@@ -16,7 +16,7 @@
   /** Called with the endpoint found; `permitMs`: time spent on a permit, null if none was needed. */
   send (choice: Choice, permitMs: number | null): void
   /** Called if no endpoint accepts the request. */
-  fail (end: SendOutcome): void
+  fail (outcome: SendOutcome): void
 }
 
 export class EndpointSearch<S extends Searcher> {
@@ -24,10 +24,9 @@
   #searcher: S
   #tried: EndpointId[] = []
   #isQueued = false
-  /** True while a permit is asked for. */
   #isAwaitingPermit = false
   #denied = 0
-  #closedMs = 0
+  #maxClosedMs = 0
 
   constructor (host: ExchangeHost<S>, searcher: S) {
     this.#host = host
@@ -38,15 +37,15 @@
   get denied (): number { return this.#denied }
 
   /** The longest time until an endpoint would accept requests again, ms, over all searches that found none open; 0 if there was none. */
-  get closedMs (): number { return this.#closedMs }
+  get maxClosedMs (): number { return this.#maxClosedMs }
 
   /** Searches for an endpoint that has not been tried yet. */
   start (): void {
-    const { order } = this.#searcher
+    const { order: request } = this.#searcher
     const at = this.#host.now()
-    const ruling = this.#host.guard.rule(order)
+    const ruling = this.#host.guard.rule(request)
     if (ruling.type === 'refused') return this.#searcher.fail({ ...ruling, type: 'quarantined' })
-    const choice = this.#host.fleet.choose(order.work, this.#tried, at, this.#host.draw(), at - order.arrivedAt, this.#host.guard.composeNarrowing(order, ruling))
+    const choice = this.#host.fleet.choose(request.work, this.#tried, at, this.#host.draw(), at - request.arrivedAt, this.#host.guard.composeNarrowing(request, ruling))
     if (choice === 'later') return this.#enqueue()
     if (choice === 'closed') return this.#handleClosed(at)
     if (typeof choice === 'string') return this.#fail({ type: 'unplaced', why: choice })
@@ -74,7 +73,7 @@
 
   #requestPermit (choice: Choice, requestedAt: number): void {
     this.#isAwaitingPermit = true
-    this.#host.limits.askPermit(choice.view, this.#searcher.order.work, isGiven => {
+    this.#host.limits.requestPermit(choice.view, this.#searcher.order.work, isGiven => {
       this.#isAwaitingPermit = false
       const at = this.#host.now()
       const isWanted = !this.#searcher.isEnded && !this.#host.fleet.hasStartedAgain(choice.view) && !choice.view.gate.isShut(at)
@@ -90,7 +89,7 @@
     const { work, arrivedAt, holdUntil } = this.#searcher.order
     const waitUntil = this.#searcher.isBegun ? holdUntil : arrivedAt + work.targetMs
     const openAt = this.#host.fleet.findOpening(work, this.#tried, at)
-    this.#closedMs = Math.max(this.#closedMs, openAt - at)
+    this.#maxClosedMs = Math.max(this.#maxClosedMs, openAt - at)
     const ruling = this.#host.limits.ruleClosed(work, openAt, waitUntil, at)
     switch (ruling.type) {
       case 'wait': return this.#enqueue()
@@ -104,8 +103,8 @@
     this.#searcher.send(choice, permitMs)
   }
 
-  #fail (end: SendOutcome): void {
+  #fail (outcome: SendOutcome): void {
     this.stop()
-    this.#searcher.fail(end)
+    this.#searcher.fail(outcome)
   }
 }
--- a/src/gateway/exchange-host.ts
+++ b/src/gateway/exchange-host.ts
@@ -17,7 +17,7 @@
   /** A random number, at least 0 and less than 1. */
   draw (): number
   /** Takes one retry from the retry budget; false if none is left. */
-  takeRetry (order: Order): boolean
+  takeRetry (request: Order): boolean
   /** The load at the endpoints has changed. */
   noteLoad (): void
   /** Queues the exchange until `tryPlace` finds room for it. */
@@ -25,6 +25,6 @@
   /** Removes the exchange from the queue. */
   unhold (exchange: E): void
   /** An endpoint started the request at `at`, as far as this box can tell. */
-  noteRun (order: Order, at: number): void
+  noteRun (request: Order, at: number): void
   noteEnd (exchange: E, summary: ExchangeSummary): void
 }
--- a/src/gateway/exchange-report.ts
+++ b/src/gateway/exchange-report.ts
@@ -4,36 +4,35 @@
 import type { Attempt, ExchangeSummary } from './exchange-summary.js'
 import { identifyRequest } from './fingerprint.js'
 
-/** Logs how an exchange went, and counts it. */
 export function reportExchange (summary: ExchangeSummary, log: EventLog, metrics: Metrics): void {
-  const { order, outcome, attempts, firstMs, totalMs } = summary
-  const route = order.route.name
+  const { request, outcome, attempts, firstMs, totalMs } = summary
+  const route = request.route.name
   metrics.count('exchange', { route, outcome })
   metrics.time('exchange', totalMs, { route })
   if (firstMs !== null) metrics.time('first', firstMs, { route })
   if (summary.maxPauseMs > 0) metrics.time('pause', summary.maxPauseMs, { route })
   const fields = {
-    request: order.words.requestId,
+    request: request.words.requestId,
     route,
-    service: order.service,
-    workspace: order.workspace?.name,
+    service: request.service,
+    workspace: request.workspace?.name,
     outcome,
     status: summary.status,
-    version: order.version,
-    waitedMs: attempts.length === 0 ? undefined : Math.round(attempts[0].sentAt - order.arrivedAt),
+    version: request.version,
+    waitedMs: attempts.length === 0 ? undefined : Math.round(attempts[0].sentAt - request.arrivedAt),
     firstMs: firstMs === null ? undefined : Math.round(firstMs),
-    targetMs: order.work.targetMs,
+    targetMs: request.work.targetMs,
     totalMs: Math.round(totalMs),
     events: summary.events,
     pauseMs: Math.round(summary.maxPauseMs),
-    pauseLimitMs: order.work.pauseMs ?? undefined,
-    priority: order.work.cost === null ? undefined : order.work.priority,
-    prompt: order.work.cost?.parts.at(-1)?.id,
-    fingerprint: outcome === 'quarantined' || attempts.some(isBroken) ? identifyRequest(order) : undefined,
+    pauseLimitMs: request.work.pauseMs ?? undefined,
+    priority: request.work.cost === null ? undefined : request.work.priority,
+    prompt: request.work.cost?.parts.at(-1)?.id,
+    fingerprint: outcome === 'quarantined' || attempts.some(isBroken) ? identifyRequest(request) : undefined,
     admission: summary.admission === null ? undefined : formatAdmission(summary.admission),
     denied: summary.denied === 0 ? undefined : summary.denied,
-    closedMs: summary.closedMs === 0 ? undefined : Math.round(summary.closedMs),
-    attempts: attempts.map(one => formatAttempt(one, order.arrivedAt)).join(';')
+    closedMs: summary.maxClosedMs === 0 ? undefined : Math.round(summary.maxClosedMs),
+    attempts: attempts.map(one => formatAttempt(one, request.arrivedAt)).join(';')
   }
   if (outcome === 'ok') log.info('exchange', fields)
   else log.warn('exchange', fields)
--- a/src/gateway/exchange-summary.ts
+++ b/src/gateway/exchange-summary.ts
@@ -17,9 +17,8 @@
   end: string
 }
 
-/** How an exchange went, for log and metrics. */
 export interface ExchangeSummary {
-  readonly order: Order
+  readonly request: Order
   /** `ok`; `endpoint-status`: the endpoint answered with an error status; `left`: the caller disconnected; `cut`: the answer was truncated; else the reason for refusal. */
   readonly outcome: ErrorKind | 'ok' | 'endpoint-status' | 'left' | 'cut'
   readonly status: number
@@ -33,5 +32,5 @@
   /** Number of permits denied to the request. */
   readonly denied: number
   /** The longest time until an endpoint would accept requests again, ms, over all searches that found none open; 0 if there was none. */
-  readonly closedMs: number
+  readonly maxClosedMs: number
 }
--- a/src/gateway/exchange.ts
+++ b/src/gateway/exchange.ts
@@ -42,13 +42,13 @@
   #firstOutputAt: number | null = null
   #isRunReported = false
 
-  constructor (host: ExchangeHost<Exchange>, order: Order, response: ServerResponse) {
+  constructor (host: ExchangeHost<Exchange>, request: Order, response: ServerResponse) {
     this.#host = host
-    this.order = order
+    this.order = request
     this.#response = response
-    this.#events = new PassedEvents(order.words.lastEvent)
+    this.#events = new PassedEvents(request.words.lastEvent)
     this.#search = new EndpointSearch(host, this)
-    this.#retryPolicy = new RetryPolicy(order.route, () => host.takeRetry(order))
+    this.#retryPolicy = new RetryPolicy(request.route, () => host.takeRetry(request))
     response.on('drain', () => this.#activeSend?.call.resume())
   }
 
@@ -96,13 +96,13 @@
 
   /** Sends the request to the endpoint found by the search; `permitMs`: time spent on a permit, null if none was needed. */
   send ({ view, expectedMs, candidates, share, plan, isHome }: Choice, permitMs: number | null): void {
-    const { order } = this
+    const { order: request } = this
     const at = this.#host.now()
     const attempt: Attempt = { endpoint: view.id, expectedMs: Math.round(expectedMs), candidates, share, plan, isHome, sentAt: at, permitMs, end: 'open' }
     this.#attempts.push(attempt)
     this.#retryPolicy.noteSend()
-    const placed = view.place(order.work, plan, at)
-    this.#host.fleet.noteBegun(order.work, at)
+    const placed = view.place(request.work, plan, at)
+    this.#host.fleet.noteBegun(request.work, at)
     const sent: ActiveSend = { view, placed, attempt, call: this.#startCall(view, plan, at, () => sent), head: null, chunks: [], size: 0, splitter: null }
     this.#activeSend = sent
     this.#host.noteLoad()
@@ -120,7 +120,7 @@
   }
 
   /** Handles a search that found no endpoint. */
-  fail (end: SendOutcome): void { this.#execute(this.#retryPolicy.decide(end)) }
+  fail (outcome: SendOutcome): void { this.#execute(this.#retryPolicy.decide(outcome)) }
 
   // Answers.
 
@@ -256,8 +256,8 @@
     this.#execute(this.#retryPolicy.decide({ type: 'broke', failure, reason }))
   }
 
-  #noteSendEnd (sent: ActiveSend, end: SendEvidence): void {
-    this.#host.guard.noteSendEnd(this.order, sent.view, end, this.#host.now() - sent.attempt.sentAt)
+  #noteSendEnd (sent: ActiveSend, evidence: SendEvidence): void {
+    this.#host.guard.noteSendEnd(this.order, sent.view, evidence, this.#host.now() - sent.attempt.sentAt)
   }
 
   #timeOut (): void {
@@ -315,19 +315,19 @@
     if (this.#phase === 'ended') return
     this.#search.stop()
     this.#phase = 'ended'
-    const { order } = this
+    const { order: request } = this
     this.#host.noteEnd(this, {
-      order,
+      request,
       outcome,
       status,
       admission: this.#admission,
       attempts: this.#attempts,
-      firstMs: this.#firstOutputAt === null ? null : this.#firstOutputAt - order.arrivedAt,
-      totalMs: this.#host.now() - order.arrivedAt,
+      firstMs: this.#firstOutputAt === null ? null : this.#firstOutputAt - request.arrivedAt,
+      totalMs: this.#host.now() - request.arrivedAt,
       events: this.#events.count,
       maxPauseMs: this.#events.maxPauseMs,
       denied: this.#search.denied,
-      closedMs: this.#search.closedMs
+      maxClosedMs: this.#search.maxClosedMs
     })
   }
 }
--- a/src/gateway/fingerprint.ts
+++ b/src/gateway/fingerprint.ts
@@ -10,9 +10,9 @@
 const fingerprints = new WeakMap<Order, Fingerprint>()
 
 /** Identifies repeated arrivals of a request, whatever their ids, by its method, address, workspace and body. */
-export function identifyRequest (order: Order): Fingerprint {
-  const fingerprint = fingerprints.get(order) ?? computeFingerprint(order)
-  fingerprints.set(order, fingerprint)
+export function identifyRequest (request: Order): Fingerprint {
+  const fingerprint = fingerprints.get(request) ?? computeFingerprint(request)
+  fingerprints.set(request, fingerprint)
   return fingerprint
 }
 
--- a/src/gateway/gateway-box.ts
+++ b/src/gateway/gateway-box.ts
@@ -189,18 +189,18 @@
       zone: brandId<ZoneName>(zone),
       now,
       draw: Math.random,
-      takeDocument: document => this.#applyDocument(document),
-      takePrompts: prompts => this.#fleet.notePrompts(prompts),
-      takeRecords: records => this.#applyRecords(records),
-      takeCrashes: news => this.#guard.merge(news),
+      handleDocument: document => this.#applyDocument(document),
+      handlePrompts: prompts => this.#fleet.notePrompts(prompts),
+      handleRecords: records => this.#applyRecords(records),
+      handleCrashes: news => this.#guard.merge(news),
       listCrashes: () => this.listCrashes(),
-      takeGatewayCount: count => {
+      handleGatewayCount: count => {
         this.#gatewayCount.note(now(), count)
         this.#fleet.noteBoxes(this.#gatewayCount.find(now(), 1))
       },
-      noteZone: heard => this.#fleet.zones.noteHeard(heard, now()),
-      takeNotices: (notices, registry) => this.#limits.mergeNotices(notices, registry),
-      takePermits: answer => this.#limits.takePermits(answer)
+      noteZoneAlive: heard => this.#fleet.zones.noteHeard(heard, now()),
+      handleNotices: (notices, registry) => this.#limits.mergeNotices(notices, registry),
+      handlePermits: answer => this.#limits.takePermits(answer)
     })
   }
 
@@ -228,7 +228,7 @@
       limits: this.#limits,
       now,
       draw: Math.random,
-      takeRetry: order => this.#takeRetry(order),
+      takeRetry: request => this.#takeRetry(request),
       noteLoad: () => this.#loadReporter.noteChange(),
       hold: exchange => this.#enqueue(exchange),
       unhold: exchange => this.#dequeue(exchange),
@@ -248,8 +248,8 @@
       now,
       draw: Math.random,
       makeRequestId: () => this.#makeRequestId(),
-      begin: (order, response) => this.#startExchange(order, response),
-      noteRefused: (words, refusal) => this.#noteRefused(words, refusal)
+      begin: (request, response) => this.#startExchange(request, response),
+      noteRefused: (headers, refusal) => this.#noteRefused(headers, refusal)
     }, this.#settings.maxConnections)
   }
 
@@ -291,13 +291,13 @@
 
   // Requests.
 
-  #startExchange (order: Order, response: ServerResponse): Exchange {
+  #startExchange (request: Order, response: ServerResponse): Exchange {
     const at = now()
     this.#lastActiveAt = at
-    this.#retryBudgets.noteRequest(order.service, at)
-    this.#fleet.noteArrival(order.work, at)
-    this.#limits.noteArrival(order.work, at)
-    const exchange = new Exchange(this.#exchangeHost, order, response)
+    this.#retryBudgets.noteRequest(request.service, at)
+    this.#fleet.noteArrival(request.work, at)
+    this.#limits.noteArrival(request.work, at)
+    const exchange = new Exchange(this.#exchangeHost, request, response)
     this.#exchanges.add(exchange)
     exchange.start()
     return exchange
@@ -315,10 +315,10 @@
     this.#loadReporter.noteChange()
   }
 
-  #takeRetry (order: Order): boolean {
-    if (!this.#guard.maySendAgain(order)) return false
+  #takeRetry (request: Order): boolean {
+    if (!this.#guard.maySendAgain(request)) return false
     const at = now()
-    return this.#retryBudgets.take(order.service, at, this.#gatewayCount.find(at, 1))
+    return this.#retryBudgets.take(request.service, at, this.#gatewayCount.find(at, 1))
   }
 
   #sweep (): void {
--- a/src/gateway/limit-desk.ts
+++ b/src/gateway/limit-desk.ts
@@ -72,7 +72,7 @@
   noteArrival ({ service, priority }: Work, at: number): void { this.#returns.noteArrival(service, priority, at) }
 
   /** Requests a permit for one send; `respond` is called once with whether it was granted. */
-  askPermit (view: EndpointView, { priority }: Work, respond: (isGiven: boolean) => void): void { this.#permitClient.request(view, priority, respond) }
+  requestPermit (view: EndpointView, { priority }: Work, respond: (isGiven: boolean) => void): void { this.#permitClient.request(view, priority, respond) }
 
   /** Handles a registry's answer about permits. */
   takePermits (answer: PermitAnswer): void { this.#permitClient.receive(answer) }
--- a/src/gateway/registry-follower.ts
+++ b/src/gateway/registry-follower.ts
@@ -23,21 +23,21 @@
   now (): number
   /** A random number, at least 0 and less than 1: chooses between equivalent registries. */
   draw (): number
-  takeDocument (document: VersionedText): void
+  handleDocument (document: VersionedText): void
   /** Handles a report of which prompts engines hold. */
-  takePrompts (prompts: readonly ReadPrompt[]): void
-  takeRecords (records: readonly EndpointRecord[]): void
+  handlePrompts (prompts: readonly ReadPrompt[]): void
+  handleRecords (records: readonly EndpointRecord[]): void
   /** Handles a report of endpoint crashes and of requests in quarantine. */
-  takeCrashes (news: CrashNews): void
+  handleCrashes (news: CrashNews): void
   /** The crashes and quarantined requests known here, for a registry that may know nothing. */
   listCrashes (): CrashNews
   /** Handles the number of gateways connected to a registry. */
-  takeGatewayCount (count: number): void
-  noteZone (zone: ZoneName): void
+  handleGatewayCount (count: number): void
+  noteZoneAlive (zone: ZoneName): void
   /** Handles notices of endpoints. */
-  takeNotices (notices: readonly EndpointNotice[], registry: BoxId): void
+  handleNotices (notices: readonly EndpointNotice[], registry: BoxId): void
   /** Handles an answer to a permit call. */
-  takePermits (answer: PermitAnswer): void
+  handlePermits (answer: PermitAnswer): void
 }
 
 /** An answer to a permit call. */
@@ -217,17 +217,17 @@
         if (message.version > 0 && message.isCurrent) this.#knowsNewest = true
         return this.#requestDocument()
       case 'document': return this.#receiveDocument(link, message.document)
-      case 'endpoints': return this.#host.takeRecords(message.records)
-      case 'crashes': return this.#host.takeCrashes(message.news)
-      case 'notices': return this.#host.takeNotices(message.notices, brandId(link.peer))
+      case 'endpoints': return this.#host.handleRecords(message.records)
+      case 'crashes': return this.#host.handleCrashes(message.news)
+      case 'notices': return this.#host.handleNotices(message.notices, brandId(link.peer))
       case 'permits':
-      case 'permits-elsewhere': return this.#host.takePermits(message)
+      case 'permits-elsewhere': return this.#host.handlePermits(message)
       case 'prompts':
         this.#promptRequests = maxPromptRequests
-        return this.#host.takePrompts(message.prompts)
+        return this.#host.handlePrompts(message.prompts)
       case 'boxes':
         for (const host of message.registries) this.#addRegistry(host)
-        return this.#host.takeGatewayCount(message.gateways)
+        return this.#host.handleGatewayCount(message.gateways)
       default: return this.#host.log.error('violation', { rule: 'messages-for-gateways', detail: message.type })
     }
   }
@@ -245,14 +245,14 @@
 
   #applyDocument (document: VersionedText): void {
     this.#document = document
-    this.#host.takeDocument(document)
+    this.#host.handleDocument(document)
     this.#requestPrompts()
     this.broadcast({ type: 'gateway-hello', gateway: this.#host.id, version: document.version })
   }
 
   #tick (): void {
     for (const [link, zone] of this.#zones) {
-      if (this.#host.now() - link.heardAt < 2 * heartbeat.everyMs) this.#host.noteZone(zone)
+      if (this.#host.now() - link.heardAt < 2 * heartbeat.everyMs) this.#host.noteZoneAlive(zone)
     }
     this.#dialNext()
     this.#requestDocument()
--- a/src/gateway/retry-policy.ts
+++ b/src/gateway/retry-policy.ts
@@ -57,7 +57,6 @@
   /** True if the route allows another send. Does not consume the retry budget, and does not check it. */
   get mayRetry (): boolean { return mayRepeat(this.#route) && this.#allowance !== 'no' }
 
-  /** The request is sent once more. */
   noteSend (): void { this.#attempts += 1 }
 
   decide (outcome: SendOutcome): NextStep {
--- a/src/gateway/retry-rules.ts
+++ b/src/gateway/retry-rules.ts
@@ -8,7 +8,6 @@
 const silentPauses = 4
 const minSilentMs = 600
 
-/** How often a request was sent. */
 export interface SendCount {
   /** All sends, including those of which no byte was written. */
   readonly attempts: number
--- a/src/gateway/wait-queue.ts
+++ b/src/gateway/wait-queue.ts
@@ -94,6 +94,6 @@
   return lateness !== 0 ? lateness : first.arrivedAt - second.arrivedAt
 }
 
-function isLate ({ order }: Exchange, now: number): boolean {
-  return now - order.arrivedAt > order.work.targetMs
+function isLate ({ order: request }: Exchange, now: number): boolean {
+  return now - request.arrivedAt > request.work.targetMs
 }
--- a/test/registry-follower.test.ts
+++ b/test/registry-follower.test.ts
@@ -23,15 +23,15 @@
     zone: brandId('zone-a'),
     now,
     draw: () => 0,
-    takeDocument,
-    takePrompts: nothing,
-    takeCrashes: nothing,
+    handleDocument: takeDocument,
+    handlePrompts: nothing,
+    handleCrashes: nothing,
     listCrashes: () => ({ ends: [], entries: [] }),
-    takeRecords: nothing,
-    takeGatewayCount: nothing,
-    noteZone: nothing,
-    takeNotices: nothing,
-    takePermits: nothing
+    handleRecords: nothing,
+    handleGatewayCount: nothing,
+    noteZoneAlive: nothing,
+    handleNotices: nothing,
+    handlePermits: nothing
   })
 }
 
