--- a/src/gateway/gateway-box.ts
+++ b/src/gateway/gateway-box.ts
@@ -20,7 +20,7 @@
 import type { ExchangeHost } from './exchange-host.js'
 import { reportExchange } from './exchange-report.js'
 import type { ExchangeSummary } from './exchange-summary.js'
-import type { GatewaySurroundings } from './gateway-surroundings.js'
+import type { GatewayDependencies } from './gateway-dependencies.js'
 import { sweepIntervalMs, readyWithoutEndpointsMs, balancerLagMs, beliefsIntervalMs, gatewayCountTtlMs, idleMs, cutReserveMs } from './gateway-timing.js'
 import { LimitDesk } from './limit-desk.js'
 import { LoadReporter } from './load-reporter.js'
@@ -36,7 +36,7 @@
 
 export class GatewayBox {
   #settings: GatewaySettings
-  #dependencies: GatewaySurroundings
+  #dependencies: GatewayDependencies
   #fleet: Fleet
   #directory = new EndpointDirectory()
   #table: RouteTable | null = null
@@ -67,7 +67,7 @@
   port = 0
   readyPort = 0
 
-  constructor (settings: GatewaySettings, dependencies: GatewaySurroundings) {
+  constructor (settings: GatewaySettings, dependencies: GatewayDependencies) {
     this.#settings = settings
     this.#dependencies = dependencies
     const { dialect, log } = dependencies
--- a/src/gateway/gateway-surroundings.ts
+++ b/src/gateway/gateway-dependencies.ts
@@ -2,7 +2,7 @@
 import type { EventLog, Metrics } from '../runtime/index.js'
 
 /** Dependencies of a gateway other than its settings. */
-export interface GatewaySurroundings {
+export interface GatewayDependencies {
   readonly dialect: Dialect
   readonly log: EventLog
   readonly metrics: Metrics
--- a/src/gateway/index.ts
+++ b/src/gateway/index.ts
@@ -1,7 +1,7 @@
 /** The gateway: routes callers' requests to endpoints by a routing document. */
 export { GatewayBox } from './gateway-box.js'
 export { LoadReporter } from './load-reporter.js'
-export type { GatewaySurroundings } from './gateway-surroundings.js'
+export type { GatewayDependencies } from './gateway-dependencies.js'
 export { classifySend, computeMaxSilenceMs, mayRetryAfter } from './retry-rules.js'
 export { RetryPolicy } from './retry-policy.js'
 export type { NextStep, SendOutcome } from './retry-policy.js'
