--- a/src/gateway/load-reporter.ts
+++ b/src/gateway/load-reporter.ts
@@ -10,7 +10,7 @@
 import type { WordNumber } from '../protocol/index.js'
 import { DatagramPort, Inbox } from '../runtime/index.js'
 import type { EventLog } from '../runtime/index.js'
-import type { ReachedRegistry } from './registry-follower.js'
+import type { ReachableRegistry } from './registry-follower.js'
 
 /** What the reporter needs from its box. */
 export interface LoadReporterHost {
@@ -21,7 +21,7 @@
   readonly hubPort: number
   now (): number
   /** Registries that are reachable now. */
-  listHubs (): readonly ReachedRegistry[]
+  listHubs (): readonly ReachableRegistry[]
   composeLoad (): BoxLoad
   /** Notices that the hub has not confirmed. */
   listNotices (): readonly EndpointNotice[]
--- a/src/gateway/registry-follower.ts
+++ b/src/gateway/registry-follower.ts
@@ -44,7 +44,7 @@
 export type PermitAnswer = Extract<RouteMessage, { type: 'permits' | 'permits-elsewhere' }>
 
 /** A registry that is reachable. */
-export interface ReachedRegistry {
+export interface ReachableRegistry {
   readonly host: string
   /** Null until the registry has sent it. */
   readonly zone: ZoneName | null
@@ -125,7 +125,7 @@
   get linkCount (): number { return this.#links.dialed.length }
 
   /** Registries that have been heard from recently. */
-  listReachable (): ReachedRegistry[] {
+  listReachable (): ReachableRegistry[] {
     const since = this.#host.now() - aliveWindowMs
     return this.#links.listHeard(since).map(({ host, link }) => ({ host, zone: this.#zones.get(link) ?? null }))
   }
