--- a/src/core/balance/admission.ts
+++ b/src/core/balance/admission.ts
@@ -4,7 +4,7 @@
  */
 import type { AdmissionCredits } from './admission-credits.js'
 import type { EndpointView } from './endpoint-view.js'
-import { rateWindowMs } from './kind-watch.js'
+import { rateWindowMs } from './kind-tracker.js'
 
 /** What waits before a request and how fast it is read. Prompt tokens, of requests that go before it. */
 export interface Backlog {
@@ -41,7 +41,7 @@
 }
 
 /** What a decision rests on. */
-export interface AdmissionCase {
+export interface AdmissionInput {
   readonly backlog: Backlog
   readonly lateness: number
   /** Time of an engine on the request alone, as expected of one on time, ms. */
@@ -52,7 +52,7 @@
   /** Arrival rate of more urgent kinds at the same engines, tokens/ms. Engines read these first, including later arrivals. */
   readonly urgentRate: number
   /** The longest target of a less urgent kind, ms; 0 where none is known. */
-  readonly lessTargetMs: number
+  readonly maxLessUrgentTargetMs: number
 }
 
 /**
@@ -62,34 +62,34 @@
  * target, or more, by its own size may wait for this part of the target all the same:
  * no size is refused for itself.
  */
-const leastWaitShare = 0.5
+const minWaitShare = 0.5
 /** Lower bound on the share of the reading rate that more urgent kinds are assumed to leave. */
-const leastLeftShare = 0.2
+const minRemainingShare = 0.2
 /** Longest wait of a request that is never held and whose kind is limited, as a fraction of the longest with which it is in time. */
 const maxImmediateWaitShare = 0.85
 /** Times to come back, ms: sooner, nothing has changed; a burst lasts some seconds. */
-const leastReturnMs = 300
-const mostReturnMs = 5000
+const minRetryAfterMs = 300
+const maxRetryAfterMs = 5000
 /**
  * For so long after a less urgent request began, one that goes before it may wait as long
  * as that, ms: what the engines gave to the one the other could have had. It is late at worst.
  */
-const yieldMs = 5000
+const lessUrgentWindowMs = 5000
 /** But no longer than so many of its own targets: callers leave after about four. */
-const mostLateTimes = 5
+const maxTargetMultiple = 5
 
 /** Decides whether a request is let in. */
-export function decideAdmission ({ backlog, lateness, readingMs, targetMs, sinceLessMs, urgentRate, lessTargetMs }: AdmissionCase): Admission {
-  const waitMs = measureWait(backlog, lateness) / findLeftShare(backlog, urgentRate)
+export function decideAdmission ({ backlog, lateness, readingMs, targetMs, sinceLessMs, urgentRate, maxLessUrgentTargetMs }: AdmissionInput): Admission {
+  const waitMs = estimateWaitMs(backlog, lateness) / computeRemainingShare(backlog, urgentRate)
   const ownMs = readingMs * Math.max(1, lateness)
-  const inTimeMs = Math.max(targetMs - ownMs, targetMs * leastWaitShare)
-  const allowedMs = sinceLessMs < yieldMs ? Math.max(inTimeMs, Math.min(lessTargetMs, targetMs * mostLateTimes)) : inTimeMs
-  const returnMs = waitMs <= allowedMs ? null : Math.min(mostReturnMs, Math.max(leastReturnMs, waitMs + ownMs))
+  const inTimeMs = Math.max(targetMs - ownMs, targetMs * minWaitShare)
+  const allowedMs = sinceLessMs < lessUrgentWindowMs ? Math.max(inTimeMs, Math.min(maxLessUrgentTargetMs, targetMs * maxTargetMultiple)) : inTimeMs
+  const returnMs = waitMs <= allowedMs ? null : Math.min(maxRetryAfterMs, Math.max(minRetryAfterMs, waitMs + ownMs))
   return { backlog, lateness, waitMs, ownMs, allowedMs, sinceLessMs, share: 1, returnMs }
 }
 
 /** What a decision on a request that is never held rests on. */
-export interface ImmediateAdmissionCase {
+export interface ImmediateAdmissionInput {
   readonly backlog: Backlog
   readonly lateness: number
   /** Expected time until the first engine can begin with it, not adjusted for lateness, ms. */
@@ -106,38 +106,38 @@
  * Decides whether to admit a request that is never held, when engines are congested for it. All requests of a kind that fits
  * beside the others are admitted; of any other kind, the given share, and none whose expected wait exceeds the limit.
  */
-export function decideImmediateAdmission ({ backlog, lateness, engineWaitMs, readingMs, targetMs, share, credits, level }: ImmediateAdmissionCase): Admission {
+export function decideImmediateAdmission ({ backlog, lateness, engineWaitMs, readingMs, targetMs, share, credits, level }: ImmediateAdmissionInput): Admission {
   const waitMs = engineWaitMs * Math.max(1, lateness)
   const ownMs = readingMs * Math.max(1, lateness)
-  const allowedMs = Math.max(targetMs - ownMs, targetMs * leastWaitShare) * maxImmediateWaitShare
+  const allowedMs = Math.max(targetMs - ownMs, targetMs * minWaitShare) * maxImmediateWaitShare
   const admittedShare = share >= 1 || waitMs <= allowedMs ? share : 0
-  const returnMs = admittedShare >= 1 || credits.tryConsume(level, admittedShare) ? null : computeReturnMs(share, waitMs + ownMs)
+  const returnMs = admittedShare >= 1 || credits.tryConsume(level, admittedShare) ? null : computeRetryAfterMs(share, waitMs + ownMs)
   return { backlog, lateness, waitMs, ownMs, allowedMs, sinceLessMs: Infinity, share: admittedShare, returnMs }
 }
 
 /** Restricts admission to a share of a kind's requests, counted over those that would otherwise be admitted. */
 export function limitAdmission (admission: Admission, share: number, credits: AdmissionCredits, level: number): Admission {
   if (admission.returnMs !== null || share >= 1) return admission
-  return { ...admission, share, returnMs: credits.tryConsume(level, share) ? null : computeReturnMs(share, admission.waitMs + admission.ownMs) }
+  return { ...admission, share, returnMs: credits.tryConsume(level, share) ? null : computeRetryAfterMs(share, admission.waitMs + admission.ownMs) }
 }
 
 // At least the time that the engines need to read the excess that arrives within one rate window, within the bounds on return times.
-function computeReturnMs (share: number, waitMs: number): number {
+function computeRetryAfterMs (share: number, waitMs: number): number {
   const excessRatio = share > 0 ? 1 / share - 1 : Infinity
-  return Math.min(mostReturnMs, Math.max(leastReturnMs, waitMs, excessRatio * rateWindowMs))
+  return Math.min(maxRetryAfterMs, Math.max(minRetryAfterMs, waitMs, excessRatio * rateWindowMs))
 }
 
 /** True where requests of a kind wait so long that most of them are late: what is less urgent is then held. */
-export function isPressed (backlog: Backlog, lateness: number, targetMs: number): boolean {
-  return measureWait(backlog, lateness) > targetMs * leastWaitShare
+export function isOverloaded (backlog: Backlog, lateness: number, targetMs: number): boolean {
+  return estimateWaitMs(backlog, lateness) > targetMs * minWaitShare
 }
 
 // Without an engine nothing waits either.
-function findLeftShare ({ rate }: Backlog, urgentRate: number): number {
-  return rate === 0 ? 1 : Math.max(leastLeftShare, 1 - urgentRate / rate)
+function computeRemainingShare ({ rate }: Backlog, urgentRate: number): number {
+  return rate === 0 ? 1 : Math.max(minRemainingShare, 1 - urgentRate / rate)
 }
 
-function measureWait ({ ownTokens, otherTokens, heldTokens, rate }: Backlog, lateness: number): number {
+function estimateWaitMs ({ ownTokens, otherTokens, heldTokens, rate }: Backlog, lateness: number): number {
   return rate === 0 ? 0 : (ownTokens + otherTokens + heldTokens) / rate * Math.max(1, lateness)
 }
 
@@ -155,7 +155,7 @@
     ownTokens += before.own
     otherTokens += before.others
     lessTokens += lowest === priority ? before.behind : view.countBefore(lowest, at).behind
-    rate += 1 / view.paceMs
+    rate += 1 / view.readMsPerToken
   }
   return { ownTokens, otherTokens, heldTokens, lessTokens, engines: engines.length, rate }
 }
--- /dev/null
+++ b/src/core/balance/agreed-dedicated-count.ts
@@ -0,0 +1,53 @@
+/**
+ * The share of engines set apart on which all boxes agree, from this box's own
+ * measure and what is told of the others'.
+ */
+import type { EndpointView } from './endpoint-view.js'
+import type { ServiceTotal } from './load-word.js'
+import type { DedicatedCount, ReadingDemand } from './dedicated-count.js'
+import type { ServiceState } from './service-state.js'
+
+/** Part of the places of the other engines that is planned for. */
+const plannedSlotShare = 0.75
+/** Part of the memory of engines set apart that is planned for. */
+const plannedMemoryShare = 0.75
+
+/**
+ * The largest share that any box would have: all must send long prompts to the
+ * same engines. `others`: what is told of the service, null for nothing;
+ * `apart`: the engines in the order in which they are set apart.
+ */
+export function agreeDedicatedCount (state: ServiceState, others: ServiceTotal | null, dedicationOrder: readonly EndpointView[], at: number): DedicatedCount {
+  const own = state.dedicatedCount.update(at, measureDemand(state, others, dedicationOrder, at))
+  const count = Math.max(own.count, others?.apart ?? 0)
+  const base = Math.max(own.base, others?.base ?? 0)
+  const maxCount = Math.max(1, dedicationOrder.length - 1)
+  return { count: Math.min(count, maxCount), base: Math.min(base, count, maxCount) }
+}
+
+/** Tokens that wait in the boxes, of requests that go before one of this priority. */
+export function countHeldTokens (state: ServiceState, others: ServiceTotal | null, priority: number): number {
+  let tokens = 0
+  for (const [theirs, held] of [...state.held, ...others?.held ?? []]) if (theirs <= priority) tokens += held
+  return tokens
+}
+
+function measureDemand (state: ServiceState, others: ServiceTotal | null, dedicationOrder: readonly EndpointView[], at: number): ReadingDemand {
+  const { engine } = state.service
+  let waiting = countHeldTokens(state, others, Infinity)
+  let memory = 0
+  const { count } = state.dedicatedCount.counts
+  for (const view of dedicationOrder.slice(0, count)) {
+    waiting += view.countTokensAhead(Infinity, at)
+    memory += view.memoryInUse
+  }
+  const sensitiveStreams = dedicationOrder.slice(count).reduce((sum, view) => sum + view.running, 0)
+  return {
+    rates: dedicationOrder.map(view => 1000 / view.readMsPerToken),
+    tolerantRate: state.tolerantDemand.rate(at) + (others?.patient ?? 0),
+    sensitiveRate: state.sensitiveDemand.rate(at) + (others?.brisk ?? 0),
+    waiting,
+    tolerantEngines: memory / ((engine?.memoryTokens ?? Infinity) * plannedMemoryShare),
+    sensitiveEngines: sensitiveStreams / ((engine?.slots ?? Infinity) * plannedSlotShare)
+  }
+}
--- a/src/core/balance/average.ts
+++ b/src/core/balance/average.ts
@@ -1,5 +1,5 @@
 /** An average in which old samples fade. The first samples count fully. */
-export class FadingAverage {
+export class ExponentialAverage {
   #value: number
   #count = 0
   #gain: number
@@ -40,7 +40,7 @@
 }
 
 /** The middle of some numbers, the lower of two; null for none. */
-export function findMiddle (values: readonly number[]): number | null {
+export function findMedian (values: readonly number[]): number | null {
   if (values.length === 0) return null
   const sorted = [...values].sort((a, b) => a - b)
   return sorted[(sorted.length - 1) >> 1]
--- a/src/core/balance/choice.ts
+++ b/src/core/balance/choice.ts
@@ -21,25 +21,25 @@
 export type NoChoice = 'none-known' | 'none-usable' | 'closed' | 'later'
 
 /** Endpoints that differ by less are alike, ms: less than a word between boxes takes. */
-const alikeMs = 3
+const tieMs = 3
 
 /** What a pick is made from. */
-export interface Rating {
+export interface PickInput {
   readonly views: readonly EndpointView[]
   /** Expected time at an endpoint, ms; what else counts against it included. */
-  readonly weigh: (view: EndpointView) => number
+  readonly estimateMs: (view: EndpointView) => number
   /** How an engine would come by the prompt. */
   readonly plan: (view: EndpointView) => PromptPlan
   /** Engines set apart. */
-  readonly share: number
-  readonly home?: EndpointId
+  readonly dedicatedCount: number
+  readonly affinityEngine?: EndpointId
 }
 
 /** Picks the endpoint of the least time; `draw`, from 0 up to 1, parts those that are alike. `views` must not be empty. */
-export function pickLeast ({ views, weigh, plan, share, home }: Rating, draw: number): Choice {
-  const rated = views.map(view => ({ view, ms: weigh(view) }))
-  const least = rated.reduce((ms, one) => Math.min(ms, one.ms), Infinity)
-  const alike = rated.filter(one => one.ms <= least + alikeMs)
-  const { view, ms } = alike[Math.floor(draw * alike.length)]
-  return { view, expectedMs: ms, plan: plan(view), isHome: view.id === home, candidates: views.length, share }
+export function pickLowestCost ({ views, estimateMs, plan, dedicatedCount, affinityEngine }: PickInput, draw: number): Choice {
+  const costs = views.map(view => ({ view, ms: estimateMs(view) }))
+  const least = costs.reduce((ms, one) => Math.min(ms, one.ms), Infinity)
+  const ties = costs.filter(one => one.ms <= least + tieMs)
+  const { view, ms } = ties[Math.floor(draw * ties.length)]
+  return { view, expectedMs: ms, plan: plan(view), isHome: view.id === affinityEngine, candidates: views.length, share: dedicatedCount }
 }
--- a/src/core/balance/congestion-tracker.ts
+++ b/src/core/balance/congestion-tracker.ts
@@ -1,4 +1,4 @@
-import { rateWindowMs } from './kind-watch.js'
+import { rateWindowMs } from './kind-tracker.js'
 
 /** A kind counts as congested for this long after it was last seen so, ms; prevents oscillation when limits are lifted. */
 const holdMs = 1000
--- a/src/core/balance/reading-share.ts
+++ b/src/core/balance/dedicated-count.ts
@@ -14,19 +14,19 @@
   /** Tokens that each engine reads in a second, in the order in which engines are set apart. */
   readonly rates: readonly number[]
   /** Tokens a second of requests that bear long pauses. */
-  readonly patientRate: number
+  readonly tolerantRate: number
   /** Tokens a second of the others. */
-  readonly briskRate: number
+  readonly sensitiveRate: number
   /** Tokens of patient requests that wait already. */
   readonly waiting: number
   /** Memory that patient requests in flight take, in engines. */
-  readonly patientEngines: number
+  readonly tolerantEngines: number
   /** Places that the others take, in engines. */
-  readonly briskEngines: number
+  readonly sensitiveEngines: number
 }
 
 /** Engines set apart, and those of them that are homes. */
-export interface ApartCount {
+export interface DedicatedCount {
   readonly count: number
   readonly base: number
 }
@@ -36,67 +36,67 @@
  * the time gives its streams a token for each piece read, five times slower than
  * one that doesn't read: at 0.85 streams of the users' days took up all slots.
  */
-const patientLoad = 0.65
+const tolerantLoad = 0.65
 /** Load by reading that the other engines bear: their prompts are short, and bursts of them must find room. */
-const briskLoad = 0.6
+const sensitiveLoad = 0.6
 /** Tokens that wait already are to be read within this time, s. */
-const clearWaitingS = 2
+const backlogTargetS = 2
 /** Part of the engines that are never set apart: quick questions go on in any burst. */
-const leastBriskShare = 0.2
+const minSensitiveShare = 0.2
 /** Part of the engines that requests which bear long pauses get in any burst of the others: they still finish. */
-const leastPatientShare = 0.3
+const minTolerantShare = 0.3
 /** Part of the engines set apart before anything was seen: what long prompts came to on the users' quiet days. */
-const firstShare = 0.38
+const initialShare = 0.38
 /** The share shrinks by one after so long without a need for it, ms. */
 const shrinkAfterMs = 1500
 /** The base moves by one after so long on another side of what is wanted, ms. */
 const baseAfterMs = 10_000
 
-export class ReadingShare {
+export class DedicatedCountController {
   #count = 0
   #base = 0
   /** How far the base has moved from what it was at first. */
-  #moved = 0
-  #lessSince: number | null = null
-  #awaySince: number | null = null
+  #baseOffset = 0
+  #excessSince: number | null = null
+  #baseDriftSince: number | null = null
 
   /** Engines set apart at present, by this box's own measure, and those of them that are homes. */
-  get counts (): ApartCount { return { count: this.#count, base: this.#base } }
+  get counts (): DedicatedCount { return { count: this.#count, base: this.#base } }
 
-  update (at: number, demand: ReadingDemand): ApartCount {
+  update (at: number, demand: ReadingDemand): DedicatedCount {
     const engines = demand.rates.length
-    const wanted = computeShare(demand)
-    const room = countRoom(demand)
-    this.#moveBase(at, engines, wanted, room)
-    this.#moveCount(at, Math.max(this.#base, wanted), Math.max(this.#base, room))
+    const wanted = computeDedicatedCount(demand)
+    const maxDedicated = countMaxDedicated(demand)
+    this.#moveBase(at, engines, wanted, maxDedicated)
+    this.#moveCount(at, Math.max(this.#base, wanted), Math.max(this.#base, maxDedicated))
     this.#count = Math.min(this.#count, Math.max(1, engines - 1))
     return this.counts
   }
 
-  #moveBase (at: number, engines: number, wanted: number, room: number): void {
-    const first = Math.ceil(engines * firstShare)
-    const isAway = wanted > first + this.#moved || wanted < first + this.#moved
-    if (!isAway) this.#awaySince = null
-    else this.#awaySince ??= at
-    if (this.#awaySince !== null && at - this.#awaySince >= baseAfterMs) {
-      this.#moved += wanted > first + this.#moved ? 1 : -1
-      this.#awaySince = at
+  #moveBase (at: number, engines: number, wanted: number, maxDedicated: number): void {
+    const first = Math.ceil(engines * initialShare)
+    const isDrifting = wanted > first + this.#baseOffset || wanted < first + this.#baseOffset
+    if (!isDrifting) this.#baseDriftSince = null
+    else this.#baseDriftSince ??= at
+    if (this.#baseDriftSince !== null && at - this.#baseDriftSince >= baseAfterMs) {
+      this.#baseOffset += wanted > first + this.#baseOffset ? 1 : -1
+      this.#baseDriftSince = at
     }
-    this.#base = Math.max(1, Math.min(engines - 1, room, first + this.#moved))
+    this.#base = Math.max(1, Math.min(engines - 1, maxDedicated, first + this.#baseOffset))
   }
 
   // What the quick questions need is given up at once, what long prompts leave over slowly.
-  #moveCount (at: number, wanted: number, room: number): void {
-    this.#count = Math.min(this.#count, room)
+  #moveCount (at: number, wanted: number, maxDedicated: number): void {
+    this.#count = Math.min(this.#count, maxDedicated)
     if (wanted >= this.#count) {
       this.#count = wanted
-      this.#lessSince = null
+      this.#excessSince = null
       return
     }
-    this.#lessSince ??= at
-    if (at - this.#lessSince < shrinkAfterMs) return
+    this.#excessSince ??= at
+    if (at - this.#excessSince < shrinkAfterMs) return
     this.#count -= 1
-    this.#lessSince = at
+    this.#excessSince = at
   }
 }
 
@@ -104,25 +104,25 @@
  * The number of engines to set apart; at least one for each side where there are
  * two. Where both sides want more than there is, quick questions go first.
  */
-export function computeShare (demand: ReadingDemand): number {
+export function computeDedicatedCount (demand: ReadingDemand): number {
   const { rates } = demand
   const engines = rates.length
   if (engines <= 1) return engines
-  const needed = demand.patientRate / patientLoad + demand.waiting / clearWaitingS
-  const patient = Math.max(countEngines(rates, needed), Math.ceil(demand.patientEngines))
-  return Math.min(engines - 1, Math.max(1, Math.min(patient, countRoom(demand))))
+  const needed = demand.tolerantRate / tolerantLoad + demand.waiting / backlogTargetS
+  const tolerant = Math.max(countEngines(rates, needed), Math.ceil(demand.tolerantEngines))
+  return Math.min(engines - 1, Math.max(1, Math.min(tolerant, countMaxDedicated(demand))))
 }
 
 // Engines that the requests with short pauses leave to long prompts.
-function countRoom (demand: ReadingDemand): number {
+function countMaxDedicated (demand: ReadingDemand): number {
   const engines = demand.rates.length
-  return Math.max(1, engines - countBrisk(demand), Math.ceil(engines * leastPatientShare))
+  return Math.max(1, engines - countSensitiveEngines(demand), Math.ceil(engines * minTolerantShare))
 }
 
 // Engines that the requests with short pauses need.
-function countBrisk ({ rates, briskRate, briskEngines }: ReadingDemand): number {
+function countSensitiveEngines ({ rates, sensitiveRate: briskRate, sensitiveEngines: briskEngines }: ReadingDemand): number {
   const rate = rates[rates.length - 1]
-  return Math.ceil(Math.max(briskRate / rate / briskLoad, briskEngines, rates.length * leastBriskShare, 1))
+  return Math.ceil(Math.max(briskRate / rate / sensitiveLoad, briskEngines, rates.length * minSensitiveShare, 1))
 }
 
 // The first engines that together read so much; one more than there are where they can't.
--- a/src/core/balance/endpoint-directory.ts
+++ b/src/core/balance/endpoint-directory.ts
@@ -8,7 +8,7 @@
 import type { EndpointRecord } from './endpoint-record.js'
 
 /** Records of endpoints that are gone are kept so that late words don't revive them; the oldest go first. */
-const mostGone = 5000
+const maxGone = 5000
 
 export class EndpointDirectory {
   #records = new Map<EndpointId, EndpointRecord>()
@@ -27,10 +27,10 @@
   }
 
   /** Takes in a word; returns the records that it changed for others, or none. */
-  merge (word: EndpointRecord): EndpointRecord[] {
-    const known = this.#records.get(word.id)
-    if (known !== undefined && !isNewer(word, known)) return []
-    const record = known === undefined ? word : joinWords(known, word)
+  merge (update: EndpointRecord): EndpointRecord[] {
+    const known = this.#records.get(update.id)
+    if (known !== undefined && !isNewer(update, known)) return []
+    const record = known === undefined ? update : mergeRecords(known, update)
     this.#set(record)
     const changed = known === undefined || !isSame(known, record) ? [record] : []
     return [...changed, ...this.#displace(record)]
@@ -49,7 +49,7 @@
     this.#records.set(record.id, record)
     if (record.stage !== 'gone') return
     this.#gone.push(record.id)
-    if (this.#gone.length > mostGone) this.#records.delete(this.#gone.shift() as EndpointId)
+    if (this.#gone.length > maxGone) this.#records.delete(this.#gone.shift() as EndpointId)
   }
 
   // An address belongs to whoever spoke from it last. The other may only seem
@@ -63,26 +63,26 @@
   }
 }
 
-function isNewer (word: EndpointRecord, known: EndpointRecord): boolean {
+function isNewer (update: EndpointRecord, known: EndpointRecord): boolean {
   // Where the known life fell silent, a clock that was set back may have given the next one an earlier start.
-  if (isOtherLife(word, known)) return word.born > known.born || (known.stage === 'lost' && word.stage !== 'lost' && word.stage !== 'gone')
+  if (isOtherLife(update, known)) return update.born > known.born || (known.stage === 'lost' && update.stage !== 'lost' && update.stage !== 'gone')
   // Of one that was gone before anything else was heard, another box may know which life that was.
-  if (known.stage === 'gone') return word.stage === 'gone' && word.born > known.born
-  if (word.stage === 'gone') return true
-  if (word.stage === 'lost') return known.stage !== 'lost' && word.sequence >= known.sequence
-  return word.sequence > known.sequence
+  if (known.stage === 'gone') return update.stage === 'gone' && update.born > known.born
+  if (update.stage === 'gone') return true
+  if (update.stage === 'lost') return known.stage !== 'lost' && update.sequence >= known.sequence
+  return update.sequence > known.sequence
 }
 
 /** True where two records are of different lives of an endpoint. One that says no life is of whichever life is known. */
-export function isOtherLife (word: EndpointRecord, known: EndpointRecord): boolean {
-  return word.born !== known.born && word.born !== 0 && known.born !== 0
+export function isOtherLife (record: EndpointRecord, known: EndpointRecord): boolean {
+  return record.born !== known.born && record.born !== 0 && known.born !== 0
 }
 
 // The last word of an endpoint says nothing but that it is one; a word that says no life is of the known one.
-function joinWords (known: EndpointRecord, word: EndpointRecord): EndpointRecord {
-  if (isOtherLife(word, known)) return word
-  const born = Math.max(word.born, known.born)
-  return word.stage === 'gone' ? { ...known, born, sequence: Math.max(known.sequence, word.sequence), stage: 'gone' } : { ...word, born }
+function mergeRecords (known: EndpointRecord, update: EndpointRecord): EndpointRecord {
+  if (isOtherLife(update, known)) return update
+  const born = Math.max(update.born, known.born)
+  return update.stage === 'gone' ? { ...known, born, sequence: Math.max(known.sequence, update.sequence), stage: 'gone' } : { ...update, born }
 }
 
 function isSame (a: EndpointRecord, b: EndpointRecord): boolean {
--- a/src/core/balance/narrowing.ts
+++ b/src/core/balance/endpoint-filter.ts
@@ -14,12 +14,12 @@
 }
 
 /** What is left of the endpoints under a narrowing; all of them without one. */
-export function narrowViews (views: readonly EndpointView[], narrowing: Narrowing | null): readonly EndpointView[] {
-  if (narrowing === null) return views
-  const allowed = views.filter(({ record }) => narrowing.mayUse(record))
-  const fresh = allowed.filter(({ id }) => !narrowing.avoids.has(id))
+export function filterViews (views: readonly EndpointView[], filter: Narrowing | null): readonly EndpointView[] {
+  if (filter === null) return views
+  const allowed = views.filter(({ record }) => filter.mayUse(record))
+  const fresh = allowed.filter(({ id }) => !filter.avoids.has(id))
   const left = fresh.length > 0 ? fresh : allowed
-  if (narrowing.key === null) return left
-  const chosen = chooseByHash(narrowing.key, left.map(({ id }) => id))
+  if (filter.key === null) return left
+  const chosen = chooseByHash(filter.key, left.map(({ id }) => id))
   return left.filter(({ id }) => id === chosen)
 }
--- a/src/core/balance/endpoint-gate.ts
+++ b/src/core/balance/endpoint-gate.ts
@@ -7,7 +7,7 @@
 import type { EndpointRecord } from './endpoint-record.js'
 
 /** A permit that was given and not used yet is good for so long, ms: the limit is kept by when requests are sent. */
-const permitMs = 100
+const permitTtlMs = 100
 
 /** A denied permit: nothing of this priority or behind it before that time. */
 interface Denial {
@@ -52,7 +52,7 @@
   }
 
   /** When a request of this priority may be sent, or a permit asked for; in the past where it may now. */
-  findOpening (priority: number, at: number): number {
+  findOpenTime (priority: number, at: number): number {
     if (this.#isLeaving) return Infinity
     if (this.#limit === null || this.#hasPermit(at)) return this.#backoffUntil
     const denials = this.#denials.filter(one => one.priority <= priority).map(({ until }) => until)
@@ -68,7 +68,7 @@
   }
 
   /** Keeps a permit for the next request, as the one that it was asked for has gone elsewhere. */
-  keepPermit (at: number): void { this.#permits.push(at + permitMs) }
+  keepPermit (at: number): void { this.#permits.push(at + permitTtlMs) }
 
   #hasPermit (at: number): boolean {
     this.#permits = this.#permits.filter(until => until > at)
@@ -77,10 +77,10 @@
 }
 
 /** Gates that are kept; the oldest go first. */
-const mostKept = 5000
+const maxGates = 5000
 
 /** The gates of endpoints by their lives: one that is lost from sight and comes back is no other. */
-export class GateBook {
+export class GateStore {
   #findNotice: (id: EndpointId) => EndpointNotice | undefined
   #gates = new Map<EndpointId, { readonly born: number, readonly gate: EndpointGate }>()
 
@@ -98,7 +98,7 @@
     this.#gates.delete(id)
     this.#gates.set(id, { born, gate })
     const [oldest] = this.#gates.keys()
-    if (this.#gates.size > mostKept) this.#gates.delete(oldest)
+    if (this.#gates.size > maxGates) this.#gates.delete(oldest)
     return gate
   }
 
--- a/src/core/balance/endpoint-view.ts
+++ b/src/core/balance/endpoint-view.ts
@@ -4,14 +4,14 @@
  */
 import { hashText } from '../hash.js'
 import type { EndpointId } from '../ids.js'
-import { FadingAverage, RunningQuantile } from './average.js'
+import { ExponentialAverage, RunningQuantile } from './average.js'
 import type { EndpointRecord } from './endpoint-record.js'
-import type { EngineLearning } from './engine-learning.js'
+import type { EngineStats } from './engine-stats.js'
 import { EndpointGate } from './endpoint-gate.js'
-import { EndpointTrust } from './endpoint-trust.js'
+import { EndpointHealth } from './endpoint-health.js'
 import type { EndpointLoad, ReadPrompt } from './load-word.js'
 import { PromptMemory } from './prompt-memory.js'
-import { countExpected, isPatient, listShared } from './prompt-reading.js'
+import { countExpectedTokens, isPauseTolerant, listSharedParts } from './prompt-reading.js'
 import type { PromptPlan } from './prompt-plan.js'
 import type { PromptCost, PromptPart, Work } from './work.js'
 
@@ -31,18 +31,18 @@
 }
 
 /** Weight of the newest sample in what is learned of an endpoint. */
-const gainOfNewest = 0.15
+const newestWeight = 0.15
 /** Reading time is learned only from prompts that take longer than the noise of the network, tokens. */
-const leastTokensToLearn = 1000
+const minLearningTokens = 1000
 /** Time of an answer that isn't reading, ms. */
 const overheadMs = 10
 /** Share of an engine's memory that is believed to hold prompts that nobody is running. */
 const cacheShare = 0.5
 /** Expected time of a call to a plain service before any was seen, ms. */
-const firstAnswerMs = 100
+const initialAnswerMs = 100
 /** A request that waits so many times longer than usual, and this much more, shows that its endpoint hangs. */
-const overdueTimes = 3
-const overdueMs = 300
+const overdueRatio = 3
+const overdueMarginMs = 300
 /** Streams give an event every few dozen ms; one endpoint that is silent on all of its streams for so long hangs, ms. */
 const silentMs = 500
 /** Part by which each event moves what is believed of the time between events. */
@@ -50,59 +50,59 @@
 /** The gaps that count are the lowest, as what is read unseen makes gaps longer: at 0.35 engines that read much passed for slow ones. */
 const gapQuantile = 0.1
 /** Part by which each stream more stretches the time between events, as on the users' engines (0.53 to 0.71 in 100). */
-const crowdedShare = 0.006
+const gapGrowthPerStream = 0.006
 /** What became of a prompt is told for so long, ms: a word may be lost, and the next ones go out within a few dozen ms. */
-const toldMs = 200
+const promptReportMs = 200
 /** An engine that is so many times slower than the middle one is in trouble, not of a slower kind. */
-export const troubledTimes = 2
+export const degradedRatio = 2
 /** Events that must be seen before an engine's speed is judged. */
-const leastGaps = 16
+const minGaps = 16
 /**
  * Events that come sooner after one another were read together, after a standstill of this box or of its
  * link, ms: a step of the users' fastest engines takes 3. A middle gap of 0 ended every gateway of a zone.
  */
-const leastGapMs = 1
+const minGapMs = 1
 
 export class EndpointView {
   /** Of its id: the same at every box. */
   readonly hash: number
-  readonly trust = new EndpointTrust()
+  readonly trust = new EndpointHealth()
   readonly gate: EndpointGate
   /** What the engine holds, or will have read before anything that is sent to it now. */
   readonly prompts: PromptMemory
   /** What it holds already, so that others may take it. */
   readonly kept: PromptMemory
-  readonly answerMs = new FadingAverage(firstAnswerMs, gainOfNewest)
+  readonly answerMs = new ExponentialAverage(initialAnswerMs, newestWeight)
   record: EndpointRecord
-  #learning: EngineLearning
+  #stats: EngineStats
   /** What this box tells of prompts here. */
-  #told: { readonly at: number, readonly prompt: ReadPrompt }[] = []
-  #gap: RunningQuantile | null = null
-  #gaps = 0
-  #firstGapMs = Infinity
+  #promptReports: { readonly at: number, readonly prompt: ReadPrompt }[] = []
+  #gapQuantile: RunningQuantile | null = null
+  #gapCount = 0
+  #minInitialGapMs = Infinity
   #placed = new Set<Placed>()
   /** What the other boxes have here. */
   #others: EndpointLoad | null = null
   /** The time between events in the middle of what all boxes measured. */
-  #toldGapMs: number | null = null
+  #medianGapMs: number | null = null
   /** How many times slower than the middle of its service it is; 1 where that isn't known. */
   slowness = 1
   /** True for an engine of a slower kind than the middle one. */
   isSlow = false
 
   /** `learning`: of the service's engines as a whole, shared by their views. */
-  constructor (record: EndpointRecord, memoryTokens: number, learning: EngineLearning, gate = new EndpointGate()) {
+  constructor (record: EndpointRecord, memoryTokens: number, stats: EngineStats, gate = new EndpointGate()) {
     this.record = record
     this.gate = gate
     this.hash = hashText(record.id)
     this.prompts = new PromptMemory(memoryTokens * cacheShare)
     this.kept = new PromptMemory(memoryTokens * cacheShare)
-    this.#learning = learning
+    this.#stats = stats
   }
 
   get id (): EndpointId { return this.record.id }
   /** Time to read a prompt token, ms. */
-  get paceMs (): number { return this.#learning.pace.value * this.slowness }
+  get readMsPerToken (): number { return this.#stats.readMsPerToken.value * this.slowness }
 
   /** Other boxes that the endpoint has asked to back off. */
   get backedOffOthers (): number { return this.#others?.backedOff ?? 0 }
@@ -113,14 +113,14 @@
   }
 
   /** Streams in flight whose pauses break where a prompt is read beside them; `patienceMs`: the shortest pause that doesn't. */
-  countBrisk (patienceMs: number): number {
-    return this.#countOwnBrisk(patienceMs) + (this.#others?.brisk ?? 0)
+  countPauseSensitive (minTolerantPauseMs: number): number {
+    return this.#countOwnPauseSensitive(minTolerantPauseMs) + (this.#others?.brisk ?? 0)
   }
 
-  #countOwnBrisk (patienceMs: number): number {
-    let brisk = 0
-    for (const { work } of this.#placed) if (!isPatient(work, patienceMs)) brisk += 1
-    return brisk
+  #countOwnPauseSensitive (minTolerantPauseMs: number): number {
+    let sensitive = 0
+    for (const { work } of this.#placed) if (!isPauseTolerant(work, minTolerantPauseMs)) sensitive += 1
+    return sensitive
   }
 
   /** Memory that requests in flight are expected to take, tokens. */
@@ -135,7 +135,7 @@
    * priority: those of requests that go before it, and what is left of one
    * less urgent prompt that may have been begun.
    */
-  countAhead (priority: number, at: number): number {
+  countTokensAhead (priority: number, at: number): number {
     const { own, others, behind, largest } = this.#countWaiting(priority, at)
     return own + others + Math.min(behind, largest)
   }
@@ -169,8 +169,8 @@
   // behind prompts unknown to this box, so the delay is converted to tokens and counted, up to the size of the prompt.
   #countLeft (placed: Placed, at: number): number {
     const waitedMs = at - placed.sentAt
-    const expectedLeft = placed.readTokens - Math.max(0, waitedMs - placed.aheadTokens * this.paceMs) / this.paceMs
-    const overdueTokens = (waitedMs - this.expectAnswer(placed)) / this.paceMs
+    const expectedLeft = placed.readTokens - Math.max(0, waitedMs - placed.aheadTokens * this.readMsPerToken) / this.readMsPerToken
+    const overdueTokens = (waitedMs - this.expectAnswer(placed)) / this.readMsPerToken
     return Math.max(0, expectedLeft, Math.min(placed.readTokens, overdueTokens))
   }
 
@@ -184,7 +184,7 @@
         started += 1
         heardAt = Math.max(heardAt, placed.heardAt)
       } else if (placed.firstAt === null) {
-        overdue = Math.max(overdue, at - placed.sentAt - overdueTimes * this.expectAnswer(placed) - overdueMs)
+        overdue = Math.max(overdue, at - placed.sentAt - overdueRatio * this.expectAnswer(placed) - overdueMarginMs)
       }
     }
     if (started > 1) overdue = Math.max(overdue, at - heardAt - silentMs)
@@ -194,15 +194,15 @@
   /** Expected time from sending a request to its answer, or first event, ms. */
   expectAnswer (placed: Placed): number {
     if (placed.work.cost === null) return this.answerMs.value
-    return (placed.readTokens + placed.aheadTokens) * this.paceMs + placed.fetchMs + overheadMs
+    return (placed.readTokens + placed.aheadTokens) * this.readMsPerToken + placed.fetchMs + overheadMs
   }
 
   place (work: Work, { readTokens, fetch }: PromptPlan, at: number): Placed {
     const { cost } = work
     const memory = cost === null ? 0 : cost.promptTokens + cost.mostTokens / 2
-    const placed: Placed = { work, readTokens, fetchMs: fetch?.ms ?? 0, aheadTokens: this.countAhead(work.priority, at), memory, sentAt: at, firstAt: null, heardAt: at }
+    const placed: Placed = { work, readTokens, fetchMs: fetch?.ms ?? 0, aheadTokens: this.countTokensAhead(work.priority, at), memory, sentAt: at, firstAt: null, heardAt: at }
     this.#placed.add(placed)
-    if (cost !== null) this.#tellPrompt(cost, false, at)
+    if (cost !== null) this.#reportPrompt(cost, false, at)
     return placed
   }
 
@@ -213,17 +213,17 @@
     const took = at - placed.sentAt
     const { cost } = placed.work
     if (cost === null) return this.answerMs.add(took)
-    this.#tellPrompt(cost, true, at)
-    this.#learning.readMeter.add(at, countExpected(cost))
-    this.#learning.lateness.add(placed.work.level, took / this.expectAnswer(placed))
+    this.#reportPrompt(cost, true, at)
+    this.#stats.readMeter.add(at, countExpectedTokens(cost))
+    this.#stats.lateness.add(placed.work.level, took / this.expectAnswer(placed))
     const tokens = placed.readTokens + placed.aheadTokens
-    if (tokens >= leastTokensToLearn) this.#learning.pace.add(Math.max(0, took - overheadMs - placed.fetchMs) / tokens / this.slowness)
+    if (tokens >= minLearningTokens) this.#stats.readMsPerToken.add(Math.max(0, took - overheadMs - placed.fetchMs) / tokens / this.slowness)
   }
 
-  #tellPrompt (cost: PromptCost, isKept: boolean, at: number): void {
+  #reportPrompt (cost: PromptCost, isKept: boolean, at: number): void {
     this.notePrompt(cost.parts, isKept)
-    const shared = listShared(cost)
-    if (shared.length > 0) this.#told.push({ at, prompt: [this.id, shared.map(({ id, tokens }) => [id, tokens]), isKept] })
+    const shared = listSharedParts(cost)
+    if (shared.length > 0) this.#promptReports.push({ at, prompt: [this.id, shared.map(({ id, tokens }) => [id, tokens]), isKept] })
   }
 
   /** Notes that the engine reads parts of a prompt, or holds them already. */
@@ -233,37 +233,37 @@
   }
 
   /** Prompts of this box that were sent here or read here just now, for the other boxes. */
-  listTold (at: number): ReadPrompt[] {
-    this.#told = this.#told.filter(one => at - one.at <= toldMs)
-    return this.#told.map(one => one.prompt)
+  listPromptReports (at: number): ReadPrompt[] {
+    this.#promptReports = this.#promptReports.filter(one => at - one.at <= promptReportMs)
+    return this.#promptReports.map(one => one.prompt)
   }
 
   /**
    * Time between events of a stream that is alone and beside which no prompt is
    * read, as this box measured it, ms; null before enough was seen.
    */
-  get ownGapMs (): number | null { return this.#gaps < leastGaps ? null : this.#gap?.value ?? this.#firstGapMs }
+  get ownGapMs (): number | null { return this.#gapCount < minGaps ? null : this.#gapQuantile?.value ?? this.#minInitialGapMs }
 
   /** The same, in the middle of what all boxes measured; this box's own measure before any was told. */
-  get gapMs (): number | null { return this.#toldGapMs ?? this.ownGapMs }
+  get gapMs (): number | null { return this.#medianGapMs ?? this.ownGapMs }
 
   // An engine in trouble, or of unknown speed, tells nothing of the others.
   #noteReadingPause (pauseMs: number, at: number): void {
-    if (this.gapMs !== null && this.slowness < troubledTimes) this.#learning.readingPause.add(pauseMs, this.slowness, at)
+    if (this.gapMs !== null && this.slowness < degradedRatio) this.#stats.readingPause.add(pauseMs, this.slowness, at)
   }
 
   /** Takes the middle of what all boxes measured. */
-  noteGapOfAll (gapMs: number): void { this.#toldGapMs = gapMs < leastGapMs ? null : gapMs }
+  noteMedianGap (gapMs: number): void { this.#medianGapMs = gapMs < minGapMs ? null : gapMs }
 
   /** Notes the time between two events of a stream: beside reading, or where nothing is being read here. */
   noteGap (gapMs: number, at: number): void {
-    if (gapMs < leastGapMs) return
-    if (this.countAhead(Infinity, at) > 0) return this.#noteReadingPause(gapMs, at)
-    const aloneMs = gapMs / (1 + this.running * crowdedShare)
-    this.#gaps += 1
+    if (gapMs < minGapMs) return
+    if (this.countTokensAhead(Infinity, at) > 0) return this.#noteReadingPause(gapMs, at)
+    const aloneMs = gapMs / (1 + this.running * gapGrowthPerStream)
+    this.#gapCount += 1
     // The first gaps may all stand beside reading that this box knows nothing of: the lowest is nearest.
-    if (this.#gaps <= leastGaps) this.#firstGapMs = Math.min(this.#firstGapMs, aloneMs)
-    else (this.#gap ??= new RunningQuantile(this.#firstGapMs, gapQuantile, gapStep)).add(aloneMs)
+    if (this.#gapCount <= minGaps) this.#minInitialGapMs = Math.min(this.#minInitialGapMs, aloneMs)
+    else (this.#gapQuantile ??= new RunningQuantile(this.#minInitialGapMs, gapQuantile, gapStep)).add(aloneMs)
   }
 
   /** Takes a request out that has ended, or was called off. */
@@ -271,14 +271,14 @@
     this.#placed.delete(placed)
     // Whoever left without a first event waited longer than expected too.
     const waitedTimes = (at - placed.sentAt) / this.expectAnswer(placed)
-    if (placed.firstAt === null && placed.work.cost !== null && waitedTimes > 1) this.#learning.lateness.add(placed.work.level, waitedTimes)
+    if (placed.firstAt === null && placed.work.cost !== null && waitedTimes > 1) this.#stats.lateness.add(placed.work.level, waitedTimes)
   }
 
   /** Takes what the other boxes have here; null for nothing. */
   noteOthers (load: EndpointLoad | null): void { this.#others = load }
 
   /** What this box tells its hub of its work here; null where it has none. */
-  composeLoad (at: number, patienceMs: number): EndpointLoad | null {
+  composeLoad (at: number, minTolerantPauseMs: number): EndpointLoad | null {
     const backedOff = this.gate.isBackedOff(at) ? 1 : 0
     if (this.#placed.size === 0 && backedOff === 0) return null
     const waiting = new Map<number, number>()
@@ -291,6 +291,6 @@
       largest = Math.max(largest, left)
       if (left > 0) waiting.set(placed.work.priority, (waiting.get(placed.work.priority) ?? 0) + left)
     }
-    return { endpoint: this.id, running: this.#placed.size, brisk: this.#countOwnBrisk(patienceMs), memory: Math.round(memory), waiting: [...waiting], largest, backedOff }
+    return { endpoint: this.id, running: this.#placed.size, brisk: this.#countOwnPauseSensitive(minTolerantPauseMs), memory: Math.round(memory), waiting: [...waiting], largest, backedOff }
   }
 }
--- a/src/core/balance/engine-learning.ts
+++ b/src/core/balance/engine-stats.ts
@@ -1,20 +1,20 @@
 /** What is learned of the engines of a service as a whole, shared by the views of its engines. */
 import { RunningQuantile } from './average.js'
 import { DemandMeter } from './demand-meter.js'
-import { rateWindowMs } from './kind-watch.js'
+import { rateWindowMs } from './kind-tracker.js'
 import { Lateness } from './lateness.js'
 import { ReadingPause } from './reading-pause.js'
 
 /** Time to read a prompt token before any was measured, ms: a middling engine of the users' days. */
-const firstPaceMs = 0.024
+const initialReadMsPerToken = 0.024
 /** Prompts of which all tokens ahead were known are read the fastest; they tell the pace. */
-const paceQuantile = 0.3
+const readTimeQuantile = 0.3
 /** Part by which samples move what is believed of a service's time per token. */
-const paceStep = 0.05
+const readTimeStep = 0.05
 
-export interface EngineLearning {
+export interface EngineStats {
   /** Time to read a prompt token, ms. */
-  readonly pace: RunningQuantile
+  readonly readMsPerToken: RunningQuantile
   /** Pauses of streams beside reading. */
   readonly readingPause: ReadingPause
   readonly lateness: Lateness
@@ -23,9 +23,9 @@
 }
 
 /** What is believed before anything was measured. */
-export function createLearning (): EngineLearning {
+export function createEngineStats (): EngineStats {
   return {
-    pace: new RunningQuantile(firstPaceMs, paceQuantile, paceStep),
+    readMsPerToken: new RunningQuantile(initialReadMsPerToken, readTimeQuantile, readTimeStep),
     readingPause: new ReadingPause(),
     lateness: new Lateness(),
     readMeter: new DemandMeter(rateWindowMs)
--- a/src/core/balance/fleet.ts
+++ b/src/core/balance/fleet.ts
@@ -8,56 +8,56 @@
 import type { EndpointNotice } from '../limits/index.js'
 import type { PromptTransfer, RoutedService } from '../routes/index.js'
 import type { Admission } from './admission.js'
-import { agreeShare, countHeld } from './agreed-share.js'
+import { agreeDedicatedCount, countHeldTokens } from './agreed-dedicated-count.js'
 import type { Choice, NoChoice } from './choice.js'
 import { chooseEngine, choosePlain } from './choose-endpoint.js'
 import { describeService } from './describe-service.js'
 import { isOtherLife } from './endpoint-directory.js'
-import { GateBook } from './endpoint-gate.js'
+import { GateStore } from './endpoint-gate.js'
 import type { EndpointRecord } from './endpoint-record.js'
 import { EndpointView } from './endpoint-view.js'
-import { hasRoom } from './endpoint-weights.js'
-import type { PromptCase, Standpoint } from './endpoint-weights.js'
-import { createLearning } from './engine-learning.js'
-import { listApart } from './engines-apart.js'
-import { HeldPrompts, notePrompt } from './held-prompts.js'
-import { KnownOthers } from './known-others.js'
+import { hasRoom } from './endpoint-costs.js'
+import type { PromptRequest, BoxContext } from './endpoint-costs.js'
+import { createEngineStats } from './engine-stats.js'
+import { listDedicationOrder } from './dedication-order.js'
+import { ReportedPrompts, notePrompt } from './reported-prompts.js'
+import { OtherBoxes } from './other-boxes.js'
 import type { BoxLoad, EngineGap, LoadTotals, ReadPrompt } from './load-word.js'
-import { narrowViews } from './narrowing.js'
-import type { Narrowing } from './narrowing.js'
-import { noneApart, outlookMs } from './outlook.js'
-import type { Outlook } from './outlook.js'
+import { filterViews } from './endpoint-filter.js'
+import type { Narrowing } from './endpoint-filter.js'
+import { noneDedicated, snapshotTtlMs } from './service-snapshot.js'
+import type { ServiceSnapshot } from './service-snapshot.js'
 import { listHolders } from './prompt-plan.js'
 import type { PromptHolder } from './prompt-plan.js'
-import { countExpected, findPatience, guessPause, isPatient } from './prompt-reading.js'
-import type { ApartCount } from './reading-share.js'
-import { admitToEngines, findPressed, listImmediateEngines } from './service-admission.js'
+import { countExpectedTokens, computeMinTolerantPause, estimateInitialPause, isPauseTolerant } from './prompt-reading.js'
+import type { DedicatedCount } from './dedicated-count.js'
+import { admitToEngines, findOverloadedLevel, listImmediateEngines } from './service-admission.js'
 import type { AdmissionContext } from './service-admission.js'
-import { composeDemand, createState } from './service-state.js'
+import { composeDemand, createServiceState } from './service-state.js'
 import type { ServiceState } from './service-state.js'
-import { groupByService, isOpen, listSources, listUsable } from './usable-endpoints.js'
+import { groupByService, isOpen, listTransferSources, listUsable } from './usable-endpoints.js'
 import type { PromptCost, Work } from './work.js'
-import { ZoneWatch } from './zone-watch.js'
+import { ZoneMonitor } from './zone-monitor.js'
 
 /** A zone counts as cut off after so long without a word, ms: two heartbeats of a registry there, or some totals that name it. */
 const zoneSilentMs = 800
 
 export class Fleet {
-  readonly zones: ZoneWatch
-  #standpoint: Standpoint
+  readonly zones: ZoneMonitor
+  #boxContext: BoxContext
   #services = new Map<ServiceName, ServiceState>()
   #views = new Map<EndpointId, EndpointView>()
   #byService = new Map<ServiceName, EndpointView[]>()
-  #others = new KnownOthers()
-  #heldPrompts = new HeldPrompts()
-  #outlooks = new Map<ServiceName, Outlook>()
-  #gates: GateBook
+  #others = new OtherBoxes()
+  #reportedPrompts = new ReportedPrompts()
+  #snapshots = new Map<ServiceName, ServiceSnapshot>()
+  #gates: GateStore
 
   /** `isConnected`: whether a connection to an endpoint is open and at rest; `findNotice`: what one has said of itself. */
   constructor (zone: ZoneName, isConnected: (view: EndpointView) => boolean = () => true, findNotice: (id: EndpointId) => EndpointNotice | undefined = () => undefined) {
-    this.#gates = new GateBook(findNotice)
-    this.zones = new ZoneWatch(zone, zoneSilentMs)
-    this.#standpoint = { zone, zones: this.zones, isConnected }
+    this.#gates = new GateStore(findNotice)
+    this.zones = new ZoneMonitor(zone, zoneSilentMs)
+    this.#boxContext = { zone, zones: this.zones, isConnected }
   }
 
   get views (): IterableIterator<EndpointView> { return this.#views.values() }
@@ -68,7 +68,7 @@
     const states = new Map<ServiceName, ServiceState>()
     for (const service of services) {
       const known = this.#services.get(service.name)
-      states.set(service.name, known === undefined ? createState(service) : { ...known, service })
+      states.set(service.name, known === undefined ? createServiceState(service) : { ...known, service })
     }
     const renewed = [...this.#views.values()].filter(({ record: { service } }) => states.has(service) && !this.#services.has(service))
     this.#services = states
@@ -82,11 +82,11 @@
     for (const record of records) {
       const known = this.#views.get(record.id)
       const isOver = record.stage === 'gone' || record.stage === 'lost'
-      const isNewLife = known !== undefined && isOtherLife(record, known.record)
+      const isNewIncarnation = known !== undefined && isOtherLife(record, known.record)
       // A new life holds and has nothing of the one before it.
-      if (isOver || isNewLife) this.#forget(record)
+      if (isOver || isNewIncarnation) this.#forget(record)
       if (isOver) continue
-      if (known !== undefined && !isNewLife) known.record = record
+      if (known !== undefined && !isNewIncarnation) known.record = record
       else this.#views.set(record.id, this.#createView(record))
     }
     this.#regroup()
@@ -97,9 +97,9 @@
 
   /** Takes in which prompts engines hold; also of engines that are known only later. */
   notePrompts (prompts: readonly ReadPrompt[]): void {
-    for (const endpoint of this.#heldPrompts.take(prompts)) {
+    for (const endpoint of this.#reportedPrompts.take(prompts)) {
       const view = this.#views.get(endpoint)
-      if (view !== undefined) this.#heldPrompts.note(view)
+      if (view !== undefined) this.#reportedPrompts.note(view)
     }
   }
 
@@ -109,26 +109,26 @@
       const view = this.#views.get(notice.endpoint)
       if (view?.record.born !== notice.born) continue
       view.gate.setNotice(notice)
-      this.#outlooks.delete(view.record.service)
+      this.#snapshots.delete(view.record.service)
     }
   }
 
   /** When an endpoint that wasn't tried takes a request again; in the past where one does now, Infinity where none is known to. */
   findOpening (work: Work, tried: readonly EndpointId[], at: number): number {
-    const untried = this.#look(work.service, at).usable.filter(view => !tried.includes(view.id))
-    return Math.min(Infinity, ...untried.map(({ gate }) => gate.findOpening(work.priority, at)))
+    const untried = this.#findSnapshot(work.service, at).usable.filter(view => !tried.includes(view.id))
+    return Math.min(Infinity, ...untried.map(({ gate }) => gate.findOpenTime(work.priority, at)))
   }
 
   /** Requests a second that the endpoints of a service take from all boxes together; Infinity where one names no limit. */
   sumLimits (service: ServiceName, at: number): number {
-    return this.#look(service, at).usable.reduce((sum, { gate }) => sum + (gate.limit ?? Infinity), 0)
+    return this.#findSnapshot(service, at).usable.reduce((sum, { gate }) => sum + (gate.limit ?? Infinity), 0)
   }
 
   /** Takes in what the other boxes have; `noTotals` where no hub is heard. */
   noteOthers (others: LoadTotals, at: number): void {
     const loads = new Map(others.loads.map(load => [load.endpoint, load]))
     for (const view of this.#views.values()) view.noteOthers(loads.get(view.id) ?? null)
-    for (const [endpoint, gapMs] of others.gaps) this.#views.get(endpoint)?.noteGapOfAll(gapMs)
+    for (const [endpoint, gapMs] of others.gaps) this.#views.get(endpoint)?.noteMedianGap(gapMs)
     this.#others.note(others, at)
     for (const prompt of others.prompts) {
       const view = this.#views.get(prompt[0])
@@ -141,7 +141,7 @@
   noteBoxes (count: number): void { this.#others.noteBoxes(count) }
 
   /** Endpoints of a service that may be used now. */
-  listUsable (service: ServiceName, at: number): readonly EndpointView[] { return this.#look(service, at).usable }
+  listUsable (service: ServiceName, at: number): readonly EndpointView[] { return this.#findSnapshot(service, at).usable }
 
   /** What this box tells its hub. */
   composeLoad (at: number): BoxLoad {
@@ -149,9 +149,9 @@
     const gaps: EngineGap[] = []
     const prompts: ReadPrompt[] = []
     for (const view of this.#views.values()) {
-      const load = view.composeLoad(at, this.#findPatienceAt(view, at))
+      const load = view.composeLoad(at, this.#findMinTolerantPauseAt(view, at))
       if (load !== null) loads.push(load)
-      prompts.push(...view.listTold(at))
+      prompts.push(...view.listPromptReports(at))
       if (view.ownGapMs !== null) gaps.push([view.id, Math.round(view.ownGapMs * 10) / 10])
     }
     const demands = [...this.#services.values()].map(state => composeDemand(state, at)).filter(({ patient, brisk, readingPauseMs }) => patient > 0 || brisk > 0 || readingPauseMs !== null)
@@ -165,48 +165,48 @@
    */
   choose (work: Work, tried: readonly EndpointId[], at: number, draw: number, waitedMs = 0, narrowing: Narrowing | null = null): Choice | NoChoice {
     const all = this.#byService.get(work.service) ?? []
-    const { usable, apart, counts } = this.#look(work.service, at)
-    const untried = narrowViews(usable.filter(view => !tried.includes(view.id)), narrowing)
+    const { usable, dedicationOrder, counts } = this.#findSnapshot(work.service, at)
+    const untried = filterViews(usable.filter(view => !tried.includes(view.id)), narrowing)
     if (untried.length === 0) return all.length === 0 ? 'none-known' : 'none-usable'
     const left = untried.filter(view => isOpen(view, work, at))
     if (left.length === 0) return 'closed'
     const context = this.#composeContext(work.service, at)
-    if (work.cost === null || context === null) return choosePlain(left, this.#standpoint, at, draw)
-    const { engine, patienceMs } = context
-    const patient = isPatient(work, patienceMs)
-    if (patient && waitedMs < work.targetMs && findPressed(context, at) < work.level) return 'later'
-    const parted = (patient ? apart.slice(0, counts.count) : listImmediateEngines(context, work.targetMs, at)).filter(view => !tried.includes(view.id) && isOpen(view, work, at))
-    const side = narrowing === null ? parted : left
-    const homes = patient && narrowing === null ? apart.slice(0, counts.base) : side
-    const prompt: PromptCase = { work, cost: work.cost, engine, waitedMs, patienceMs, isPatient: patient }
+    if (work.cost === null || context === null) return choosePlain(left, this.#boxContext, at, draw)
+    const { engine, minTolerantPauseMs } = context
+    const isTolerant = isPauseTolerant(work, minTolerantPauseMs)
+    if (isTolerant && waitedMs < work.targetMs && findOverloadedLevel(context, at) < work.level) return 'later'
+    const preferred = (isTolerant ? dedicationOrder.slice(0, counts.count) : listImmediateEngines(context, work.targetMs, at)).filter(view => !tried.includes(view.id) && isOpen(view, work, at))
+    const candidates = narrowing === null ? preferred : left
+    const affinityCandidates = isTolerant && narrowing === null ? dedicationOrder.slice(0, counts.base) : candidates
+    const prompt: PromptRequest = { work, cost: work.cost, engine, waitedMs, minTolerantPauseMs, isPauseTolerant: isTolerant }
     const holders = this.#listHolders(work.cost, engine.transfer, at, work.service)
-    const choice = chooseEngine({ side: side.length > 0 ? side : left, homes, holders, prompt, share: counts.count, from: this.#standpoint }, at, draw)
-    return patient && !hasRoom(choice.view, work.cost, engine, this.#others.countUnheard(at), at) ? 'later' : choice
+    const choice = chooseEngine({ candidates: candidates.length > 0 ? candidates : left, affinityCandidates, holders, prompt, dedicatedCount: counts.count, boxContext: this.#boxContext }, at, draw)
+    return isTolerant && !hasRoom(choice.view, work.cost, engine, this.#others.countUnreportedBoxes(at), at) ? 'later' : choice
   }
 
   /** What is believed of each service's engines at present, for the log. */
   describe (at: number): { readonly service: ServiceName, readonly text: string }[] {
-    const told = []
+    const descriptions = []
     for (const [name, state] of this.#services) {
       const views = this.#byService.get(name) ?? []
       if (state.service.engine === null || views.length === 0) continue
-      const apart = listApart(views)
+      const dedicationOrder = listDedicationOrder(views)
       const text = describeService({
         state,
-        apart,
-        counts: this.#agreeShare(state, apart, at),
+        dedicationOrder,
+        counts: this.#agreeDedicatedCount(state, dedicationOrder, at),
         readingPauseMs: this.#findReadingPause(state, at),
-        patienceMs: this.#findPatience(state, at),
-        heldTokens: this.#countHeld(state, Infinity)
+        minTolerantPauseMs: this.#findMinTolerantPause(state, at),
+        heldTokens: this.#countHeldTokens(state, Infinity)
       }, at)
-      told.push({ service: name, text })
+      descriptions.push({ service: name, text })
     }
-    return told
+    return descriptions
   }
 
   /** Notes the time between two events of a stream at an endpoint, ms. */
   noteGap (view: EndpointView, gapMs: number, at: number): void {
-    if (this.#others.isWhole(at)) view.noteGap(gapMs, at)
+    if (this.#others.isComplete(at)) view.noteGap(gapMs, at)
   }
 
   /** Notes that a request was sent to an engine. */
@@ -216,7 +216,7 @@
   noteHeld (work: Work, isHeld: boolean): void {
     const held = this.#services.get(work.service)?.held
     if (held === undefined || work.cost === null) return
-    const tokens = (held.get(work.priority) ?? 0) + (isHeld ? 1 : -1) * countExpected(work.cost)
+    const tokens = (held.get(work.priority) ?? 0) + (isHeld ? 1 : -1) * countExpectedTokens(work.cost)
     if (tokens > 0) held.set(work.priority, tokens)
     else held.delete(work.priority)
   }
@@ -229,7 +229,7 @@
 
   /** Engines of a service that are set apart for long prompts, as last agreed. */
   countApart (service: ServiceName): number {
-    return Math.max(this.#services.get(service)?.share.counts.count ?? 0, this.#others.find(service)?.apart ?? 0)
+    return Math.max(this.#services.get(service)?.dedicatedCount.counts.count ?? 0, this.#others.find(service)?.apart ?? 0)
   }
 
   /** Decides whether to admit a request; returns null if no decision is needed: for a plain service, or engines that are not congested for the request. */
@@ -246,16 +246,16 @@
     return {
       state,
       engine,
-      outlook: this.#look(service, at),
+      snapshot: this.#findSnapshot(service, at),
       others: this.#others.find(service),
-      sharers: this.#others.countUnheard(at),
-      patienceMs: this.#findPatience(state, at),
+      sharers: this.#others.countUnreportedBoxes(at),
+      minTolerantPauseMs: this.#findMinTolerantPause(state, at),
       listHolders: cost => this.#listHolders(cost, engine.transfer, at, service)
     }
   }
 
   #listHolders (cost: PromptCost, transfer: PromptTransfer | null, at: number, service: ServiceName): PromptHolder[] {
-    return transfer === null ? [] : listHolders(listSources(this.#look(service, at).usable, this.zones, at), cost)
+    return transfer === null ? [] : listHolders(listTransferSources(this.#findSnapshot(service, at).usable, this.zones, at), cost)
   }
 
   /** Notes that a request arrived, for the measure of demand. */
@@ -263,69 +263,69 @@
     const state = this.#services.get(work.service)
     if (state?.service.engine == null || work.cost === null) return
     if (work.pauseMs !== null) state.pauses.note(at, work.pauseMs)
-    state.kinds.note(work, countExpected(work.cost), at)
-    const meter = this.#isPatient(work, state, at) ? state.patient : state.brisk
-    meter.add(at, countExpected(work.cost))
+    state.kinds.note(work, countExpectedTokens(work.cost), at)
+    const meter = this.#isPauseTolerant(work, state, at) ? state.tolerantDemand : state.sensitiveDemand
+    meter.add(at, countExpectedTokens(work.cost))
   }
 
-  #isPatient (work: Pick<Work, 'pauseMs'>, state: ServiceState, at: number): boolean {
-    return isPatient(work, this.#findPatience(state, at))
+  #isPauseTolerant (work: Pick<Work, 'pauseMs'>, state: ServiceState, at: number): boolean {
+    return isPauseTolerant(work, this.#findMinTolerantPause(state, at))
   }
 
-  #findPatienceAt (view: EndpointView, at: number): number {
+  #findMinTolerantPauseAt (view: EndpointView, at: number): number {
     const state = this.#services.get(view.record.service)
-    return state === undefined ? 0 : this.#findPatience(state, at)
+    return state === undefined ? 0 : this.#findMinTolerantPause(state, at)
   }
 
-  #findPatience (state: ServiceState, at: number): number {
-    return findPatience(this.#findReadingPause(state, at), state.pauses.findLongest(at))
+  #findMinTolerantPause (state: ServiceState, at: number): number {
+    return computeMinTolerantPause(this.#findReadingPause(state, at), state.pauses.findLongest(at))
   }
 
   // All boxes go by the same pause where they hear of each other, as they must part requests alike.
   #findReadingPause (state: ServiceState, at: number): number {
-    const { service, pace, readingPause } = state
-    return this.#others.find(state.service.name)?.readingPauseMs ?? readingPause.find(at) ?? guessPause(service.engine?.tokensPerEvent ?? 1, pace.value)
+    const { service, readMsPerToken: pace, readingPause } = state
+    return this.#others.find(state.service.name)?.readingPauseMs ?? readingPause.find(at) ?? estimateInitialPause(service.engine?.tokensPerEvent ?? 1, pace.value)
   }
 
   #regroup (): void {
     this.#byService = groupByService(this.#views.values())
-    this.#outlooks.clear()
+    this.#snapshots.clear()
   }
 
   #createView (record: EndpointRecord): EndpointView {
     const state = this.#services.get(record.service)
-    const view = new EndpointView(record, state?.service.engine?.memoryTokens ?? 0, state ?? createLearning(), this.#gates.find(record))
-    this.#heldPrompts.note(view)
+    const view = new EndpointView(record, state?.service.engine?.memoryTokens ?? 0, state ?? createEngineStats(), this.#gates.find(record))
+    this.#reportedPrompts.note(view)
     return view
   }
 
   #forget ({ id, stage }: EndpointRecord): void {
     this.#views.delete(id)
     if (stage === 'gone') this.#gates.forget(id)
-    this.#heldPrompts.forget(id)
+    this.#reportedPrompts.forget(id)
   }
 
   // The endpoints that may be used and how they are parted, as of some ms ago.
-  #look (service: ServiceName, at: number): Outlook {
-    const known = this.#outlooks.get(service)
-    if (known !== undefined && at - known.at < outlookMs) return known
+  #findSnapshot (service: ServiceName, at: number): ServiceSnapshot {
+    const known = this.#snapshots.get(service)
+    if (known !== undefined && at - known.at < snapshotTtlMs) return known
     const ready = (this.#byService.get(service) ?? []).filter(view => view.record.stage === 'ready' && !view.gate.isLeaving)
     const usable = listUsable(ready, at)
     const state = this.#services.get(service)
-    const apart = state?.service.engine == null ? [] : listApart(usable)
-    const counts = state === undefined || apart.length === 0 ? noneApart : this.#agreeShare(state, apart, at)
-    const outlook: Outlook = { at, usable, apart, counts, pressed: null, kindShares: null }
-    this.#outlooks.set(service, outlook)
-    return outlook
+    const dedicationOrder = state?.service.engine == null ? [] : listDedicationOrder(usable)
+    const counts = state === undefined || dedicationOrder.length === 0 ? noneDedicated : this.#agreeDedicatedCount(state, dedicationOrder, at)
+    const snapshot: ServiceSnapshot = { at, usable, dedicationOrder, counts, overloadedLevel: null, kindShares: null }
+    this.#snapshots.set(service, snapshot)
+    return snapshot
   }
 
   // `apart`: the engines in the order in which they are set apart.
-  #agreeShare (state: ServiceState, apart: readonly EndpointView[], at: number): ApartCount {
-    return agreeShare(state, this.#others.find(state.service.name), apart, at)
+  #agreeDedicatedCount (state: ServiceState, dedicationOrder: readonly EndpointView[], at: number): DedicatedCount {
+    return agreeDedicatedCount(state, this.#others.find(state.service.name), dedicationOrder, at)
   }
 
   // Tokens that wait in the boxes, of requests that go before one of this priority.
-  #countHeld (state: ServiceState, priority: number): number {
-    return countHeld(state, this.#others.find(state.service.name), priority)
+  #countHeldTokens (state: ServiceState, priority: number): number {
+    return countHeldTokens(state, this.#others.find(state.service.name), priority)
   }
 }
--- a/src/core/balance/kind-watch.ts
+++ b/src/core/balance/kind-tracker.ts
@@ -14,13 +14,13 @@
 }
 
 /** A kind that didn't come for so long no longer counts, ms. */
-const rememberedMs = 60_000
+const retentionMs = 60_000
 /** Window over which the arrival rate of each kind is measured, ms. */
 export const rateWindowMs = 1000
 
-export class KindWatch {
+export class KindTracker {
   #kinds = new Map<number, { readonly kind: KnownKind, readonly at: number }>()
-  #begun = new Map<number, number>()
+  #lastStartAt = new Map<number, number>()
   #meters = new Map<number, DemandMeter>()
 
   /** Records the arrival of a request; `tokens`: prompt tokens expected to be read for it. */
@@ -33,7 +33,7 @@
   }
 
   /** Notes that a request of a level was sent to an engine. */
-  noteBegun (level: number, at: number): void { this.#begun.set(level, at) }
+  noteBegun (level: number, at: number): void { this.#lastStartAt.set(level, at) }
 
   /** Arrival rate of each kind, tokens/s; rates that round to zero are omitted. */
   measureRates (at: number): KindRates {
@@ -41,22 +41,22 @@
   }
 
   /** When a request less urgent than those of a level last began; -Infinity for never. */
-  findLessBegun (level: number): number {
+  findLastLessUrgentStart (level: number): number {
     let latest = -Infinity
-    for (const [other, at] of this.#begun) if (other > level) latest = Math.max(latest, at)
+    for (const [other, at] of this.#lastStartAt) if (other > level) latest = Math.max(latest, at)
     return latest
   }
 
   /** The longest target of the kinds less urgent than a level that came of late, ms; 0 for none. */
-  findLessTarget (level: number, at: number): number {
+  findMaxLessUrgentTarget (level: number, at: number): number {
     return this.list(at).reduce((longest, kind) => kind.level > level ? Math.max(longest, kind.targetMs) : longest, 0)
   }
 
   /** The least urgent rank of a level's requests; `priority` where none is known. */
-  findLowest (level: number, priority: number): number { return this.#kinds.get(level)?.kind.priority ?? priority }
+  findLowestPriority (level: number, priority: number): number { return this.#kinds.get(level)?.kind.priority ?? priority }
 
   /** The kinds that came of late, the most urgent first. */
   list (at: number): KnownKind[] {
-    return [...this.#kinds.values()].filter(one => at - one.at <= rememberedMs).map(one => one.kind).sort((a, b) => a.level - b.level)
+    return [...this.#kinds.values()].filter(one => at - one.at <= retentionMs).map(one => one.kind).sort((a, b) => a.level - b.level)
   }
 }
--- a/src/core/balance/lateness.ts
+++ b/src/core/balance/lateness.ts
@@ -1,24 +1,24 @@
-import { FadingAverage } from './average.js'
+import { ExponentialAverage } from './average.js'
 
 /** Weight of the newest first event in how late they are: a burst makes them late within a second. */
-const gainOfNewest = 0.08
+const newestWeight = 0.08
 /** A first event counts as at most so many times later than expected: one that hangs says nothing of the others. */
-const mostLate = 6
+const maxLateness = 6
 
 /**
  * How many times longer first events took than was expected of prompts as they were sent, of each kind by
  * itself: kinds that wait for one another are late more often, and drew up what was believed of the others.
  */
 export class Lateness {
-  #byLevel = new Map<number, FadingAverage>()
+  #byLevel = new Map<number, ExponentialAverage>()
 
   /** Of a kind by its level; 1, which is on time, before any was seen. */
   find (level: number): number { return this.#byLevel.get(level)?.value ?? 1 }
 
   add (level: number, times: number): void {
     let average = this.#byLevel.get(level)
-    if (average === undefined) this.#byLevel.set(level, average = new FadingAverage(1, gainOfNewest))
-    average.add(Math.min(mostLate, times))
+    if (average === undefined) this.#byLevel.set(level, average = new ExponentialAverage(1, newestWeight))
+    average.add(Math.min(maxLateness, times))
   }
 
   /** For the log: each kind's level and its lateness. */
--- a/src/core/balance/load-sum.ts
+++ b/src/core/balance/load-sum.ts
@@ -1,6 +1,6 @@
 /** Sums of loads over boxes or hubs. */
 import type { EndpointId, ServiceName, ZoneName } from '../ids.js'
-import { findMiddle } from './average.js'
+import { findMedian } from './average.js'
 import type { EndpointLoad, EngineGap, LoadTotals, ServiceTotal, WaitingTokens } from './load-word.js'
 
 /** Adds up totals: work is summed, shares are the largest of any, gaps the middle of all. Prompts are passed on by themselves. */
@@ -12,7 +12,7 @@
   #zones = new Set<ZoneName>()
 
   get totals (): LoadTotals {
-    return { loads: [...this.#loads.values()], demands: this.#composeDemands(), gaps: findMiddles(this.#gaps), prompts: [], zones: [...this.#zones] }
+    return { loads: [...this.#loads.values()], demands: this.#composeDemands(), gaps: findMedians(this.#gaps), prompts: [], zones: [...this.#zones] }
   }
 
   /** Adds what one box, or one hub, tells. */
@@ -27,7 +27,7 @@
   }
 
   #composeDemands (): ServiceTotal[] {
-    return [...this.#demands.values()].map(one => ({ ...one, readingPauseMs: findMiddle(this.#readingPauses.get(one.service) ?? []) }))
+    return [...this.#demands.values()].map(one => ({ ...one, readingPauseMs: findMedian(this.#readingPauses.get(one.service) ?? []) }))
   }
 }
 
@@ -38,7 +38,7 @@
     running: sum.running + one.running,
     brisk: sum.brisk + one.brisk,
     memory: sum.memory + one.memory,
-    waiting: addWaiting(sum.waiting, one.waiting, 1),
+    waiting: addAmounts(sum.waiting, one.waiting, 1),
     largest: Math.max(sum.largest, one.largest),
     backedOff: sum.backedOff + one.backedOff
   }
@@ -53,19 +53,19 @@
     apart: Math.max(sum.apart, one.apart),
     base: Math.max(sum.base, one.base),
     readingPauseMs: null,
-    held: addWaiting(sum.held, one.held, 1),
-    rates: addWaiting(sum.rates ?? [], one.rates ?? [], 1),
+    held: addAmounts(sum.held, one.held, 1),
+    rates: addAmounts(sum.rates ?? [], one.rates ?? [], 1),
     read: (sum.read ?? 0) + (one.read ?? 0),
     holders: sum.holders + one.holders
   }
 }
 
-function findMiddles (gaps: ReadonlyMap<EndpointId, readonly number[]>): EngineGap[] {
-  return [...gaps].map(([endpoint, measured]) => [endpoint, findMiddle(measured) ?? 0])
+function findMedians (gaps: ReadonlyMap<EndpointId, readonly number[]>): EngineGap[] {
+  return [...gaps].map(([endpoint, measured]) => [endpoint, findMedian(measured) ?? 0])
 }
 
 /** Adds tokens to others, or takes them off where `sign` is -1; what would be below nothing is left out. */
-export function addWaiting (sum: WaitingTokens, more: WaitingTokens, sign: 1 | -1): WaitingTokens {
+export function addAmounts (sum: WaitingTokens, more: WaitingTokens, sign: 1 | -1): WaitingTokens {
   const tokens = new Map(sum)
   for (const [priority, amount] of more) tokens.set(priority, (tokens.get(priority) ?? 0) + sign * amount)
   return [...tokens].filter(([, amount]) => amount > 0)
--- a/src/core/balance/load-book.ts
+++ b/src/core/balance/load-table.ts
@@ -13,23 +13,23 @@
 /** A box that was silent for so long has nothing at the endpoints, ms: six of its words. */
 const silentMs = 1500
 /** A box's newest word. */
-interface ToldLoad {
+interface ReportedLoad {
   readonly zone: ZoneName
   readonly load: BoxLoad
   readonly at: number
 }
 
 /** What another hub told, up to its newest word. */
-interface ToldSum {
-  readonly reader: SumReader
+interface ReportedSum {
+  readonly decoder: SumReader
   /** Null before it was told whole. */
   readonly sum: LoadTotals | null
   readonly at: number
 }
 
 export class LoadBook {
-  #loads = new Map<BoxId, ToldLoad>()
-  #sums = new Map<BoxId, ToldSum>()
+  #loads = new Map<BoxId, ReportedLoad>()
+  #sums = new Map<BoxId, ReportedSum>()
 
   /** Takes a box's newest word. */
   note (box: BoxId, zone: ZoneName, load: BoxLoad, at: number): void {
@@ -41,8 +41,8 @@
 
   /** Takes the news of another hub's sum. */
   noteSum (hub: BoxId, news: SumNews, at: number): void {
-    const reader = this.#sums.get(hub)?.reader ?? new SumReader()
-    this.#sums.set(hub, { reader, sum: reader.take(news), at })
+    const decoder = this.#sums.get(hub)?.decoder ?? new SumReader()
+    this.#sums.set(hub, { decoder, sum: decoder.take(news), at })
   }
 
   /** Forgets boxes and hubs that have fallen silent; returns them. */
@@ -61,10 +61,10 @@
   /** Adds up what this hub's own boxes told: what it tells the other hubs. */
   sumOwn (at: number): LoadTotals {
     const sum = new LoadSum()
-    for (const { zone, load, at: toldAt } of this.#loads.values()) {
+    for (const { zone, load, at: reportedAt } of this.#loads.values()) {
       const demands = load.demands.map(demand => ({ ...demand, holders: demand.held.length > 0 ? 1 : 0 }))
-      const told = { loads: load.loads, demands, gaps: load.gaps, prompts: [], zones: [zone] }
-      sum.add(at - toldAt <= staleMs ? told : dropWaiting(told))
+      const reported = { loads: load.loads, demands, gaps: load.gaps, prompts: [], zones: [zone] }
+      sum.add(at - reportedAt <= staleMs ? reported : dropWaiting(reported))
     }
     return sum.totals
   }
@@ -73,8 +73,8 @@
   sumAll (own: LoadTotals, at: number): LoadTotals {
     const sum = new LoadSum()
     sum.add(own)
-    for (const { sum: told, at: toldAt } of this.#sums.values()) {
-      if (told !== null) sum.add(at - toldAt <= staleMs ? told : dropWaiting(told))
+    for (const { sum: reported, at: reportedAt } of this.#sums.values()) {
+      if (reported !== null) sum.add(at - reportedAt <= staleMs ? reported : dropWaiting(reported))
     }
     return sum.totals
   }
--- a/src/core/balance/others-load.ts
+++ b/src/core/balance/others-load.ts
@@ -1,5 +1,5 @@
 /** What the other boxes have: the hub's totals less this box's own part of them. */
-import { addWaiting } from './load-sum.js'
+import { addAmounts } from './load-sum.js'
 import type { BoxLoad, EndpointLoad, LoadTotals, ServiceDemand, ServiceTotal } from './load-word.js'
 
 /**
@@ -24,7 +24,7 @@
     running: sum.running - own.running,
     brisk: Math.max(0, sum.brisk - own.brisk),
     memory: Math.max(0, sum.memory - own.memory),
-    waiting: addWaiting(sum.waiting, own.waiting, -1),
+    waiting: addAmounts(sum.waiting, own.waiting, -1),
     backedOff: Math.max(0, sum.backedOff - own.backedOff)
   }
 }
@@ -36,8 +36,8 @@
     ...sum,
     patient: Math.max(0, sum.patient - own.patient),
     brisk: Math.max(0, sum.brisk - own.brisk),
-    held: addWaiting(sum.held, own.held, -1),
-    rates: addWaiting(sum.rates ?? [], own.rates ?? [], -1),
+    held: addAmounts(sum.held, own.held, -1),
+    rates: addAmounts(sum.rates ?? [], own.rates ?? [], -1),
     read: Math.max(0, (sum.read ?? 0) - (own.read ?? 0)),
     holders: sum.holders - (own.held.length > 0 ? 1 : 0)
   }
--- a/src/core/balance/pause-range.ts
+++ b/src/core/balance/pause-range.ts
@@ -1,13 +1,13 @@
 /** The pauses that the requests of a service bear, from those that came of late. */
-import { RecentMost } from './recent-most.js'
+import { RecentMost } from './sliding-max.js'
 
 /** Kinds of request that didn't come for so long no longer count, ms. */
-const rememberedMs = 60_000
+const retentionMs = 60_000
 
 export class PauseRange {
-  #longest = new RecentMost(rememberedMs)
+  #longest = new RecentMost(retentionMs)
   /** Of the pauses' negatives: the shortest pause is the largest of them. */
-  #shortest = new RecentMost(rememberedMs)
+  #shortest = new RecentMost(retentionMs)
 
   /** Notes a request that bears pauses of `pauseMs`. */
   note (at: number, pauseMs: number): void {
--- a/src/core/balance/prompt-book.ts
+++ b/src/core/balance/prompt-index.ts
@@ -5,7 +5,7 @@
  * Prompts that are remembered, over all engines: some thousand shared parts at one or two engines each, in about
  * a megabyte. The oldest give way: what is forgotten is read anew by whichever engine a box that has just started chooses.
  */
-const mostKept = 8000
+const maxPrompts = 8000
 
 /** Which engine holds which shared prompt, as boxes told it, for a box that starts anew. */
 export class PromptBook {
@@ -32,7 +32,7 @@
       this.#prompts.set(key, prompt)
     }
     for (const key of this.#prompts.keys()) {
-      if (this.#prompts.size <= mostKept) return
+      if (this.#prompts.size <= maxPrompts) return
       this.#prompts.delete(key)
     }
   }
--- a/src/core/balance/prompt-reading.ts
+++ b/src/core/balance/prompt-reading.ts
@@ -5,17 +5,17 @@
 import type { PromptCost, PromptPart, Work } from './work.js'
 
 /** Tokens that an engine is believed to read at a time before its pauses were seen: what engines are commonly set to. */
-const firstPieceTokens = 2048
+const initialChunkTokens = 2048
 /** How much longer a piece takes than its tokens at the usual pace, before it was seen: the step itself, and looking back at what was read. */
-const firstPieceTimes = 1.3
+const initialChunkOverhead = 1.3
 /** A pause must be this many times longer than one beside reading to be safe there: prompts that look back on much take longer to read. */
 const pauseMargin = 1.2
 /** Part of the shared tokens that an engine is believed to hold of a prompt that all boxes send there. */
-export const homeShare = 0.7
+export const affinityHitShare = 0.7
 
 /** The pause beside reading before any was seen, ms: a piece for each token of an event. */
-export function guessPause (tokensPerEvent: number, paceMs: number): number {
-  return tokensPerEvent * firstPieceTokens * paceMs * firstPieceTimes
+export function estimateInitialPause (tokensPerEvent: number, readMsPerToken: number): number {
+  return tokensPerEvent * initialChunkTokens * readMsPerToken * initialChunkOverhead
 }
 
 /**
@@ -23,26 +23,26 @@
  * bear different pauses, those that bear the longest (`longestMs`; null where all are alike)
  * always do: somebody must, and they lose least.
  */
-export function findPatience (besideReadingMs: number, longestMs: number | null): number {
-  return Math.min(besideReadingMs * pauseMargin, longestMs ?? Infinity)
+export function computeMinTolerantPause (readingPauseMs: number, longestMs: number | null): number {
+  return Math.min(readingPauseMs * pauseMargin, longestMs ?? Infinity)
 }
 
 /** True where a request goes beside prompts that are being read; `patienceMs`: the shortest pause that does. */
-export function isPatient ({ pauseMs }: Pick<Work, 'pauseMs'>, patienceMs: number): boolean {
-  return pauseMs === null || pauseMs >= patienceMs
+export function isPauseTolerant ({ pauseMs }: Pick<Work, 'pauseMs'>, minTolerantPauseMs: number): boolean {
+  return pauseMs === null || pauseMs >= minTolerantPauseMs
 }
 
 /** Tokens that are expected to be read for a prompt, wherever it goes. */
-export function countExpected (cost: PromptCost): number {
-  return Math.round(cost.promptTokens - countShared(cost) * homeShare)
+export function countExpectedTokens (cost: PromptCost): number {
+  return Math.round(cost.promptTokens - countSharedTokens(cost) * affinityHitShare)
 }
 
 /** Tokens of the parts that other requests may share: all but the last. */
-export function countShared (cost: PromptCost): number {
+export function countSharedTokens (cost: PromptCost): number {
   let tokens = 0
   for (let i = 0; i + 1 < cost.parts.length; i++) tokens += cost.parts[i].tokens
   return tokens
 }
 
 /** The parts that other requests may share: all but the last. */
-export function listShared (cost: PromptCost): readonly PromptPart[] { return cost.parts.slice(0, -1) }
+export function listSharedParts (cost: PromptCost): readonly PromptPart[] { return cost.parts.slice(0, -1) }
--- a/src/core/balance/held-prompts.ts
+++ b/src/core/balance/reported-prompts.ts
@@ -6,20 +6,20 @@
 import type { EndpointView } from './endpoint-view.js'
 import type { ReadPrompt } from './load-word.js'
 
-export class HeldPrompts {
+export class ReportedPrompts {
   #prompts = new Map<EndpointId, ReadPrompt[]>()
 
   /** Takes what one registry tells; returns the engines that it tells of. */
   take (prompts: readonly ReadPrompt[]): EndpointId[] {
-    const told = new Map<EndpointId, ReadPrompt[]>()
+    const byEndpoint = new Map<EndpointId, ReadPrompt[]>()
     for (const prompt of prompts) {
       const [endpoint] = prompt
-      const ofEndpoint = told.get(endpoint) ?? []
+      const ofEndpoint = byEndpoint.get(endpoint) ?? []
       ofEndpoint.push(prompt)
-      told.set(endpoint, ofEndpoint)
+      byEndpoint.set(endpoint, ofEndpoint)
     }
-    for (const [endpoint, ofEndpoint] of told) this.#prompts.set(endpoint, ofEndpoint)
-    return [...told.keys()]
+    for (const [endpoint, ofEndpoint] of byEndpoint) this.#prompts.set(endpoint, ofEndpoint)
+    return [...byEndpoint.keys()]
   }
 
   /** Notes at an engine's view what it holds. */
--- a/src/core/balance/retry-purse.ts
+++ b/src/core/balance/retry-budget.ts
@@ -17,12 +17,12 @@
 /** Buckets that a window is divided into. */
 const bucketsPerWindow = 10
 /** Part of what is allowed that is spent: requests of a burst's beginning may lie outside a window that its retries lie in. */
-const safety = 0.8
+const safetyFactor = 0.8
 
 interface Bucket {
   readonly number: number
   requests: number
-  repeats: number
+  retries: number
 }
 
 export class RetryPurse {
@@ -39,14 +39,14 @@
   take (at: number, boxes: number): boolean {
     const bucket = this.#open(at)
     let requests = 0
-    let repeats = 0
+    let retries = 0
     for (const one of this.#buckets) {
       requests += one.requests
-      repeats += one.repeats
+      retries += one.retries
     }
     const { ratio, extra } = this.#bounds
-    if (repeats + 1 > safety * (ratio * requests + extra / Math.max(1, boxes))) return false
-    bucket.repeats += 1
+    if (retries + 1 > safetyFactor * (ratio * requests + extra / Math.max(1, boxes))) return false
+    bucket.retries += 1
     return true
   }
 
@@ -55,7 +55,7 @@
     while (this.#buckets.length > 0 && this.#buckets[0].number <= number - bucketsPerWindow) this.#buckets.shift()
     const last = this.#buckets[this.#buckets.length - 1]
     if (last !== undefined && last.number >= number) return last
-    const made: Bucket = { number, requests: 0, repeats: 0 }
+    const made: Bucket = { number, requests: 0, retries: 0 }
     this.#buckets.push(made)
     return made
   }
--- a/src/core/balance/service-admission.ts
+++ b/src/core/balance/service-admission.ts
@@ -4,34 +4,34 @@
  * tolerate the pauses of prompt reading, are held in the box until an engine has
  * room; all others are sent immediately or refused, whichever engine they go to.
  */
-import { decideAdmission, decideImmediateAdmission, isPressed, limitAdmission, measureBacklog } from './admission.js'
+import { decideAdmission, decideImmediateAdmission, isOverloaded, limitAdmission, measureBacklog } from './admission.js'
 import type { Admission, Backlog } from './admission.js'
-import { countHeld } from './agreed-share.js'
+import { countHeldTokens } from './agreed-dedicated-count.js'
 import { divideCapacity } from './capacity-division.js'
 import type { EndpointView } from './endpoint-view.js'
-import type { KnownKind } from './kind-watch.js'
-import { addWaiting } from './load-sum.js'
+import type { KnownKind } from './kind-tracker.js'
+import { addAmounts } from './load-sum.js'
 import type { KindRates, ServiceTotal } from './load-word.js'
-import type { Outlook } from './outlook.js'
-import { expectReading } from './prompt-homes.js'
+import type { ServiceSnapshot } from './service-snapshot.js'
+import { estimateReadingMs } from './prompt-affinity.js'
 import type { PromptHolder } from './prompt-plan.js'
-import { isPatient } from './prompt-reading.js'
+import { isPauseTolerant } from './prompt-reading.js'
 import type { EngineProfile } from '../routes/index.js'
 import type { ServiceState } from './service-state.js'
-import { congestedWaitShare, findShortestWait, listBrisk, listWithinWait } from './usable-endpoints.js'
+import { congestedWaitShare, findShortestWait, listSensitiveEngines, listWithinWait } from './usable-endpoints.js'
 import type { PromptCost, Work } from './work.js'
 
 /** State of a service, as known to this box, on which admission is decided. */
 export interface AdmissionContext {
   readonly state: ServiceState
   readonly engine: EngineProfile
-  readonly outlook: Outlook
+  readonly snapshot: ServiceSnapshot
   /** Load reported for the other boxes; null if none is reported. */
   readonly others: ServiceTotal | null
   /** Boxes that may use the same engines without their load being known here, including this one. */
   readonly sharers: number
   /** The shortest tolerated pause with which a request is patient, ms. */
-  readonly patienceMs: number
+  readonly minTolerantPauseMs: number
   listHolders (cost: PromptCost): PromptHolder[]
 }
 
@@ -40,37 +40,37 @@
 
 /** Decides whether to admit a request; returns null for one that is not patient if engines are not congested for it. */
 export function admitToEngines (context: AdmissionContext, work: Work, cost: PromptCost, at: number): Admission | null {
-  return isPatient(work, context.patienceMs) ? admitPatient(context, work, cost, at) : admitImmediate(context, work, cost, at)
+  return isPauseTolerant(work, context.minTolerantPauseMs) ? admitPauseTolerant(context, work, cost, at) : admitImmediate(context, work, cost, at)
 }
 
-function admitPatient (context: AdmissionContext, work: Work, cost: PromptCost, at: number): Admission {
-  const { state, outlook: { apart, counts } } = context
+function admitPauseTolerant (context: AdmissionContext, work: Work, cost: PromptCost, at: number): Admission {
+  const { state, snapshot: { dedicationOrder: apart, counts } } = context
   const side = apart.slice(0, Math.max(1, counts.count))
   const backlog = measureBacklogFor(context, work, at)
   if (backlog.lessTokens > 0) state.kinds.noteBegun(work.level + 1, at)
   const admission = decideAdmission({
     backlog,
     lateness: state.lateness.find(work.level),
-    readingMs: expectReading(cost, side, context.listHolders(cost), context.engine.transfer),
+    readingMs: estimateReadingMs(cost, side, context.listHolders(cost), context.engine.transfer),
     targetMs: work.targetMs,
     urgentRate: sumUrgentRates(context, work.level, at),
-    sinceLessMs: at - state.kinds.findLessBegun(work.level),
-    lessTargetMs: state.kinds.findLessTarget(work.level, at)
+    sinceLessMs: at - state.kinds.findLastLessUrgentStart(work.level),
+    maxLessUrgentTargetMs: state.kinds.findMaxLessUrgentTarget(work.level, at)
   })
   return limitAdmission(admission, findKindShares(context, at).get(work.level) ?? 1, state.credits, work.level)
 }
 
 function admitImmediate (context: AdmissionContext, work: Work, cost: PromptCost, at: number): Admission | null {
-  const { state, outlook: { apart } } = context
+  const { state, snapshot: { dedicationOrder: apart } } = context
   const share = findKindShares(context, at).get(work.level) ?? 1
   const engineWaitMs = findShortestWait(listImmediateEngines(context, work.targetMs, at), context.engine.slots, at)
   const lateness = state.lateness.find(work.level)
   if (!isCongested(engineWaitMs, lateness, work.targetMs)) return null
   return decideImmediateAdmission({
-    backlog: measureBacklog(apart, 0, work.priority, state.kinds.findLowest(work.level, work.priority), at),
+    backlog: measureBacklog(apart, 0, work.priority, state.kinds.findLowestPriority(work.level, work.priority), at),
     lateness,
     engineWaitMs,
-    readingMs: expectReading(cost, apart, context.listHolders(cost), context.engine.transfer),
+    readingMs: estimateReadingMs(cost, apart, context.listHolders(cost), context.engine.transfer),
     targetMs: work.targetMs,
     share,
     credits: state.credits,
@@ -83,42 +83,42 @@
  * Less urgent requests are held back meanwhile, because engines read in order of arrival, whatever the priority. Kinds that are
  * not patient are ignored: they use the other engines, and a long burst of them would block all reading at the engines set apart.
  */
-export function findPressed (context: AdmissionContext, at: number): number {
-  const { state, outlook, patienceMs } = context
-  const isLate = (kind: KnownKind): boolean => isPatient(kind, patienceMs) && isPressed(measureBacklogFor(context, kind, at), state.lateness.find(kind.level), kind.targetMs)
-  outlook.pressed ??= state.kinds.list(at).find(isLate)?.level ?? Infinity
-  return outlook.pressed
+export function findOverloadedLevel (context: AdmissionContext, at: number): number {
+  const { state, snapshot: outlook, minTolerantPauseMs: patienceMs } = context
+  const isLate = (kind: KnownKind): boolean => isPauseTolerant(kind, patienceMs) && isOverloaded(measureBacklogFor(context, kind, at), state.lateness.find(kind.level), kind.targetMs)
+  outlook.overloadedLevel ??= state.kinds.list(at).find(isLate)?.level ?? Infinity
+  return outlook.overloadedLevel
 }
 
 // Backlog that is read before a request at the engines set apart.
-function measureBacklogFor ({ state, outlook: { apart, counts }, others }: AdmissionContext, { level, priority }: Pick<Work, 'level' | 'priority'>, at: number): Backlog {
+function measureBacklogFor ({ state, snapshot: { dedicationOrder: apart, counts }, others }: AdmissionContext, { level, priority }: Pick<Work, 'level' | 'priority'>, at: number): Backlog {
   const side = apart.slice(0, Math.max(1, counts.count))
-  return measureBacklog(side, countHeld(state, others, priority), priority, state.kinds.findLowest(level, priority), at)
+  return measureBacklog(side, countHeldTokens(state, others, priority), priority, state.kinds.findLowestPriority(level, priority), at)
 }
 
 // Total arrival rate, in tokens/ms, of the patient kinds that are more urgent than `level`.
 function sumUrgentRates (context: AdmissionContext, level: number, at: number): number {
-  const { state, patienceMs } = context
-  const patientLevels = new Set(state.kinds.list(at).filter(kind => isPatient(kind, patienceMs)).map(kind => kind.level))
+  const { state, minTolerantPauseMs: patienceMs } = context
+  const patientLevels = new Set(state.kinds.list(at).filter(kind => isPauseTolerant(kind, patienceMs)).map(kind => kind.level))
   return listTotalRates(context, at).reduce((sum, [otherLevel, rate]) => otherLevel < level && patientLevels.has(otherLevel) ? sum + rate / 1000 : sum, 0)
 }
 
 // Arrival rates summed over this box and the others that report theirs.
 function listTotalRates ({ state, others }: AdmissionContext, at: number): KindRates {
-  return addWaiting(state.kinds.measureRates(at), others?.rates ?? [], 1)
+  return addAmounts(state.kinds.measureRates(at), others?.rates ?? [], 1)
 }
 
 // Fraction of each kind's requests that the engines can read beside the other kinds, by level; empty if kinds are not limited.
 function findKindShares (context: AdmissionContext, at: number): ReadonlyMap<number, number> {
-  const { outlook } = context
+  const { snapshot: outlook } = context
   outlook.kindShares ??= computeKindShares(context, at)
   return outlook.kindShares
 }
 
 function computeKindShares (context: AdmissionContext, at: number): ReadonlyMap<number, number> {
-  const { state, outlook: { usable }, others, sharers } = context
+  const { state, snapshot: { usable }, others, sharers } = context
   const congestedLevel = state.congestion.update(findCongestedLevel(context, at), at)
-  const expectedRate = usable.reduce((sum, view) => sum + 1000 / view.paceMs, 0) / sharers
+  const expectedRate = usable.reduce((sum, view) => sum + 1000 / view.readMsPerToken, 0) / sharers
   const readRate = state.readMeter.rate(at) + (others?.read ?? 0)
   // The measured rate equals the capacity only if engines have been busy for the whole window.
   const capacity = state.congestion.isSustained(at) ? readRate : Math.max(readRate, expectedRate)
@@ -127,9 +127,9 @@
 
 // Level of the most urgent kind, of those that are never held, for which engines are congested; Infinity if there is none.
 function findCongestedLevel (context: AdmissionContext, at: number): number {
-  const { state, engine, patienceMs, outlook: { apart, counts } } = context
-  const engineWaitMs = findShortestWait(listBrisk(apart, counts.count, engine), engine.slots, at)
-  const isCongestedFor = ({ level, targetMs, pauseMs }: KnownKind): boolean => !isPatient({ pauseMs }, patienceMs) && isCongested(engineWaitMs, state.lateness.find(level), targetMs)
+  const { state, engine, minTolerantPauseMs: patienceMs, snapshot: { dedicationOrder: apart, counts } } = context
+  const engineWaitMs = findShortestWait(listSensitiveEngines(apart, counts.count, engine), engine.slots, at)
+  const isCongestedFor = ({ level, targetMs, pauseMs }: KnownKind): boolean => !isPauseTolerant({ pauseMs }, patienceMs) && isCongested(engineWaitMs, state.lateness.find(level), targetMs)
   return state.kinds.list(at).find(isCongestedFor)?.level ?? Infinity
 }
 
@@ -142,8 +142,8 @@
  * while kinds are limited: streams pause longer beside prompt reading, but idle engines set apart would waste capacity.
  */
 export function listImmediateEngines (context: AdmissionContext, targetMs: number, at: number): readonly EndpointView[] {
-  const { outlook: { apart, counts }, engine } = context
-  const side = listBrisk(apart, counts.count, engine)
+  const { snapshot: { dedicationOrder: apart, counts }, engine } = context
+  const side = listSensitiveEngines(apart, counts.count, engine)
   const maxWaitMs = targetMs * congestedWaitShare
   if (findShortestWait(side, engine.slots, at) <= maxWaitMs || findKindShares(context, at).size === 0) return side
   return listWithinWait(apart, engine.slots, maxWaitMs, at)
--- a/src/core/balance/service-state.ts
+++ b/src/core/balance/service-state.ts
@@ -3,22 +3,22 @@
 import { AdmissionCredits } from './admission-credits.js'
 import { CongestionTracker } from './congestion-tracker.js'
 import { DemandMeter } from './demand-meter.js'
-import { createLearning } from './engine-learning.js'
-import type { EngineLearning } from './engine-learning.js'
-import { KindWatch } from './kind-watch.js'
+import { createEngineStats } from './engine-stats.js'
+import type { EngineStats } from './engine-stats.js'
+import { KindTracker } from './kind-tracker.js'
 import type { ServiceDemand } from './load-word.js'
 import { PauseRange } from './pause-range.js'
-import { ReadingShare } from './reading-share.js'
+import { DedicatedCountController } from './dedicated-count.js'
 
-export interface ServiceState extends EngineLearning {
+export interface ServiceState extends EngineStats {
   readonly service: RoutedService
-  readonly share: ReadingShare
+  readonly dedicatedCount: DedicatedCountController
   /** Pauses that requests bear. */
   readonly pauses: PauseRange
-  readonly kinds: KindWatch
+  readonly kinds: KindTracker
   /** Prompt tokens of requests that bear long pauses, and of the others. */
-  readonly patient: DemandMeter
-  readonly brisk: DemandMeter
+  readonly tolerantDemand: DemandMeter
+  readonly sensitiveDemand: DemandMeter
   /** Tokens of requests that wait in this box, by priority. */
   readonly held: Map<number, number>
   readonly credits: AdmissionCredits
@@ -26,12 +26,12 @@
 }
 
 /** A service of which nothing has been learned. */
-export function createState (service: RoutedService): ServiceState {
-  return { ...createLearning(), service, share: new ReadingShare(), pauses: new PauseRange(), kinds: new KindWatch(), patient: new DemandMeter(), brisk: new DemandMeter(), held: new Map(), credits: new AdmissionCredits(), congestion: new CongestionTracker() }
+export function createServiceState (service: RoutedService): ServiceState {
+  return { ...createEngineStats(), service, dedicatedCount: new DedicatedCountController(), pauses: new PauseRange(), kinds: new KindTracker(), tolerantDemand: new DemandMeter(), sensitiveDemand: new DemandMeter(), held: new Map(), credits: new AdmissionCredits(), congestion: new CongestionTracker() }
 }
 
 /** What a box tells its hub of a service. */
-export function composeDemand ({ service, patient, brisk, share, held, kinds, readMeter, readingPause }: ServiceState, at: number): ServiceDemand {
-  const { count, base } = share.counts
-  return { service: service.name, patient: Math.round(patient.rate(at)), brisk: Math.round(brisk.rate(at)), apart: count, base, readingPauseMs: readingPause.find(at), held: [...held], rates: kinds.measureRates(at), read: Math.round(readMeter.rate(at)) }
+export function composeDemand ({ service, tolerantDemand, sensitiveDemand, dedicatedCount, held, kinds, readMeter, readingPause }: ServiceState, at: number): ServiceDemand {
+  const { count, base } = dedicatedCount.counts
+  return { service: service.name, patient: Math.round(tolerantDemand.rate(at)), brisk: Math.round(sensitiveDemand.rate(at)), apart: count, base, readingPauseMs: readingPause.find(at), held: [...held], rates: kinds.measureRates(at), read: Math.round(readMeter.rate(at)) }
 }
--- a/src/core/balance/sum-news.ts
+++ b/src/core/balance/sum-news.ts
@@ -18,37 +18,37 @@
 }
 
 /** A change is told in so many words, as one of them may be lost. */
-const tellTimes = 2
+const sendCount = 2
 
-interface ToldLoad {
+interface SentLoad {
   /** Its text; empty once nothing is left. */
   readonly text: string
   /** The number of the word in which it was first told. */
-  readonly word: number
+  readonly sequence: number
 }
 
 /** Composes the news of a sum, for all other hubs alike. */
 export class SumTeller {
-  #told = new Map<EndpointId, ToldLoad>()
-  #word = 0
+  #sent = new Map<EndpointId, SentLoad>()
+  #sequence = 0
 
   /** The next news. Where it isn't `isWhole`, it helps those alone who had all words of late but one. */
   compose (sum: LoadTotals, isWhole: boolean): SumNews {
-    this.#note(sum.loads)
+    this.#update(sum.loads)
     if (isWhole) return { ...sum, isWhole, gone: [] }
-    const isNews = (id: EndpointId): boolean => (this.#told.get(id)?.word ?? 0) > this.#word - tellTimes
-    const gone = [...this.#told].filter(([id, { text }]) => text === '' && isNews(id)).map(([id]) => id)
-    return { ...sum, isWhole, loads: sum.loads.filter(({ endpoint }) => isNews(endpoint)), gone, gaps: null }
+    const isRecent = (id: EndpointId): boolean => (this.#sent.get(id)?.sequence ?? 0) > this.#sequence - sendCount
+    const gone = [...this.#sent].filter(([id, { text }]) => text === '' && isRecent(id)).map(([id]) => id)
+    return { ...sum, isWhole, loads: sum.loads.filter(({ endpoint }) => isRecent(endpoint)), gone, gaps: null }
   }
 
-  #note (loads: readonly EndpointLoad[]): void {
-    this.#word += 1
+  #update (loads: readonly EndpointLoad[]): void {
+    this.#sequence += 1
     const texts = new Map(loads.map(load => [load.endpoint, JSON.stringify(load)]))
-    for (const [id, text] of texts) if (this.#told.get(id)?.text !== text) this.#told.set(id, { text, word: this.#word })
-    for (const [id, { text, word }] of this.#told) {
+    for (const [id, text] of texts) if (this.#sent.get(id)?.text !== text) this.#sent.set(id, { text, sequence: this.#sequence })
+    for (const [id, { text, sequence }] of this.#sent) {
       if (texts.has(id)) continue
-      if (text !== '') this.#told.set(id, { text: '', word: this.#word })
-      else if (word <= this.#word - tellTimes) this.#told.delete(id)
+      if (text !== '') this.#sent.set(id, { text: '', sequence: this.#sequence })
+      else if (sequence <= this.#sequence - sendCount) this.#sent.delete(id)
     }
   }
 }
--- a/src/core/balance/usable-endpoints.ts
+++ b/src/core/balance/usable-endpoints.ts
@@ -2,12 +2,12 @@
 import type { ServiceName } from '../ids.js'
 import type { EngineProfile } from '../routes/index.js'
 import type { EndpointView } from './endpoint-view.js'
-import { queueMs } from './endpoint-weights.js'
+import { queueMs } from './endpoint-costs.js'
 import type { Work } from './work.js'
-import type { ZoneWatch } from './zone-watch.js'
+import type { ZoneMonitor } from './zone-monitor.js'
 
 /** At least this part of a service's endpoints is used, however often their answers break. */
-const leastUsed = 0.6
+const minUsableShare = 0.6
 /** Engines are congested for requests whose expected wait there exceeds this fraction of their target. */
 export const congestedWaitShare = 0.3
 
@@ -18,16 +18,16 @@
 export function listUsable (ready: readonly EndpointView[], at: number): EndpointView[] {
   const reachable = ready.filter(view => view.trust.isReachable)
   const good = reachable.filter(view => view.trust.look(at) !== 'out')
-  return good.length >= ready.length * leastUsed ? good : reachable
+  return good.length >= ready.length * minUsableShare ? good : reachable
 }
 
 /** True where an endpoint takes a request of this priority now, or may be asked for a permit. */
 export function isOpen ({ gate }: EndpointView, { priority }: Pick<Work, 'priority'>, at: number): boolean {
-  return gate.findOpening(priority, at) <= at
+  return gate.findOpenTime(priority, at) <= at
 }
 
 /** Engines from which a prompt may be taken: a holder in trouble would hold up the taker, and one that limits what it gets is spared. */
-export function listSources (usable: readonly EndpointView[], zones: ZoneWatch, at: number): EndpointView[] {
+export function listTransferSources (usable: readonly EndpointView[], zones: ZoneMonitor, at: number): EndpointView[] {
   const isSound = (view: EndpointView): boolean => view.trust.look(at) === 'good' && !zones.isCut(view.record.zone, at) && view.measureOverdue(at) <= 0
   return usable.filter(view => view.gate.limit === null && !view.gate.isBackedOff(at) && isSound(view))
 }
@@ -36,9 +36,9 @@
  * Engines for requests whose pauses must stay short, where the first `count` are set apart; all engines if none of the others has a
  * free slot.
  */
-export function listBrisk (apart: readonly EndpointView[], count: number, { slots }: EngineProfile): readonly EndpointView[] {
-  const side = apart.slice(count)
-  return side.some(view => view.running < slots) ? side : apart
+export function listSensitiveEngines (dedicationOrder: readonly EndpointView[], count: number, { slots }: EngineProfile): readonly EndpointView[] {
+  const side = dedicationOrder.slice(count)
+  return side.some(view => view.running < slots) ? side : dedicationOrder
 }
 
 /** Engines expected to begin with a new prompt within `maxWaitMs`; if there are none, those with the shortest wait. */
@@ -54,7 +54,7 @@
 
 // Engines read in order of arrival, so prompts of any priority count.
 function expectEngineWait (view: EndpointView, slots: number, at: number): number {
-  return view.countAhead(Infinity, at) * view.paceMs + Math.max(0, view.running + 1 - slots) * queueMs
+  return view.countTokensAhead(Infinity, at) * view.readMsPerToken + Math.max(0, view.running + 1 - slots) * queueMs
 }
 
 /** Endpoints by their service. */
--- a/test/engine-speed.test.ts
+++ b/test/engine-speed.test.ts
@@ -19,7 +19,7 @@
     fleet.noteOthers({ ...noTotals, gaps: gaps.map((gapMs, i) => [brandId(`e${i + 1}`), gapMs]) }, 0)
     const choice = fleet.choose(long, [], 10, 0)
     assert.ok(typeof choice !== 'string')
-    for (const view of fleet.views) assert.ok(view.paceMs > 0 && Number.isFinite(view.paceMs), `${view.id} reads a token in ${view.paceMs} ms`)
+    for (const view of fleet.views) assert.ok(view.readMsPerToken > 0 && Number.isFinite(view.readMsPerToken), `${view.id} reads a token in ${view.readMsPerToken} ms`)
   })
 }
 
--- a/test/engines-apart.test.ts
+++ b/test/engines-apart.test.ts
@@ -4,16 +4,16 @@
 import type { ReadingDemand } from '../src/core/index.js'
 import { createFleet, createLoad, createRecord, createWork, desk, engineService, movingService, nameZone } from './support/fleet-builder.js'
 
-const demand: ReadingDemand = { rates: Array<number>(10).fill(40_000), patientRate: 0, briskRate: 0, waiting: 0, patientEngines: 0, briskEngines: 0 }
+const demand: ReadingDemand = { rates: Array<number>(10).fill(40_000), tolerantRate: 0, sensitiveRate: 0, waiting: 0, tolerantEngines: 0, sensitiveEngines: 0 }
 const shares: readonly { name: string, demand: Partial<ReadingDemand>, count: number }[] = [
   { name: 'nothing asked', demand: {}, count: 1 },
-  { name: 'reading for three engines, with some time left to each for its streams', demand: { patientRate: 100_000 }, count: 4 },
-  { name: 'a burst of reading leaves a fifth to the others', demand: { patientRate: 900_000 }, count: 8 },
-  { name: 'in bursts of both quick questions go first', demand: { patientRate: 240_000, briskRate: 100_000 }, count: 5 },
-  { name: 'a burst of quick questions leaves some to long prompts', demand: { patientRate: 240_000, briskRate: 900_000 }, count: 3 },
-  { name: 'slow engines count for less', demand: { rates: Array<number>(10).fill(20_000), patientRate: 100_000 }, count: 8 },
-  { name: 'memory needs engines too', demand: { patientEngines: 4.2 }, count: 5 },
-  { name: 'one engine serves all', demand: { rates: [40_000], patientRate: 100_000 }, count: 1 }
+  { name: 'reading for three engines, with some time left to each for its streams', demand: { tolerantRate: 100_000 }, count: 4 },
+  { name: 'a burst of reading leaves a fifth to the others', demand: { tolerantRate: 900_000 }, count: 8 },
+  { name: 'in bursts of both quick questions go first', demand: { tolerantRate: 240_000, sensitiveRate: 100_000 }, count: 5 },
+  { name: 'a burst of quick questions leaves some to long prompts', demand: { tolerantRate: 240_000, sensitiveRate: 900_000 }, count: 3 },
+  { name: 'slow engines count for less', demand: { rates: Array<number>(10).fill(20_000), tolerantRate: 100_000 }, count: 8 },
+  { name: 'memory needs engines too', demand: { tolerantEngines: 4.2 }, count: 5 },
+  { name: 'one engine serves all', demand: { rates: [40_000], tolerantRate: 100_000 }, count: 1 }
 ]
 
 for (const { name, demand: more, count } of shares) {
@@ -23,18 +23,18 @@
 test('the share grows at once and shrinks slowly, never below its base', () => {
   const share = new ReadingShare()
   assert.deepEqual(share.update(0, demand), { count: 4, base: 4 })
-  assert.equal(share.update(10, { ...demand, patientRate: 250_000 }).count, 8)
+  assert.equal(share.update(10, { ...demand, tolerantRate: 250_000 }).count, 8)
   assert.equal(share.update(1000, demand).count, 8)
   assert.equal(share.update(2600, demand).count, 7)
-  for (let at = 4200; at < 30_000; at += 1600) share.update(at, { ...demand, patientRate: 100_000 })
+  for (let at = 4200; at < 30_000; at += 1600) share.update(at, { ...demand, tolerantRate: 100_000 })
   assert.deepEqual(share.counts, { count: 4, base: 4 })
 })
 
 test('what quick questions need is given up at once, down to the base', () => {
   const share = new ReadingShare()
-  assert.equal(share.update(0, { ...demand, patientRate: 250_000 }).count, 8)
-  assert.equal(share.update(10, { ...demand, patientRate: 250_000, briskEngines: 5 }).count, 5)
-  assert.equal(share.update(20, { ...demand, patientRate: 250_000, briskEngines: 9 }).count, 3)
+  assert.equal(share.update(0, { ...demand, tolerantRate: 250_000 }).count, 8)
+  assert.equal(share.update(10, { ...demand, tolerantRate: 250_000, sensitiveEngines: 5 }).count, 5)
+  assert.equal(share.update(20, { ...demand, tolerantRate: 250_000, sensitiveEngines: 9 }).count, 3)
 })
 
 test('a quick question goes beside long prompts only where no other engine has a slot free', () => {
--- a/test/unread-prompts.test.ts
+++ b/test/unread-prompts.test.ts
@@ -20,6 +20,6 @@
     const placed = view.place(prompt, { readTokens: 2000, fetch: null }, 0)
     const at = elapsedRatio * view.expectAnswer(placed)
     if (hasFirstEvent) view.noteFirst(placed, at)
-    assert.ok(Math.abs(view.countAhead(Infinity, at) - expectedTokens) < 100, `${view.countAhead(Infinity, at)} tokens`)
+    assert.ok(Math.abs(view.countTokensAhead(Infinity, at) - expectedTokens) < 100, `${view.countTokensAhead(Infinity, at)} tokens`)
   })
 }
