--- a/src/core/balance/admission.ts
+++ b/src/core/balance/admission.ts
@@ -1,84 +1,83 @@
 /**
- * Whether a request is let in, or refused at once because too much waits before
- * it, and when it had better come back. What decided it is kept for the log.
+ * Decides whether a request is admitted, or refused immediately because the backlog ahead of it is too long, and
+ * when a refused request should be retried. Decisions carry their inputs for the log.
  */
 import type { AdmissionCredits } from './admission-credits.js'
 import type { EndpointView } from './endpoint-view.js'
 import { rateWindowMs } from './kind-tracker.js'
 
-/** What waits before a request and how fast it is read. Prompt tokens, of requests that go before it. */
+/** Backlog ahead of a request, in prompt tokens of requests that are served before it, and the rate at which it is read. */
 export interface Backlog {
   /** At engines, sent by this box. */
   readonly ownTokens: number
-  /** At engines, sent by the other boxes, as last told. */
+  /** At engines, sent by other boxes, as last reported. */
   readonly otherTokens: number
-  /** Held in boxes, this one included. */
+  /** Held in boxes, including this one. */
   readonly heldTokens: number
   /** At engines, of less urgent kinds. */
   readonly lessTokens: number
-  /** Engines that read them, and their rates together, tokens/ms. */
+  /** Number of engines that read the backlog, and their total rate in tokens/ms. */
   readonly engines: number
   readonly rate: number
 }
 
-/** A decision with what decided it. Times in ms. */
+/** An admission decision and its inputs. Times in ms. */
 export interface Admission {
   readonly backlog: Backlog
-  /** How many times longer first events took than was expected. */
+  /** Ratio of the actual to the expected time to first event. */
   readonly lateness: number
-  /** Expected wait before an engine begins with the request. */
+  /** Expected wait until an engine starts the request. */
   readonly waitMs: number
-  /** What an engine then takes to its first event. */
+  /** Time from then until the first event. */
   readonly ownMs: number
-  /** The longest wait with which it is let in. */
+  /** Longest wait with which the request is admitted. */
   readonly allowedMs: number
-  /** Since a less urgent request last began; Infinity where none did. */
+  /** Time since a less urgent request last started; Infinity if none did. */
   readonly sinceLessMs: number
   /** Fraction of its kind's requests that is admitted; 1 if the kind is not limited. */
   readonly share: number
-  /** When the request had better come back; null where it is let in. */
+  /** Time after which the request should be retried; null if it is admitted. */
   readonly returnMs: number | null
 }
 
-/** What a decision rests on. */
+/** Inputs of an admission decision. */
 export interface AdmissionInput {
   readonly backlog: Backlog
   readonly lateness: number
-  /** Time of an engine on the request alone, as expected of one on time, ms. */
+  /** Time that an engine takes for the request alone, not adjusted for lateness, ms. */
   readonly readingMs: number
   readonly targetMs: number
-  /** Since a less urgent request last began, ms. */
+  /** Time since a less urgent request last started, ms. */
   readonly sinceLessMs: number
   /** Arrival rate of more urgent kinds at the same engines, tokens/ms. Engines read these first, including later arrivals. */
   readonly urgentRate: number
-  /** The longest target of a less urgent kind, ms; 0 where none is known. */
+  /** Longest target of any less urgent kind, ms; 0 if none is known. */
   readonly maxLessUrgentTargetMs: number
 }
 
 /**
- * A request may wait so long that its first event is still in time. Serving more than
- * that late would make those behind late as well: where more comes than can be read, a
- * line that may grow past the target serves nobody in time. One that takes most of its
- * target, or more, by its own size may wait for this part of the target all the same:
- * no size is refused for itself.
+ * A request is admitted if its first event is expected within its target. A longer queue would make every request
+ * behind it late as well: under sustained overload, nobody is served in time. A request whose own read time takes
+ * most of its target may still wait for this fraction of the target, so that no request is refused for its size
+ * alone.
  */
 const minWaitShare = 0.5
 /** Lower bound on the share of the reading rate that more urgent kinds are assumed to leave. */
 const minRemainingShare = 0.2
 /** Longest wait of a request that is never held and whose kind is limited, as a fraction of the longest with which it is in time. */
 const maxImmediateWaitShare = 0.85
-/** Times to come back, ms: sooner, nothing has changed; a burst lasts some seconds. */
+/** Bounds on retry delays, ms. Below the minimum, the backlog has not changed; bursts last a few seconds. */
 const minRetryAfterMs = 300
 const maxRetryAfterMs = 5000
 /**
- * For so long after a less urgent request began, one that goes before it may wait as long
- * as that, ms: what the engines gave to the one the other could have had. It is late at worst.
+ * If a less urgent request started within this time, ms, a more urgent one may wait as long as that one's target:
+ * the engines' time given to the less urgent request could have served the more urgent one, so refusing it would
+ * invert the priorities. At worst it is late.
  */
 const lessUrgentWindowMs = 5000
-/** But no longer than so many of its own targets: callers leave after about four. */
+/** Upper bound on that wait, as a multiple of the request's own target: callers give up after about four. */
 const maxTargetMultiple = 5
 
-/** Decides whether a request is let in. */
 export function decideAdmission ({ backlog, lateness, readingMs, targetMs, sinceLessMs, urgentRate, maxLessUrgentTargetMs }: AdmissionInput): Admission {
   const waitMs = estimateWaitMs(backlog, lateness) / computeRemainingShare(backlog, urgentRate)
   const ownMs = readingMs * Math.max(1, lateness)
@@ -88,7 +87,7 @@
   return { backlog, lateness, waitMs, ownMs, allowedMs, sinceLessMs, share: 1, returnMs }
 }
 
-/** What a decision on a request that is never held rests on. */
+/** Inputs of an admission decision on a request that is never held. */
 export interface ImmediateAdmissionInput {
   readonly backlog: Backlog
   readonly lateness: number
@@ -127,12 +126,12 @@
   return Math.min(maxRetryAfterMs, Math.max(minRetryAfterMs, waitMs, excessRatio * rateWindowMs))
 }
 
-/** True where requests of a kind wait so long that most of them are late: what is less urgent is then held. */
+/** True if requests of a kind wait so long that most of them are late; less urgent requests are then held. */
 export function isOverloaded (backlog: Backlog, lateness: number, targetMs: number): boolean {
   return estimateWaitMs(backlog, lateness) > targetMs * minWaitShare
 }
 
-// Without an engine nothing waits either.
+// Without engines there is no backlog, and the wait is zero.
 function computeRemainingShare ({ rate }: Backlog, urgentRate: number): number {
   return rate === 0 ? 1 : Math.max(minRemainingShare, 1 - urgentRate / rate)
 }
@@ -142,8 +141,8 @@
 }
 
 /**
- * Measures what goes before a request of `priority` at some engines. `lowest`: the least urgent
- * rank of its kind; `heldTokens`: of those that are held in boxes.
+ * Measures the backlog ahead of a request of `priority` at some engines. `lowest`: the least urgent priority of
+ * its kind; `heldTokens`: tokens of requests ahead of it that are held in boxes.
  */
 export function measureBacklog (engines: readonly EndpointView[], heldTokens: number, priority: number, lowest: number, at: number): Backlog {
   let ownTokens = 0
@@ -154,7 +153,7 @@
     const before = view.countBefore(priority, at)
     ownTokens += before.own
     otherTokens += before.others
-    lessTokens += lowest === priority ? before.behind : view.countBefore(lowest, at).behind
+    lessTokens += lowest === priority ? before.lessUrgent : view.countBefore(lowest, at).lessUrgent
     rate += 1 / view.readMsPerToken
   }
   return { ownTokens, otherTokens, heldTokens, lessTokens, engines: engines.length, rate }
--- a/src/core/balance/agreed-dedicated-count.ts
+++ b/src/core/balance/agreed-dedicated-count.ts
@@ -1,21 +1,18 @@
-/**
- * The share of engines set apart on which all boxes agree, from this box's own
- * measure and what is told of the others'.
- */
+/** Computes the number of dedicated engines that all boxes agree on, from this box's own demand and that reported by the others. */
 import type { EndpointView } from './endpoint-view.js'
 import type { ServiceTotal } from './load-word.js'
 import type { DedicatedCount, ReadingDemand } from './dedicated-count.js'
 import type { ServiceState } from './service-state.js'
 
-/** Part of the places of the other engines that is planned for. */
+/** Planned utilization of the slots of engines that are not dedicated. */
 const plannedSlotShare = 0.75
-/** Part of the memory of engines set apart that is planned for. */
+/** Planned utilization of the memory of dedicated engines. */
 const plannedMemoryShare = 0.75
 
 /**
- * The largest share that any box would have: all must send long prompts to the
- * same engines. `others`: what is told of the service, null for nothing;
- * `apart`: the engines in the order in which they are set apart.
+ * Returns the largest count that any box computed: all boxes must send long prompts to the same engines. `others`:
+ * reported totals of the service, null if there are none; `dedicationOrder`: the engines in the order in which
+ * they are dedicated.
  */
 export function agreeDedicatedCount (state: ServiceState, others: ServiceTotal | null, dedicationOrder: readonly EndpointView[], at: number): DedicatedCount {
   const own = state.dedicatedCount.update(at, measureDemand(state, others, dedicationOrder, at))
@@ -25,7 +22,7 @@
   return { count: Math.min(count, maxCount), base: Math.min(base, count, maxCount) }
 }
 
-/** Tokens that wait in the boxes, of requests that go before one of this priority. */
+/** Tokens held in the boxes, of requests that are not less urgent than `priority`. */
 export function countHeldTokens (state: ServiceState, others: ServiceTotal | null, priority: number): number {
   let tokens = 0
   for (const [theirs, held] of [...state.held, ...others?.held ?? []]) if (theirs <= priority) tokens += held
--- a/src/core/balance/average.ts
+++ b/src/core/balance/average.ts
@@ -1,4 +1,4 @@
-/** An average in which old samples fade. The first samples count fully. */
+/** An exponential moving average; the plain average until there are many samples. */
 export class ExponentialAverage {
   #value: number
   #count = 0
@@ -19,13 +19,13 @@
   }
 }
 
-/** A quantile of what was seen, by small steps: a few odd samples, however odd, don't move it. */
+/** Estimates a quantile in small multiplicative steps, so that a few outliers do not move it, however large. */
 export class RunningQuantile {
   #value: number
   #up: number
   #down: number
 
-  /** `quantile`: share of the samples that lie below, 0 to 1; `step`: part of the value that two samples may move it. */
+  /** `quantile`: fraction of the samples that lie below, 0 to 1; `step`: relative change caused by one sample above and one below. */
   constructor (initial: number, quantile: number, step: number) {
     this.#value = initial
     this.#up = 1 + step * quantile
@@ -39,7 +39,7 @@
   }
 }
 
-/** The middle of some numbers, the lower of two; null for none. */
+/** The median, the lower of two middle values; null for an empty list. */
 export function findMedian (values: readonly number[]): number | null {
   if (values.length === 0) return null
   const sorted = [...values].sort((a, b) => a - b)
--- a/src/core/balance/choose-endpoint.ts
+++ b/src/core/balance/choose-endpoint.ts
@@ -1,4 +1,4 @@
-/** The choice among the endpoints that a request may go to, of a plain service or of engines. */
+/** Chooses among the endpoints that may serve a request, of a plain service or of one with engines. */
 import { pickLowestCost } from './choice.js'
 import type { Choice } from './choice.js'
 import { findMedianFailureShare, estimateFirstEventMs, estimateCallMs, estimatePenaltyMs } from './endpoint-costs.js'
@@ -8,15 +8,15 @@
 import { planPrompt } from './prompt-plan.js'
 import type { PromptHolder, PromptPlan } from './prompt-plan.js'
 
-/** What an engine is chosen from. None of the lists of engines may be empty but `holders`. */
+/** Inputs of the choice of an engine. No list may be empty, except `holders`. */
 export interface EngineChoiceInput {
   readonly candidates: readonly EndpointView[]
-  /** Engines among which a shared prompt has its home. */
+  /** Engines among which the affinity engine of a shared prompt is selected. */
   readonly affinityCandidates: readonly EndpointView[]
-  /** Engines that keep a part of the prompt. */
+  /** Engines that have a part of the prompt cached. */
   readonly holders: readonly PromptHolder[]
   readonly prompt: PromptRequest
-  /** Engines set apart, for the log. */
+  /** Number of dedicated engines, for the log. */
   readonly dedicatedCount: number
   readonly boxContext: BoxContext
 }
@@ -30,10 +30,10 @@
   return pickLowestCost({ views: usable, estimateMs, plan: () => emptyPlan, dedicatedCount: 0 }, draw)
 }
 
-/** Chooses an engine and how it comes by the prompt. */
+/** Chooses an engine and how it obtains the prompt. */
 export function chooseEngine ({ candidates, affinityCandidates, holders, prompt, dedicatedCount, boxContext }: EngineChoiceInput, at: number, draw: number): Choice {
   const { cost, engine: { transfer } } = prompt
-  // Where engines take prompts from one another, any may become a holder.
+  // No affinity is needed if engines can transfer cached prompts between them.
   const affinityEngines = transfer === null ? findAffinityEngines(cost, affinityCandidates) : []
   const medianFailureShare = findMedianFailureShare(candidates)
   const plan = (view: EndpointView): PromptPlan => planPrompt(view, cost, estimateReadTokens(view, cost, affinityEngines), holders, transfer)
--- a/src/core/balance/dedicated-count.ts
+++ b/src/core/balance/dedicated-count.ts
@@ -1,66 +1,65 @@
 /**
- * How many engines of a service are set apart for long prompts. An engine reads
- * prompts piece by piece between the tokens of what runs there, so that a long
- * prompt stretches the pauses of all streams beside it. Requests that bear such
- * pauses go to the engines set apart; the others keep the rest to themselves.
+ * Computes how many engines of a service are dedicated to long prompts. An engine reads prompts in chunks between
+ * decoding steps, so that a long prompt lengthens the pauses of all its streams. Pause-tolerant requests go to the
+ * dedicated engines, pause-sensitive ones to the others.
  *
- * A part of the engines set apart, the base, changes slowly: prompts that share
- * a part have their home there, and a home that moves is read again elsewhere.
- * What a burst needs beyond the base comes and goes with the burst.
+ * A part of the dedicated engines, the base, changes slowly: affinity engines are selected from it, and shared
+ * prompts must be read again when their affinity engine changes. Capacity for a burst beyond the base is added and
+ * removed with the burst.
  */
 
-/** What the share is worked out from; tokens are prompt tokens still to be read. */
+/** Inputs of the count; tokens are prompt tokens still to be read. */
 export interface ReadingDemand {
-  /** Tokens that each engine reads in a second, in the order in which engines are set apart. */
+  /** Read rate of each engine, tokens/s, in the order in which engines are dedicated. */
   readonly rates: readonly number[]
-  /** Tokens a second of requests that bear long pauses. */
+  /** Arrival rate of pause-tolerant requests, tokens/s. */
   readonly tolerantRate: number
-  /** Tokens a second of the others. */
+  /** Arrival rate of pause-sensitive requests, tokens/s. */
   readonly sensitiveRate: number
-  /** Tokens of patient requests that wait already. */
+  /** Tokens of pause-tolerant requests in the backlog. */
   readonly waiting: number
-  /** Memory that patient requests in flight take, in engines. */
+  /** Memory that pause-tolerant requests in flight take, as a number of engines. */
   readonly tolerantEngines: number
-  /** Places that the others take, in engines. */
+  /** Slots that pause-sensitive requests in flight take, as a number of engines. */
   readonly sensitiveEngines: number
 }
 
-/** Engines set apart, and those of them that are homes. */
+/** Number of dedicated engines, and how many of them are candidates for affinity engines. */
 export interface DedicatedCount {
   readonly count: number
   readonly base: number
 }
 
 /**
- * Load by reading that engines set apart are filled to. An engine that reads all
- * the time gives its streams a token for each piece read, five times slower than
- * one that doesn't read: at 0.85 streams of the users' days took up all slots.
+ * Planned utilization of dedicated engines by reading. An engine that reads continuously emits one token per chunk
+ * for each stream, five times slower than without reading: at 0.85, streams took up all slots under recorded user
+ * load.
  */
 const tolerantLoad = 0.65
-/** Load by reading that the other engines bear: their prompts are short, and bursts of them must find room. */
+/** Planned utilization of the other engines by reading: their prompts are short, and there must be capacity for bursts. */
 const sensitiveLoad = 0.6
-/** Tokens that wait already are to be read within this time, s. */
+/** Time within which the backlog should be read, s. */
 const backlogTargetS = 2
-/** Part of the engines that are never set apart: quick questions go on in any burst. */
+/** Fraction of the engines that is never dedicated, so that short requests are served in any burst. */
 const minSensitiveShare = 0.2
-/** Part of the engines that requests which bear long pauses get in any burst of the others: they still finish. */
+/** Fraction of the engines that pause-tolerant requests keep in a burst of the others, so that they still make progress. */
 const minTolerantShare = 0.3
-/** Part of the engines set apart before anything was seen: what long prompts came to on the users' quiet days. */
+/** Fraction of the engines that is dedicated initially: what long prompts required under recorded low load. */
 const initialShare = 0.38
-/** The share shrinks by one after so long without a need for it, ms. */
+/** The count decreases by one after it has exceeded the demand for this long, ms. */
 const shrinkAfterMs = 1500
-/** The base moves by one after so long on another side of what is wanted, ms. */
+/** The base changes by one after it has differed from the demand for this long, ms. */
 const baseAfterMs = 10_000
 
 export class DedicatedCountController {
   #count = 0
   #base = 0
-  /** How far the base has moved from what it was at first. */
+  /** Difference of the base from its initial value. */
   #baseOffset = 0
   #excessSince: number | null = null
   #baseDriftSince: number | null = null
 
-  /** Engines set apart at present, by this box's own measure, and those of them that are homes. */
+  /** The current count, as computed by this box alone. */
   get counts (): DedicatedCount { return { count: this.#count, base: this.#base } }
 
   update (at: number, demand: ReadingDemand): DedicatedCount {
@@ -74,18 +73,18 @@
   }
 
   #moveBase (at: number, engines: number, wanted: number, maxDedicated: number): void {
-    const first = Math.ceil(engines * initialShare)
-    const isDrifting = wanted > first + this.#baseOffset || wanted < first + this.#baseOffset
+    const initialBase = Math.ceil(engines * initialShare)
+    const isDrifting = wanted > initialBase + this.#baseOffset || wanted < initialBase + this.#baseOffset
     if (!isDrifting) this.#baseDriftSince = null
     else this.#baseDriftSince ??= at
     if (this.#baseDriftSince !== null && at - this.#baseDriftSince >= baseAfterMs) {
-      this.#baseOffset += wanted > first + this.#baseOffset ? 1 : -1
+      this.#baseOffset += wanted > initialBase + this.#baseOffset ? 1 : -1
       this.#baseDriftSince = at
     }
-    this.#base = Math.max(1, Math.min(engines - 1, maxDedicated, first + this.#baseOffset))
+    this.#base = Math.max(1, Math.min(engines - 1, maxDedicated, initialBase + this.#baseOffset))
   }
 
-  // What the quick questions need is given up at once, what long prompts leave over slowly.
+  // Engines that pause-sensitive requests need are released immediately, engines that are merely unused only slowly.
   #moveCount (at: number, wanted: number, maxDedicated: number): void {
     this.#count = Math.min(this.#count, maxDedicated)
     if (wanted >= this.#count) {
@@ -101,8 +100,8 @@
 }
 
 /**
- * The number of engines to set apart; at least one for each side where there are
- * two. Where both sides want more than there is, quick questions go first.
+ * Computes the number of engines to dedicate; with two or more engines, at least one for each class of requests.
+ * If demand exceeds capacity, pause-sensitive requests take precedence.
  */
 export function computeDedicatedCount (demand: ReadingDemand): number {
   const { rates } = demand
@@ -113,19 +112,19 @@
   return Math.min(engines - 1, Math.max(1, Math.min(tolerant, countMaxDedicated(demand))))
 }
 
-// Engines that the requests with short pauses leave to long prompts.
+// Maximum number of engines that pause-sensitive requests leave to long prompts.
 function countMaxDedicated (demand: ReadingDemand): number {
   const engines = demand.rates.length
   return Math.max(1, engines - countSensitiveEngines(demand), Math.ceil(engines * minTolerantShare))
 }
 
-// Engines that the requests with short pauses need.
+// Number of engines that pause-sensitive requests need.
 function countSensitiveEngines ({ rates, sensitiveRate: briskRate, sensitiveEngines: briskEngines }: ReadingDemand): number {
   const rate = rates[rates.length - 1]
   return Math.ceil(Math.max(briskRate / rate / sensitiveLoad, briskEngines, rates.length * minSensitiveShare, 1))
 }
 
-// The first engines that together read so much; one more than there are where they can't.
+// Number of engines, from the first, whose total read rate reaches `needed`; one more than there are if all do not suffice.
 function countEngines (rates: readonly number[], needed: number): number {
   let left = needed
   for (let i = 0; i < rates.length; i++) {
--- a/src/core/balance/dedication-order.ts
+++ b/src/core/balance/dedication-order.ts
@@ -1,41 +1,41 @@
-/**
- * The order in which engines are set apart for long prompts, and how much slower
- * each is than the middle one of its service.
- */
+/** Determines the order in which engines are dedicated to long prompts, and how much slower each is than the median engine of its service. */
 import { findMedian } from './average.js'
 import { degradedRatio } from './endpoint-view.js'
 import type { EndpointView } from './endpoint-view.js'
 
-/** An engine whose events come so many times slower than those of the middle one is of a slower kind, until they come nearer again. */
+/**
+ * Hysteresis for slow models: an engine counts as slow once its time between events exceeds the median by the
+ * first factor, until it falls below the second.
+ */
 const slowRatio = 1.16
 const slowExitRatio = 1.08
-/** Fewer engines of known speed than this have no middle to speak of. */
+/** Minimum number of engines of known speed for a meaningful median. */
 const minKnownSpeeds = 3
-/** Bounds on how much slower an engine is believed to be than the middle one. */
+/** Bounds on the slowness of an engine relative to the median. */
 const minSlowness = 0.85
 const maxSlowness = 10
 
 /**
- * The order in which engines are set apart, the same at every box: those of a
- * slower kind first, as beside their reading no pause is short; of each kind one
- * of each zone in turn, by a hash.
+ * Returns the order in which engines are dedicated, the same on every box: slow models first, because pauses
+ * beside their reading are long anyway; within each speed class, engines of the zones alternate, ordered by a
+ * hash.
  */
 export function listDedicationOrder (engines: readonly EndpointView[]): EndpointView[] {
   updateSlowness(engines)
-  const ranked = [...engines].sort((a, b) => a.hash - b.hash)
+  const byHash = [...engines].sort((a, b) => a.hash - b.hash)
   const perZone = new Map<string, number>()
-  const turns = ranked.map(view => {
+  const zoneTurns = byHash.map(view => {
     const speedClass = view.isSlow ? 0 : 1
     const key = `${speedClass} ${view.record.zone}`
     const turn = perZone.get(key) ?? 0
     perZone.set(key, turn + 1)
     return { view, speedClass, turn }
   })
-  turns.sort((a, b) => a.speedClass - b.speedClass || a.turn - b.turn)
-  return turns.map(one => one.view)
+  zoneTurns.sort((a, b) => a.speedClass - b.speedClass || a.turn - b.turn)
+  return zoneTurns.map(one => one.view)
 }
 
-// Compares the engines' speeds with their middle one's.
+// Compares the engines' speeds with the median.
 function updateSlowness (engines: readonly EndpointView[]): void {
   const gaps = engines.map(view => view.gapMs)
   const known = gaps.filter(gap => gap !== null)
--- a/src/core/balance/demand-meter.ts
+++ b/src/core/balance/demand-meter.ts
@@ -1,9 +1,9 @@
-/** Buckets of the window that demand is measured over. */
+/** Number of buckets in the window over which demand is measured. */
 const bucketCount = 10
-/** Length of a bucket, ms. 2.5 s in all: callers come in clumps, and what waits shows a burst sooner. */
+/** Length of a bucket, ms. The window of 2.5 s smooths arrivals that come in clumps; the backlog shows a burst sooner. */
 const defaultBucketMs = 250
 
-/** How much arrives a second, over the last seconds. */
+/** Measures an arrival rate over a sliding window. */
 export class DemandMeter {
   #sums = new Array<number>(bucketCount).fill(0)
   #bucket = 0
@@ -16,7 +16,7 @@
     this.#sums[this.#bucket % bucketCount] += amount
   }
 
-  /** Amount a second. */
+  /** Amount per second. */
   rate (at: number): number {
     this.#advance(at)
     return this.#sums.reduce((sum, one) => sum + one, 0) * 1000 / (bucketCount * this.#bucketMs)
--- a/src/core/balance/describe-service.ts
+++ b/src/core/balance/describe-service.ts
@@ -1,21 +1,20 @@
-/** What is believed of a service's engines, as a text for the log. */
+/** Formats the state of a service's engines, as known to this box, for the log. */
 import type { EndpointView } from './endpoint-view.js'
 import type { DedicatedCount } from './dedicated-count.js'
 import type { ServiceState } from './service-state.js'
 
-/** What a description is made from. */
 export interface ServiceDescriptionInput {
   readonly state: ServiceState
-  /** The engines in the order in which they are set apart, and how many are. */
+  /** The engines in the order in which they are dedicated. */
   readonly dedicationOrder: readonly EndpointView[]
   readonly counts: DedicatedCount
   readonly readingPauseMs: number
   readonly minTolerantPauseMs: number
-  /** Tokens that wait in the boxes. */
+  /** Tokens held in the boxes. */
   readonly heldTokens: number
 }
 
-/** Describes a service; `docs/LOGS.md` names the parts. */
+/** Describes a service; `docs/LOGS.md` explains the parts. */
 export function describeService ({ state, dedicationOrder, counts, readingPauseMs, minTolerantPauseMs, heldTokens }: ServiceDescriptionInput, at: number): string {
   const parts = {
     apart: counts.count,
@@ -31,7 +30,7 @@
   return [...Object.entries(parts).map(([name, value]) => `${name}=${value}`), ...engines].join(' ')
 }
 
-// An engine's name, with a star where it is set apart, then running, tokens ahead, pace, time between events and trust.
+// An engine's id, with a star if it is dedicated, then running requests, tokens ahead, read time per token, time between events and health.
 function describeEngine (view: EndpointView, isDedicated: boolean, at: number): string {
   return `${view.id}${isDedicated ? '*' : ''}/${view.running}/${Math.round(view.countTokensAhead(Infinity, at))}/${view.readMsPerToken.toFixed(4)}/${view.gapMs?.toFixed(1) ?? '-'}/${view.trust.look(at)}`
 }
--- a/src/core/balance/endpoint-costs.ts
+++ b/src/core/balance/endpoint-costs.ts
@@ -1,7 +1,4 @@
-/**
- * What counts against an endpoint, in ms: the time that a request is expected
- * to take there, and what doubt, distance and lack of room are worth.
- */
+/** Costs of using an endpoint, in ms: the expected time of a request there, plus penalties for doubtful health, distance and lack of capacity. */
 import type { ZoneName } from '../ids.js'
 import type { EngineProfile } from '../routes/index.js'
 import { findMedian } from './average.js'
@@ -11,72 +8,72 @@
 import type { PromptCost, Work } from './work.js'
 import type { ZoneMonitor } from './zone-monitor.js'
 
-/** What an endpoint in another zone is worth less for a plain call, ms: bytes between zones are priced. */
+/** Penalty of an endpoint in another zone for a plain call, ms: traffic between zones is billed. */
 const crossZoneMs = 8
-/** The same for a stream, ms: it runs for seconds, and is lost where the zones part meanwhile. */
+/** The same for a stream, ms: it runs for seconds and is lost if the link between the zones fails. */
 const crossZoneStreamMs = 30
-/** What a doubtful endpoint, or one in a zone that fell silent, is worth less, ms: about what a lost request costs. */
+/** Penalty of an endpoint that is doubtful, failing or in an unreachable zone, ms: about the cost of a lost request. */
 const doubtfulPenaltyMs = 400
-/** What each stream more slows the others, ms. */
+/** Delay that each stream causes to the others, ms. */
 const perStreamMs = 0.4
-/** What each request beyond the slots waits, ms: a slot comes free every so often. */
+/** Wait for each request beyond the slots, ms: the mean time until a slot is released. */
 export const queueMs = 60
-/** What a request waits where memory is used up, ms. */
+/** Wait of a request for an engine whose memory is exhausted, ms. */
 const memoryMs = 1500
 /**
- * What a stream is worth that may have its pauses broken by a prompt that is read
- * beside it, ms: half of what a lost request is, as one prompt alone breaks few.
+ * Penalty for each stream whose pause limit may be violated by reading a prompt beside it, ms: half the cost of a
+ * lost request, as a single prompt rarely violates it.
  */
 const pauseBreakPenaltyMs = doubtfulPenaltyMs / 2
-/** Reading for less than this part of the pause that bears reading breaks none. */
+/** Reading that takes less than this fraction of the shortest tolerant pause violates no limit. */
 const harmlessShare = 0.5
-/** Part of an engine's memory that requests in flight may be expected to take. */
+/** Fraction of an engine's memory that requests in flight may be expected to take. */
 const maxMemoryShare = 0.9
-/** An endpoint whose failures exceed the middle of its service's by so much is taken last. */
+/** An endpoint whose failure share exceeds the median of its service by more than this is avoided. */
 const failureMargin = 0.25
-/** What each box counts against an endpoint that has asked it to back off, ms: the endpoint is loaded. */
+/** Penalty for each other box that the endpoint has asked to back off, ms: the endpoint is loaded. */
 const backedOffMs = 30
-/** What they count together at most, ms. */
+/** Upper bound on the sum of these penalties, ms. */
 const maxBackedOffMs = doubtfulPenaltyMs
 /**
- * Reading that may wait at an engine, ms. An engine reads prompts in the order in
- * which they came, whatever their rank, so that what is less urgent waits here,
- * where it can be passed; so much keeps an engine busy until the next word.
+ * Maximum read time of the prompts queued at an engine, ms. Engines read in order of arrival, whatever the
+ * priority, so less urgent requests wait in the box, where urgent ones can overtake them. This is enough to keep
+ * an engine busy until the next load report.
  */
 const maxEngineBacklogMs = 220
 /**
- * Part of its target that a request waits for an engine that holds its shared parts,
- * before it is read anew elsewhere: reading all of them again costs others about what
- * a late answer costs its caller, on all users' days.
+ * Fraction of its target that a request waits for an engine that has its shared parts cached, before they are read
+ * again elsewhere: over all recorded user load, reading all of them again costs other requests about as much as a
+ * late answer costs this one.
  */
 const holderWaitShare = 1
 /**
- * What a connection that must first be opened is worth, ms: two journeys and the
- * endpoint's work on it, and as much again for the place that it takes there.
+ * Penalty of an endpoint to which a connection must first be opened, ms: two round trips and the endpoint's work
+ * for it, and as much again for the connection slot that it takes there.
  */
 const connectMs = 8
 
-/** Where a box stands and which zones it hears. */
+/** The zone and connectivity of this box, from which endpoints are rated. */
 export interface BoxContext {
   readonly zone: ZoneName
   readonly zones: ZoneMonitor
-  /** True where a connection to an endpoint is open and at rest. */
+  /** True if there is an open, idle connection to an endpoint. */
   readonly isConnected: (view: EndpointView) => boolean
 }
 
-/** A prompt that is to be read at an engine, and how long its request has waited for one. */
+/** A request whose prompt is to be read by an engine, and how long it has waited for one. */
 export interface PromptRequest {
   readonly work: Work
   readonly cost: PromptCost
   readonly engine: EngineProfile
   readonly waitedMs: number
-  /** The shortest pause with which a request goes beside reading, ms. */
+  /** The shortest allowed pause with which a request is pause-tolerant, ms. */
   readonly minTolerantPauseMs: number
-  /** True where the request's own pauses bear reading beside it. */
+  /** True if the request itself tolerates prompt reading beside it. */
   readonly isPauseTolerant: boolean
 }
 
-/** Expected time of a plain call, ms: the usual time, longer where others run or wait. */
+/** Expected time of a plain call, ms: the average time, increased by running and queued requests. */
 export function estimateCallMs (view: EndpointView): number {
   const { slots } = view.record
   const running = view.running
@@ -84,31 +81,32 @@
   return view.answerMs.value * (1 + queued + 0.5 * running / Math.max(1, slots))
 }
 
-/** Expected time until an engine's first event, ms, where it comes by the prompt as planned. */
+/** Expected time until an engine's first event, ms, if it obtains the prompt as planned. */
 export function estimateFirstEventMs (view: EndpointView, { work, cost, engine, waitedMs, minTolerantPauseMs, isPauseTolerant }: PromptRequest, { readTokens, fetch }: PromptPlan, at: number): number {
   const running = view.running
   const readingMs = (view.countTokensAhead(work.priority, at) + readTokens) * view.readMsPerToken
-  const ms = readingMs + running * perStreamMs + (fetch?.ms ?? 0)
+  const busyMs = readingMs + running * perStreamMs + (fetch?.ms ?? 0)
   const rereadMs = computeRereadShare(readTokens, cost) * Math.max(0, work.targetMs * holderWaitShare - waitedMs)
   const queuedMs = Math.max(0, running + 1 - engine.slots) * queueMs
   const memoryWaitMs = view.memoryInUse + cost.promptTokens > engine.memoryTokens * maxMemoryShare ? memoryMs : 0
   const pauseBreakMs = isPauseTolerant ? view.countPauseSensitive(minTolerantPauseMs) * pauseBreakPenaltyMs * estimatePauseBreakRisk(readingMs, minTolerantPauseMs) : 0
-  return ms + rereadMs + queuedMs + memoryWaitMs + pauseBreakMs
+  return busyMs + rereadMs + queuedMs + memoryWaitMs + pauseBreakMs
 }
 
-// Part of the shared tokens that are read again.
+// Fraction of the shared tokens that is read again.
 function computeRereadShare (readTokens: number, cost: PromptCost): number {
   const shared = countSharedTokens(cost)
   return shared === 0 ? 0 : Math.max(0, readTokens - (cost.promptTokens - shared)) / shared
 }
 
-// How surely reading for so long breaks a pause that doesn't bear reading all the time: a short read stretches only a part of it.
+// Probability, as a rough estimate, that reading for this time violates the pause limit of a pause-sensitive stream: a short read lengthens only
+// part of a pause.
 function estimatePauseBreakRisk (readingMs: number, minTolerantPauseMs: number): number {
   const share = readingMs / minTolerantPauseMs
   return Math.min(1, Math.max(0, (share - harmlessShare) / (1 - harmlessShare)))
 }
 
-/** What distance, a missing connection, silence and failures count against an endpoint, ms. `middle`: share of failures of the middle one beside it. */
+/** Penalties for distance, a missing connection, overdue answers and failures, ms. `medianFailureShare`: over the endpoints it competes with. */
 export function estimatePenaltyMs (view: EndpointView, boxContext: BoxContext, medianFailureShare: number, isStream: boolean, at: number): number {
   const { zone } = view.record
   let ms = 0
@@ -122,8 +120,10 @@
 }
 
 /**
- * True where an engine can begin a prompt soon: what finds no room waits in the box, where it can be passed. `sharers`: boxes
- * that may be filling the engine unheard, this one included. Three that each filled it whole left tags 2 s behind quotes.
+ * True if an engine can start a prompt soon; otherwise the request waits in the box, where more urgent ones can
+ * overtake it. `sharers`: number of boxes, including this one, that may send to the engine without their load
+ * being known here. Each gets an equal part of the backlog limit: with the whole limit each, three boxes delayed
+ * urgent requests by 2 s.
  */
 export function hasRoom (view: EndpointView, cost: PromptCost, engine: EngineProfile, sharers: number, at: number): boolean {
   if (view.running >= engine.slots) return false
@@ -131,7 +131,7 @@
   return view.countTokensAhead(Infinity, at) * view.readMsPerToken <= maxEngineBacklogMs / sharers
 }
 
-/** Share of failures of the middle one of some endpoints; 0 for none. */
+/** Median failure share of some endpoints; 0 for none. */
 export function findMedianFailureShare (views: readonly EndpointView[]): number {
   return findMedian(views.map(view => view.trust.failureShare)) ?? 0
 }
--- a/src/core/balance/endpoint-directory.ts
+++ b/src/core/balance/endpoint-directory.ts
@@ -1,13 +1,12 @@
 /**
- * The live directory of endpoints. Words arrive late, twice and out of order,
- * through any box; the newest of each endpoint wins, by its life first and by its
- * sequence within that life, so that all directories that heard the same words
- * are alike.
+ * The directory of endpoints. Updates arrive late, duplicated and out of order, through any box. The newest of
+ * each endpoint wins, ordered by incarnation (`born`), then by the sequence number within it, so that all
+ * directories that received the same updates are equal.
  */
 import type { EndpointId } from '../ids.js'
 import type { EndpointRecord } from './endpoint-record.js'
 
-/** Records of endpoints that are gone are kept so that late words don't revive them; the oldest go first. */
+/** Number of records of stopped endpoints that are kept, so that late updates don't revive them; the oldest are dropped first. */
 const maxGone = 5000
 
 export class EndpointDirectory {
@@ -15,18 +14,18 @@
   #byAddress = new Map<string, EndpointId>()
   #gone: EndpointId[] = []
 
-  /** Every record, those of gone endpoints included. */
+  /** All records, including those of endpoints that are gone. */
   get records (): EndpointRecord[] { return [...this.#records.values()] }
 
   find (id: EndpointId): EndpointRecord | undefined { return this.#records.get(id) }
 
-  /** The endpoint that spoke last from the address of a word. */
+  /** The endpoint that was last announced at an address. */
   findAt ({ host, port }: Pick<EndpointRecord, 'host' | 'port'>): EndpointRecord | undefined {
     const id = this.#byAddress.get(`${host}:${port}`)
     return id === undefined ? undefined : this.#records.get(id)
   }
 
-  /** Takes in a word; returns the records that it changed for others, or none. */
+  /** Merges an update; returns the records that changed in content. */
   merge (update: EndpointRecord): EndpointRecord[] {
     const known = this.#records.get(update.id)
     if (known !== undefined && !isNewer(update, known)) return []
@@ -36,7 +35,7 @@
     return [...changed, ...this.#displace(record)]
   }
 
-  /** Notes that nothing was heard of an endpoint for long. */
+  /** Marks an endpoint as lost because no message from it has arrived for too long. */
   lose (id: EndpointId): EndpointRecord[] {
     const known = this.#records.get(id)
     if (known === undefined || known.stage === 'gone' || known.stage === 'lost') return []
@@ -52,8 +51,8 @@
     if (this.#gone.length > maxGone) this.#records.delete(this.#gone.shift() as EndpointId)
   }
 
-  // An address belongs to whoever spoke from it last. The other may only seem
-  // to be the older one, where words were late: its next word brings it back.
+  // An address belongs to the endpoint that was last announced there. If updates arrived out of order, the wrong endpoint is marked lost,
+  // until its next update restores it.
   #displace (record: EndpointRecord): EndpointRecord[] {
     if (record.stage === 'gone' || record.stage === 'lost') return []
     const address = `${record.host}:${record.port}`
@@ -64,21 +63,21 @@
 }
 
 function isNewer (update: EndpointRecord, known: EndpointRecord): boolean {
-  // Where the known life fell silent, a clock that was set back may have given the next one an earlier start.
+  // If the known incarnation is lost, a clock that was set back may have given the next one an earlier start.
   if (isOtherLife(update, known)) return update.born > known.born || (known.stage === 'lost' && update.stage !== 'lost' && update.stage !== 'gone')
-  // Of one that was gone before anything else was heard, another box may know which life that was.
+  // The endpoint may be known to be gone before its incarnation is known; another box may supply that.
   if (known.stage === 'gone') return update.stage === 'gone' && update.born > known.born
   if (update.stage === 'gone') return true
   if (update.stage === 'lost') return known.stage !== 'lost' && update.sequence >= known.sequence
   return update.sequence > known.sequence
 }
 
-/** True where two records are of different lives of an endpoint. One that says no life is of whichever life is known. */
+/** True if two records are of different incarnations of an endpoint. A record without a start time belongs to whichever incarnation is known. */
 export function isOtherLife (record: EndpointRecord, known: EndpointRecord): boolean {
   return record.born !== known.born && record.born !== 0 && known.born !== 0
 }
 
-// The last word of an endpoint says nothing but that it is one; a word that says no life is of the known one.
+// The final update of an endpoint carries no other data. An update without a start time belongs to the known incarnation.
 function mergeRecords (known: EndpointRecord, update: EndpointRecord): EndpointRecord {
   if (isOtherLife(update, known)) return update
   const born = Math.max(update.born, known.born)
--- a/src/core/balance/endpoint-filter.ts
+++ b/src/core/balance/endpoint-filter.ts
@@ -1,24 +1,24 @@
-/** Limits on the choice for one request, where not every endpoint is to meet it. */
+/** Restricts the endpoints to which one request may be sent. */
 import { chooseByHash } from '../hash.js'
 import type { EndpointId } from '../ids.js'
 import type { EndpointRecord } from './endpoint-record.js'
 import type { EndpointView } from './endpoint-view.js'
 
-/** Which endpoints a request may go to, and which of them it should. */
+/** Which endpoints a request may use, and which of them it should. */
 export interface Narrowing {
-  /** All boxes send requests with this key to the same endpoint, as far as they know the same ones; null where any will do. */
+  /** All boxes send requests with this key to the same endpoint, as far as they know the same ones; null if any will do. */
   readonly key: string | null
-  /** Endpoints that are taken only where there is no other. */
+  /** Endpoints that are used only if there are no others. */
   readonly avoids: ReadonlySet<EndpointId>
   mayUse (record: EndpointRecord): boolean
 }
 
-/** What is left of the endpoints under a narrowing; all of them without one. */
+/** Applies a filter to endpoints; returns all of them if it is null. */
 export function filterViews (views: readonly EndpointView[], filter: Narrowing | null): readonly EndpointView[] {
   if (filter === null) return views
   const allowed = views.filter(({ record }) => filter.mayUse(record))
-  const fresh = allowed.filter(({ id }) => !filter.avoids.has(id))
-  const left = fresh.length > 0 ? fresh : allowed
+  const notAvoided = allowed.filter(({ id }) => !filter.avoids.has(id))
+  const left = notAvoided.length > 0 ? notAvoided : allowed
   if (filter.key === null) return left
   const chosen = chooseByHash(filter.key, left.map(({ id }) => id))
   return left.filter(({ id }) => id === chosen)
--- a/src/core/balance/endpoint-gate.ts
+++ b/src/core/balance/endpoint-gate.ts
@@ -1,15 +1,15 @@
 /**
- * Whether one life of an endpoint may be sent requests at all: not while this
- * box backs off or the endpoint leaves, nor beyond the limit that it named for all boxes together.
+ * Decides whether an incarnation of an endpoint may be sent requests: not while this box backs off or the endpoint
+ * is leaving, nor beyond the rate limit that the endpoint sets for all boxes together.
  */
 import type { EndpointId } from '../ids.js'
 import type { EndpointNotice } from '../limits/index.js'
 import type { EndpointRecord } from './endpoint-record.js'
 
-/** A permit that was given and not used yet is good for so long, ms: the limit is kept by when requests are sent. */
+/** How long an unused permit stays valid, ms: the rate limit counts requests when they are sent. */
 const permitTtlMs = 100
 
-/** A denied permit: nothing of this priority or behind it before that time. */
+/** A denied permit: no request of this priority or a less urgent one until the given time. */
 interface Denial {
   readonly priority: number
   readonly until: number
@@ -20,38 +20,38 @@
   #isLeaving = false
   #backoffUntil = -Infinity
   #denials: Denial[] = []
-  /** When permits that nobody has used run out. */
+  /** Expiry times of unused permits. */
   #permits: number[] = []
 
-  /** Requests a second from all boxes together; null for no limit. */
+  /** Requests per second from all boxes together; null for no limit. */
   get limit (): number | null { return this.#limit }
   get isLeaving (): boolean { return this.#isLeaving }
 
   /** True while this box backs off. */
   isBackedOff (at: number): boolean { return at < this.#backoffUntil }
 
-  /** True where nothing may be sent, permit or not. */
+  /** True if no request may be sent, even with a permit. */
   isShut (at: number): boolean { return this.#isLeaving || this.isBackedOff(at) }
 
-  /** Takes what the endpoint says of itself. */
+  /** Applies a notice of the endpoint. */
   setNotice ({ perSecond, isLeaving }: EndpointNotice): void {
     this.#isLeaving = isLeaving
-    // Denials hold for the limit that was in force.
+    // Denials apply only to the limit under which they were issued.
     if (perSecond !== this.#limit) this.#denials = []
     if (perSecond === null) this.#permits = []
     this.#limit = perSecond
   }
 
-  /** The endpoint wants nothing from this box for a while; a longer time that it asked for before holds on. */
+  /** The endpoint asked this box to back off; an earlier back-off that ends later stays in force. */
   noteBackoff (until: number): void { this.#backoffUntil = Math.max(this.#backoffUntil, until) }
 
-  /** A permit was denied: requests of this priority, and those behind it, may ask again at `until`. */
+  /** A permit was denied: requests of this priority and less urgent ones may ask again at `until`. */
   noteDenied (priority: number, until: number): void {
     this.#denials = this.#denials.filter(one => one.priority !== priority)
     this.#denials.push({ priority, until })
   }
 
-  /** When a request of this priority may be sent, or a permit asked for; in the past where it may now. */
+  /** When a request of this priority may be sent or a permit requested; in the past if it may now. */
   findOpenTime (priority: number, at: number): number {
     if (this.#isLeaving) return Infinity
     if (this.#limit === null || this.#hasPermit(at)) return this.#backoffUntil
@@ -59,7 +59,7 @@
     return Math.max(this.#backoffUntil, ...denials)
   }
 
-  /** Takes leave for one send; false where a permit must be asked for. */
+  /** Consumes a permit for one request; false if a permit must be requested first. */
   takeLeave (at: number): boolean {
     if (this.#limit === null) return true
     if (!this.#hasPermit(at)) return false
@@ -67,7 +67,7 @@
     return true
   }
 
-  /** Keeps a permit for the next request, as the one that it was asked for has gone elsewhere. */
+  /** Stores a permit for the next request, because the request that it was granted for has gone elsewhere. */
   keepPermit (at: number): void { this.#permits.push(at + permitTtlMs) }
 
   #hasPermit (at: number): boolean {
@@ -76,20 +76,20 @@
   }
 }
 
-/** Gates that are kept; the oldest go first. */
+/** Maximum number of gates; the least recently used are dropped first. */
 const maxGates = 5000
 
-/** The gates of endpoints by their lives: one that is lost from sight and comes back is no other. */
+/** The gates of endpoints by incarnation: an endpoint that is lost and found again keeps its gate. */
 export class GateStore {
   #findNotice: (id: EndpointId) => EndpointNotice | undefined
   #gates = new Map<EndpointId, { readonly born: number, readonly gate: EndpointGate }>()
 
-  /** `findNotice`: what an endpoint has said of itself. */
+  /** `findNotice`: returns the latest notice of an endpoint. */
   constructor (findNotice: (id: EndpointId) => EndpointNotice | undefined) {
     this.#findNotice = findNotice
   }
 
-  /** The gate of the life that a record tells of. */
+  /** The gate of the incarnation that a record describes. */
   find ({ id, born }: EndpointRecord): EndpointGate {
     const known = this.#gates.get(id)
     const gate = known?.born === born ? known.gate : new EndpointGate()
@@ -102,6 +102,5 @@
     return gate
   }
 
-  /** Forgets an endpoint that is gone. */
   forget (id: EndpointId): void { this.#gates.delete(id) }
 }
--- a/src/core/balance/endpoint-health.ts
+++ b/src/core/balance/endpoint-health.ts
@@ -1,34 +1,34 @@
 /**
- * Belief in an endpoint's health, from the outcomes of real work alone: a
- * health check may lie, costs the endpoint a place, and says nothing on errors.
+ * Tracks an endpoint's health from the outcomes of real requests only: a health check may be wrong, takes a slot
+ * of the endpoint, and reveals nothing about errors.
  */
 
-/** A refused connection says at once that nobody listens. First wait before the next try, ms; doubles. */
+/** First wait before the endpoint is retried, ms; doubles. Short, as a refused connection reveals immediately that nothing listens there. */
 const initialEjectionMs = 250
-/** Longest wait, ms: crashed endpoints of the users' days are back within 2 to 5 s. */
+/** Longest wait, ms: crashed endpoints usually restart within 2 to 5 s. */
 const maxEjectionMs = 2000
-/** Broken answers in a row that put an endpoint out. One alone may be a lost answer. */
+/** Consecutive broken answers after which an endpoint is ejected. A single one may be one lost answer. */
 const breaksToEject = 2
-/** For so long after one broken answer an endpoint is taken last, ms. */
+/** How long after a broken answer an endpoint is avoided, ms. */
 const doubtfulMs = 700
-/** Weight of the newest outcome in the share of failures. */
+/** Weight of the newest outcome in the failure share. */
 const newestWeight = 0.12
 
-/** `probing`: nobody listened there; a connection may be tried to see whether somebody does now. */
+/** `out`: ejected; `probing`: the endpoint was unreachable, and a connection may be attempted to check whether it is back. */
 export type HealthState = 'good' | 'doubtful' | 'out' | 'probing'
 
 export class EndpointHealth {
-  #breaks = 0
+  #brokenAnswers = 0
   #ejectionMs = initialEjectionMs
   #ejectedUntil = -Infinity
   #doubtfulUntil = -Infinity
   #failureShare = 0
   #isReachable = true
 
-  /** False where no connection came about: the endpoint is out until one does. */
+  /** False after a failed connection attempt: the endpoint is ejected until one succeeds. */
   get isReachable (): boolean { return this.#isReachable }
 
-  /** Share of the last answers that were failures of the endpoint's own, 0 to 1. */
+  /** Fraction of recent answers that were failures of the endpoint itself, 0 to 1. */
   get failureShare (): number { return this.#failureShare }
 
   look (at: number): HealthState {
@@ -37,36 +37,36 @@
     return at < this.#doubtfulUntil ? 'doubtful' : 'good'
   }
 
-  /** No connection came about. */
+  /** A connection attempt failed. */
   noteUnreachable (at: number): void {
     this.#isReachable = false
     this.#eject(at)
   }
 
-  /** A connection came about that was tried for its own sake. */
+  /** A probe connection succeeded. */
   noteReachable (at: number): void {
     this.#isReachable = true
     this.#ejectedUntil = -Infinity
     this.#doubtfulUntil = at
   }
 
-  /** The connection broke, or went silent, after the request was written. */
+  /** The connection broke or timed out after the request was written. */
   noteBroken (at: number): void {
-    this.#breaks += 1
+    this.#brokenAnswers += 1
     this.#doubtfulUntil = at + doubtfulMs
     this.#addOutcome(1)
-    if (this.#breaks >= breaksToEject) this.#eject(at)
+    if (this.#brokenAnswers >= breaksToEject) this.#eject(at)
   }
 
   /** The endpoint answered with a failure of its own. */
   noteFailure (): void {
-    this.#breaks = 0
+    this.#brokenAnswers = 0
     this.#addOutcome(1)
   }
 
-  /** The endpoint works: it began an answer, or turned a request away in good form. */
+  /** The endpoint works: it started an answer, or rejected a request properly. */
   noteGood (): void {
-    this.#breaks = 0
+    this.#brokenAnswers = 0
     this.#ejectionMs = initialEjectionMs
     this.#ejectedUntil = -Infinity
     this.#isReachable = true
--- a/src/core/balance/endpoint-record.ts
+++ b/src/core/balance/endpoint-record.ts
@@ -1,27 +1,27 @@
 import type { EndpointId, ServiceName, ZoneName } from '../ids.js'
 
 /**
- * Where an endpoint is in its life. `gone` is its own last word and final;
- * `lost` is a guess from its silence that a newer word of its own undoes.
+ * Lifecycle stage of an endpoint. `gone` is announced by the endpoint itself and final; `lost` is inferred from
+ * missing messages, and a newer message of the endpoint undoes it.
  */
 export type EndpointStage = 'ready' | 'draining' | 'gone' | 'lost'
 
-/** What an endpoint says of itself, by its newest word. */
+/** The newest announcement of an endpoint. */
 export interface EndpointRecord {
   readonly id: EndpointId
   readonly service: ServiceName
   readonly host: string
   readonly port: number
   readonly zone: ZoneName
-  /** Requests that it works on at once. */
+  /** Number of requests that it processes concurrently. */
   readonly slots: number
-  /** When this life of the endpoint began, Unix ms; 0 where it doesn't say. */
+  /** Start time of this incarnation of the endpoint, Unix ms; 0 if unknown. */
   readonly born: number
-  /** Version of what it runs; empty where it doesn't say. */
+  /** Version of its software; empty if unknown. */
   readonly software: string
-  /** There for one that may be taken back at short notice. */
+  /** Present for a spot instance, which may be reclaimed at short notice. */
   readonly isSpot?: true
-  /** Rises with each word of the endpoint; tells a late one. */
+  /** Increases with each message of the endpoint; identifies late ones. */
   readonly sequence: number
   readonly stage: EndpointStage
 }
--- a/src/core/balance/endpoint-view.ts
+++ b/src/core/balance/endpoint-view.ts
@@ -1,6 +1,6 @@
 /**
- * One endpoint as this box sees it: its newest record, what this box has
- * running there, what its hub tells that the other boxes have, and how it performs.
+ * One endpoint as seen by this box: its newest record, the requests of this box in flight there, the load that its
+ * hub reports for the other boxes, and measured performance.
  */
 import { hashText } from '../hash.js'
 import type { EndpointId } from '../ids.js'
@@ -15,12 +15,12 @@
 import type { PromptPlan } from './prompt-plan.js'
 import type { PromptCost, PromptPart, Work } from './work.js'
 
-/** A request of this box at an endpoint. */
+/** A request of this box in flight at an endpoint. */
 export interface Placed {
   readonly work: Work
   /** Prompt tokens that the engine is expected to read for it. */
   readonly readTokens: number
-  /** Time that it is expected to take what another engine keeps of the prompt, ms. */
+  /** Expected time to transfer the part of the prompt that another engine has cached, ms. */
   readonly fetchMs: number
   /** Tokens that waited ahead of it when it was sent. */
   readonly aheadTokens: number
@@ -30,67 +30,71 @@
   heardAt: number
 }
 
-/** Weight of the newest sample in what is learned of an endpoint. */
+/** Weight of the newest sample in averages over an endpoint. */
 const newestWeight = 0.15
-/** Reading time is learned only from prompts that take longer than the noise of the network, tokens. */
+/** Read time is learned only from prompts of at least this size, in tokens; for shorter ones, network noise dominates. */
 const minLearningTokens = 1000
-/** Time of an answer that isn't reading, ms. */
+/** Part of the time to first event that is not spent on reading, ms. */
 const overheadMs = 10
-/** Share of an engine's memory that is believed to hold prompts that nobody is running. */
+/** Assumed fraction of an engine's memory that caches prompts of no running request. */
 const cacheShare = 0.5
-/** Expected time of a call to a plain service before any was seen, ms. */
+/** Expected time of a call to a plain service before any was measured, ms. */
 const initialAnswerMs = 100
-/** A request that waits so many times longer than usual, and this much more, shows that its endpoint hangs. */
+/** A request whose answer takes longer than this multiple of the expected time plus the margin, ms, indicates that its endpoint hangs. */
 const overdueRatio = 3
 const overdueMarginMs = 300
-/** Streams give an event every few dozen ms; one endpoint that is silent on all of its streams for so long hangs, ms. */
-const silentMs = 500
-/** Part by which each event moves what is believed of the time between events. */
+/** Streams emit an event every few tens of ms; an endpoint from which none of several streams has received an event for this long hangs, ms. */
+const streamSilenceMs = 500
+/** Relative step by which each event adjusts the estimated time between events. */
 const gapStep = 0.04
-/** The gaps that count are the lowest, as what is read unseen makes gaps longer: at 0.35 engines that read much passed for slow ones. */
+/**
+ * Low quantile of the gaps that is used, because prompt reading that this box does not know of lengthens them: at
+ * 0.35, engines that read much were taken for slow ones.
+ */
 const gapQuantile = 0.1
-/** Part by which each stream more stretches the time between events, as on the users' engines (0.53 to 0.71 in 100). */
+/** Relative increase of the time between events for each additional stream, as on engines in production (0.53 to 0.71 per 100 streams). */
 const gapGrowthPerStream = 0.006
-/** What became of a prompt is told for so long, ms: a word may be lost, and the next ones go out within a few dozen ms. */
+/** How long the state of a prompt is repeated in reports, ms: a report may be lost, and the next ones follow within a few tens of ms. */
 const promptReportMs = 200
-/** An engine that is so many times slower than the middle one is in trouble, not of a slower kind. */
+/** An engine slower than the median by at least this factor is degraded, rather than of a slower model. */
 export const degradedRatio = 2
-/** Events that must be seen before an engine's speed is judged. */
+/** Minimum number of gaps before an engine's speed is judged. */
 const minGaps = 16
 /**
- * Events that come sooner after one another were read together, after a standstill of this box or of its
- * link, ms: a step of the users' fastest engines takes 3. A middle gap of 0 ended every gateway of a zone.
+ * Shorter gaps are ignored, ms: such events were received together after a stall of this box or its link. The
+ * fastest engines in production take 3 ms per step. A median gap of 0 makes slowness NaN, so that no engine can be
+ * chosen and gateways crash.
  */
 const minGapMs = 1
 
 export class EndpointView {
-  /** Of its id: the same at every box. */
+  /** Hash of the id; the same on every box. */
   readonly hash: number
   readonly trust = new EndpointHealth()
   readonly gate: EndpointGate
-  /** What the engine holds, or will have read before anything that is sent to it now. */
+  /** Prompt parts that the engine has cached, or will have read before anything that is sent to it now. */
   readonly prompts: PromptMemory
-  /** What it holds already, so that others may take it. */
+  /** Parts that it has already cached, so that other engines can fetch them. */
   readonly kept: PromptMemory
   readonly answerMs = new ExponentialAverage(initialAnswerMs, newestWeight)
   record: EndpointRecord
   #stats: EngineStats
-  /** What this box tells of prompts here. */
+  /** Prompt states that this box reports to its hub. */
   #promptReports: { readonly at: number, readonly prompt: ReadPrompt }[] = []
   #gapQuantile: RunningQuantile | null = null
   #gapCount = 0
   #minInitialGapMs = Infinity
   #placed = new Set<Placed>()
-  /** What the other boxes have here. */
+  /** Load of the other boxes here. */
   #others: EndpointLoad | null = null
-  /** The time between events in the middle of what all boxes measured. */
+  /** Median over all boxes of the measured time between events. */
   #medianGapMs: number | null = null
-  /** How many times slower than the middle of its service it is; 1 where that isn't known. */
+  /** Factor by which it is slower than the median of its service; 1 if unknown. */
   slowness = 1
-  /** True for an engine of a slower kind than the middle one. */
+  /** True for an engine of a slower model than the median one. */
   isSlow = false
 
-  /** `learning`: of the service's engines as a whole, shared by their views. */
+  /** `stats`: measurements over all engines of the service, shared by their views. */
   constructor (record: EndpointRecord, memoryTokens: number, stats: EngineStats, gate = new EndpointGate()) {
     this.record = record
     this.gate = gate
@@ -104,15 +108,15 @@
   /** Time to read a prompt token, ms. */
   get readMsPerToken (): number { return this.#stats.readMsPerToken.value * this.slowness }
 
-  /** Other boxes that the endpoint has asked to back off. */
+  /** Number of other boxes that the endpoint has asked to back off. */
   get backedOffOthers (): number { return this.#others?.backedOff ?? 0 }
 
-  /** Requests in flight, those of other boxes included. */
+  /** Requests in flight, including those of other boxes. */
   get running (): number {
     return this.#placed.size + (this.#others?.running ?? 0)
   }
 
-  /** Streams in flight whose pauses break where a prompt is read beside them; `patienceMs`: the shortest pause that doesn't. */
+  /** Streams in flight that do not tolerate prompt reading beside them; `minTolerantPauseMs`: the shortest allowed pause of one that does. */
   countPauseSensitive (minTolerantPauseMs: number): number {
     return this.#countOwnPauseSensitive(minTolerantPauseMs) + (this.#others?.brisk ?? 0)
   }
@@ -131,38 +135,40 @@
   }
 
   /**
-   * Prompt tokens that will be read before those of a new request of this
-   * priority: those of requests that go before it, and what is left of one
-   * less urgent prompt that may have been begun.
+   * Prompt tokens that will be read before those of a new request of this priority: those of requests that are not
+   * less urgent, and the rest of one less urgent prompt that may have been started.
    */
   countTokensAhead (priority: number, at: number): number {
-    const { own, others, behind, largest } = this.#countWaiting(priority, at)
-    return own + others + Math.min(behind, largest)
+    const { own, others, lessUrgent, largest } = this.#countWaiting(priority, at)
+    return own + others + Math.min(lessUrgent, largest)
   }
 
-  /** Prompt tokens that wait here: of requests that go before one of this priority, this box's and the others', and of those `behind` it. */
-  countBefore (priority: number, at: number): { readonly own: number, readonly others: number, readonly behind: number } {
+  /**
+   * Prompt tokens that wait here: of requests that are not less urgent than `priority`, from this box and from the
+   * others, and of less urgent ones.
+   */
+  countBefore (priority: number, at: number): { readonly own: number, readonly others: number, readonly lessUrgent: number } {
     return this.#countWaiting(priority, at)
   }
 
-  #countWaiting (priority: number, at: number): { own: number, others: number, behind: number, largest: number } {
+  #countWaiting (priority: number, at: number): { own: number, others: number, lessUrgent: number, largest: number } {
     let own = 0
     let others = 0
-    let behind = 0
+    let lessUrgent = 0
     let largest = 0
     for (const placed of this.#placed) {
       if (placed.firstAt !== null) continue
       const left = this.#countLeft(placed, at)
       if (placed.work.priority <= priority) own += left
-      else behind += left
+      else lessUrgent += left
       largest = Math.max(largest, left)
     }
-    if (this.#others === null) return { own, others, behind, largest }
+    if (this.#others === null) return { own, others, lessUrgent, largest }
     for (const [theirs, tokens] of this.#others.waiting) {
       if (theirs <= priority) others += tokens
-      else behind += tokens
+      else lessUrgent += tokens
     }
-    return { own, others, behind, largest: Math.max(largest, this.#others.largest) }
+    return { own, others, lessUrgent, largest: Math.max(largest, this.#others.largest) }
   }
 
   // Estimates the unread tokens of a prompt from the expected read rate. An overdue first event indicates that the prompt is queued
@@ -174,24 +180,24 @@
     return Math.max(0, expectedLeft, Math.min(placed.readTokens, overdueTokens))
   }
 
-  /** How long the endpoint has been overdue with an answer or an event, ms; 0 where it isn't. */
+  /** Time by which an answer or event of the endpoint is overdue, ms; 0 if none is. */
   measureOverdue (at: number): number {
     let overdue = 0
     let started = 0
-    let heardAt = -Infinity
+    let lastEventAt = -Infinity
     for (const placed of this.#placed) {
       if (placed.firstAt !== null && placed.work.cost !== null) {
         started += 1
-        heardAt = Math.max(heardAt, placed.heardAt)
+        lastEventAt = Math.max(lastEventAt, placed.heardAt)
       } else if (placed.firstAt === null) {
         overdue = Math.max(overdue, at - placed.sentAt - overdueRatio * this.expectAnswer(placed) - overdueMarginMs)
       }
     }
-    if (started > 1) overdue = Math.max(overdue, at - heardAt - silentMs)
+    if (started > 1) overdue = Math.max(overdue, at - lastEventAt - streamSilenceMs)
     return overdue
   }
 
-  /** Expected time from sending a request to its answer, or first event, ms. */
+  /** Expected time from sending a request to its answer or first event, ms. */
   expectAnswer (placed: Placed): number {
     if (placed.work.cost === null) return this.answerMs.value
     return (placed.readTokens + placed.aheadTokens) * this.readMsPerToken + placed.fetchMs + overheadMs
@@ -206,18 +212,18 @@
     return placed
   }
 
-  /** The answer, or its first event, has come. */
+  /** Records the arrival of the answer or its first event. */
   noteFirst (placed: Placed, at: number): void {
     placed.firstAt = at
     placed.heardAt = at
-    const took = at - placed.sentAt
+    const tookMs = at - placed.sentAt
     const { cost } = placed.work
-    if (cost === null) return this.answerMs.add(took)
+    if (cost === null) return this.answerMs.add(tookMs)
     this.#reportPrompt(cost, true, at)
     this.#stats.readMeter.add(at, countExpectedTokens(cost))
-    this.#stats.lateness.add(placed.work.level, took / this.expectAnswer(placed))
+    this.#stats.lateness.add(placed.work.level, tookMs / this.expectAnswer(placed))
     const tokens = placed.readTokens + placed.aheadTokens
-    if (tokens >= minLearningTokens) this.#stats.readMsPerToken.add(Math.max(0, took - overheadMs - placed.fetchMs) / tokens / this.slowness)
+    if (tokens >= minLearningTokens) this.#stats.readMsPerToken.add(Math.max(0, tookMs - overheadMs - placed.fetchMs) / tokens / this.slowness)
   }
 
   #reportPrompt (cost: PromptCost, isKept: boolean, at: number): void {
@@ -226,58 +232,54 @@
     if (shared.length > 0) this.#promptReports.push({ at, prompt: [this.id, shared.map(({ id, tokens }) => [id, tokens]), isKept] })
   }
 
-  /** Notes that the engine reads parts of a prompt, or holds them already. */
+  /** Notes that the engine reads parts of a prompt, or has already cached them (`isKept`). */
   notePrompt (parts: readonly PromptPart[], isKept: boolean): void {
     this.prompts.add(parts)
     if (isKept) this.kept.add(parts)
   }
 
-  /** Prompts of this box that were sent here or read here just now, for the other boxes. */
+  /** Prompts of this box that were recently sent to or read by the engine, to be reported to the other boxes. */
   listPromptReports (at: number): ReadPrompt[] {
     this.#promptReports = this.#promptReports.filter(one => at - one.at <= promptReportMs)
     return this.#promptReports.map(one => one.prompt)
   }
 
-  /**
-   * Time between events of a stream that is alone and beside which no prompt is
-   * read, as this box measured it, ms; null before enough was seen.
-   */
+  /** Time between events of a single stream while no prompt is read, as measured by this box, ms; null until there are enough samples. */
   get ownGapMs (): number | null { return this.#gapCount < minGaps ? null : this.#gapQuantile?.value ?? this.#minInitialGapMs }
 
-  /** The same, in the middle of what all boxes measured; this box's own measure before any was told. */
+  /** The same as the median over all boxes; this box's own measurement until one is reported. */
   get gapMs (): number | null { return this.#medianGapMs ?? this.ownGapMs }
 
-  // An engine in trouble, or of unknown speed, tells nothing of the others.
+  // Pauses of a degraded engine, or one of unknown speed, say nothing about the others.
   #noteReadingPause (pauseMs: number, at: number): void {
     if (this.gapMs !== null && this.slowness < degradedRatio) this.#stats.readingPause.add(pauseMs, this.slowness, at)
   }
 
-  /** Takes the middle of what all boxes measured. */
   noteMedianGap (gapMs: number): void { this.#medianGapMs = gapMs < minGapMs ? null : gapMs }
 
-  /** Notes the time between two events of a stream: beside reading, or where nothing is being read here. */
+  /** Records the time between two events of a stream, as a reading pause if a prompt is being read, otherwise as a gap. */
   noteGap (gapMs: number, at: number): void {
     if (gapMs < minGapMs) return
     if (this.countTokensAhead(Infinity, at) > 0) return this.#noteReadingPause(gapMs, at)
     const aloneMs = gapMs / (1 + this.running * gapGrowthPerStream)
     this.#gapCount += 1
-    // The first gaps may all stand beside reading that this box knows nothing of: the lowest is nearest.
+    // Any of the first gaps may include prompt reading that this box does not know of: the shortest is the best estimate.
     if (this.#gapCount <= minGaps) this.#minInitialGapMs = Math.min(this.#minInitialGapMs, aloneMs)
     else (this.#gapQuantile ??= new RunningQuantile(this.#minInitialGapMs, gapQuantile, gapStep)).add(aloneMs)
   }
 
-  /** Takes a request out that has ended, or was called off. */
+  /** Removes a request that ended or was cancelled. */
   remove (placed: Placed, at: number): void {
     this.#placed.delete(placed)
-    // Whoever left without a first event waited longer than expected too.
+    // A request that was cancelled before its first event after longer than expected is late too.
     const waitedTimes = (at - placed.sentAt) / this.expectAnswer(placed)
     if (placed.firstAt === null && placed.work.cost !== null && waitedTimes > 1) this.#stats.lateness.add(placed.work.level, waitedTimes)
   }
 
-  /** Takes what the other boxes have here; null for nothing. */
+  /** Sets the load of the other boxes; null for none. */
   noteOthers (load: EndpointLoad | null): void { this.#others = load }
 
-  /** What this box tells its hub of its work here; null where it has none. */
+  /** The load that this box reports to its hub; null if there is none. */
   composeLoad (at: number, minTolerantPauseMs: number): EndpointLoad | null {
     const backedOff = this.gate.isBackedOff(at) ? 1 : 0
     if (this.#placed.size === 0 && backedOff === 0) return null
--- a/src/core/balance/fleet.ts
+++ b/src/core/balance/fleet.ts
@@ -1,8 +1,8 @@
 /**
- * The endpoints as one box believes them to be, and the choice among them. Each
- * box decides alone, on its own work and on what its hub last told of the
- * others'. Where all boxes must agree (which engines are set apart for long
- * prompts, which of them holds a shared prompt) they do so by the same hash.
+ * One box's view of all endpoints, and the choice among them. Each box decides on its own, from its own requests
+ * and the load that its hub last reported for the other boxes. Where all boxes must agree (which engines are
+ * dedicated to long prompts, which engine is the affinity engine of a shared prompt), they compute the same result
+ * from the same hash.
  */
 import type { EndpointId, ServiceName, ZoneName } from '../ids.js'
 import type { EndpointNotice } from '../limits/index.js'
@@ -39,8 +39,8 @@
 import type { PromptCost, Work } from './work.js'
 import { ZoneMonitor } from './zone-monitor.js'
 
-/** A zone counts as cut off after so long without a word, ms: two heartbeats of a registry there, or some totals that name it. */
-const zoneSilentMs = 800
+/** A zone counts as unreachable after this long without a message, ms: two heartbeats of a registry there, or several load totals that name it. */
+const zoneTimeoutMs = 800
 
 export class Fleet {
   readonly zones: ZoneMonitor
@@ -53,37 +53,37 @@
   #snapshots = new Map<ServiceName, ServiceSnapshot>()
   #gates: GateStore
 
-  /** `isConnected`: whether a connection to an endpoint is open and at rest; `findNotice`: what one has said of itself. */
+  /** `isConnected`: whether there is an open, idle connection to an endpoint; `findNotice`: returns the latest notice of an endpoint. */
   constructor (zone: ZoneName, isConnected: (view: EndpointView) => boolean = () => true, findNotice: (id: EndpointId) => EndpointNotice | undefined = () => undefined) {
     this.#gates = new GateStore(findNotice)
-    this.zones = new ZoneMonitor(zone, zoneSilentMs)
+    this.zones = new ZoneMonitor(zone, zoneTimeoutMs)
     this.#boxContext = { zone, zones: this.zones, isConnected }
   }
 
   get views (): IterableIterator<EndpointView> { return this.#views.values() }
   findView (id: EndpointId): EndpointView | undefined { return this.#views.get(id) }
 
-  /** Takes over the services of a new document; what was learned of those that stay is kept. */
+  /** Applies the services of a new configuration document; measurements of services that remain are kept. */
   configure (services: readonly RoutedService[]): void {
     const states = new Map<ServiceName, ServiceState>()
     for (const service of services) {
       const known = this.#services.get(service.name)
       states.set(service.name, known === undefined ? createServiceState(service) : { ...known, service })
     }
-    const renewed = [...this.#views.values()].filter(({ record: { service } }) => states.has(service) && !this.#services.has(service))
+    const reconfigured = [...this.#views.values()].filter(({ record: { service } }) => states.has(service) && !this.#services.has(service))
     this.#services = states
-    // Records may come before the document that says what their endpoints are.
-    for (const { id, record } of renewed) this.#views.set(id, this.#createView(record))
+    // Records may arrive before the document that configures their service.
+    for (const { id, record } of reconfigured) this.#views.set(id, this.#createView(record))
     this.#regroup()
   }
 
-  /** Takes in newer records of the directory. */
+  /** Applies newer records of the directory. */
   applyRecords (records: readonly EndpointRecord[]): void {
     for (const record of records) {
       const known = this.#views.get(record.id)
       const isOver = record.stage === 'gone' || record.stage === 'lost'
       const isNewIncarnation = known !== undefined && isOtherLife(record, known.record)
-      // A new life holds and has nothing of the one before it.
+      // A new incarnation has no cached prompts and no requests of the previous one.
       if (isOver || isNewIncarnation) this.#forget(record)
       if (isOver) continue
       if (known !== undefined && !isNewIncarnation) known.record = record
@@ -92,10 +92,10 @@
     this.#regroup()
   }
 
-  /** True where an endpoint's view is that of an earlier life. */
+  /** True if a view belongs to an earlier incarnation of its endpoint. */
   hasStartedAgain (view: EndpointView): boolean { return (this.#views.get(view.id) ?? view) !== view }
 
-  /** Takes in which prompts engines hold; also of engines that are known only later. */
+  /** Applies reports of cached prompts, also for engines that become known later. */
   notePrompts (prompts: readonly ReadPrompt[]): void {
     for (const endpoint of this.#reportedPrompts.take(prompts)) {
       const view = this.#views.get(endpoint)
@@ -103,7 +103,7 @@
     }
   }
 
-  /** Takes in what endpoints say of themselves; also of endpoints that are known only later. */
+  /** Applies notices of endpoints. */
   applyNotices (notices: readonly EndpointNotice[]): void {
     for (const notice of notices) {
       const view = this.#views.get(notice.endpoint)
@@ -113,18 +113,18 @@
     }
   }
 
-  /** When an endpoint that wasn't tried takes a request again; in the past where one does now, Infinity where none is known to. */
+  /** The earliest time when an untried endpoint accepts a request; in the past if one does now, Infinity if none is known to. */
   findOpening (work: Work, tried: readonly EndpointId[], at: number): number {
     const untried = this.#findSnapshot(work.service, at).usable.filter(view => !tried.includes(view.id))
     return Math.min(Infinity, ...untried.map(({ gate }) => gate.findOpenTime(work.priority, at)))
   }
 
-  /** Requests a second that the endpoints of a service take from all boxes together; Infinity where one names no limit. */
+  /** Total rate limit of a service's endpoints over all boxes, requests per second; Infinity if any has no limit. */
   sumLimits (service: ServiceName, at: number): number {
     return this.#findSnapshot(service, at).usable.reduce((sum, { gate }) => sum + (gate.limit ?? Infinity), 0)
   }
 
-  /** Takes in what the other boxes have; `noTotals` where no hub is heard. */
+  /** Applies the load totals of the other boxes; `noTotals` if no hub is reachable. */
   noteOthers (others: LoadTotals, at: number): void {
     const loads = new Map(others.loads.map(load => [load.endpoint, load]))
     for (const view of this.#views.values()) view.noteOthers(loads.get(view.id) ?? null)
@@ -137,13 +137,12 @@
     for (const zone of others.zones) this.zones.noteHeard(zone, at)
   }
 
-  /** Takes how many boxes there are, this one included. */
+  /** Sets the number of boxes, including this one. */
   noteBoxes (count: number): void { this.#others.noteBoxes(count) }
 
-  /** Endpoints of a service that may be used now. */
   listUsable (service: ServiceName, at: number): readonly EndpointView[] { return this.#findSnapshot(service, at).usable }
 
-  /** What this box tells its hub. */
+  /** Composes the load report of this box for its hub. */
   composeLoad (at: number): BoxLoad {
     const loads = []
     const gaps: EngineGap[] = []
@@ -159,14 +158,13 @@
   }
 
   /**
-   * Chooses an endpoint that wasn't tried yet. `draw`, from 0 up to 1, parts
-   * those that are alike; `waitedMs` is how long the request has waited here.
-   * A `narrowing` goes before all else.
+   * Chooses an untried endpoint. `draw`, from 0 up to 1, breaks ties; `waitedMs` is how long the request has
+   * waited in this box. A `filter` takes precedence over all other criteria.
    */
-  choose (work: Work, tried: readonly EndpointId[], at: number, draw: number, waitedMs = 0, narrowing: Narrowing | null = null): Choice | NoChoice {
+  choose (work: Work, tried: readonly EndpointId[], at: number, draw: number, waitedMs = 0, filter: Narrowing | null = null): Choice | NoChoice {
     const all = this.#byService.get(work.service) ?? []
     const { usable, dedicationOrder, counts } = this.#findSnapshot(work.service, at)
-    const untried = filterViews(usable.filter(view => !tried.includes(view.id)), narrowing)
+    const untried = filterViews(usable.filter(view => !tried.includes(view.id)), filter)
     if (untried.length === 0) return all.length === 0 ? 'none-known' : 'none-usable'
     const left = untried.filter(view => isOpen(view, work, at))
     if (left.length === 0) return 'closed'
@@ -176,15 +174,15 @@
     const isTolerant = isPauseTolerant(work, minTolerantPauseMs)
     if (isTolerant && waitedMs < work.targetMs && findOverloadedLevel(context, at) < work.level) return 'later'
     const preferred = (isTolerant ? dedicationOrder.slice(0, counts.count) : listImmediateEngines(context, work.targetMs, at)).filter(view => !tried.includes(view.id) && isOpen(view, work, at))
-    const candidates = narrowing === null ? preferred : left
-    const affinityCandidates = isTolerant && narrowing === null ? dedicationOrder.slice(0, counts.base) : candidates
+    const candidates = filter === null ? preferred : left
+    const affinityCandidates = isTolerant && filter === null ? dedicationOrder.slice(0, counts.base) : candidates
     const prompt: PromptRequest = { work, cost: work.cost, engine, waitedMs, minTolerantPauseMs, isPauseTolerant: isTolerant }
     const holders = this.#listHolders(work.cost, engine.transfer, at, work.service)
     const choice = chooseEngine({ candidates: candidates.length > 0 ? candidates : left, affinityCandidates, holders, prompt, dedicatedCount: counts.count, boxContext: this.#boxContext }, at, draw)
     return isTolerant && !hasRoom(choice.view, work.cost, engine, this.#others.countUnreportedBoxes(at), at) ? 'later' : choice
   }
 
-  /** What is believed of each service's engines at present, for the log. */
+  /** Describes the current state of each service's engines, for the log. */
   describe (at: number): { readonly service: ServiceName, readonly text: string }[] {
     const descriptions = []
     for (const [name, state] of this.#services) {
@@ -204,7 +202,7 @@
     return descriptions
   }
 
-  /** Notes the time between two events of a stream at an endpoint, ms. */
+  /** Records the time between two events of a stream at an endpoint, ms; ignored while the load of other boxes is unknown. */
   noteGap (view: EndpointView, gapMs: number, at: number): void {
     if (this.#others.isComplete(at)) view.noteGap(gapMs, at)
   }
@@ -212,7 +210,7 @@
   /** Notes that a request was sent to an engine. */
   noteBegun (work: Work, at: number): void { this.#services.get(work.service)?.kinds.noteBegun(work.level, at) }
 
-  /** Notes that a request waits in this box, or waits no more. */
+  /** Notes that a request starts or stops waiting in this box. */
   noteHeld (work: Work, isHeld: boolean): void {
     const held = this.#services.get(work.service)?.held
     if (held === undefined || work.cost === null) return
@@ -221,13 +219,13 @@
     else held.delete(work.priority)
   }
 
-  /** Boxes, this one included, in which requests of the service wait that don't go after one of this priority. */
+  /** Number of boxes, including this one, that hold requests of the service at least as urgent as `priority`. */
   countHolders (service: ServiceName, priority: number): number {
     const own = (this.#services.get(service)?.held.size ?? 0) > 0 ? 1 : 0
     return own + this.#others.countHolders(service, priority)
   }
 
-  /** Engines of a service that are set apart for long prompts, as last agreed. */
+  /** Number of engines of a service that are dedicated to long prompts, as last agreed. */
   countApart (service: ServiceName): number {
     return Math.max(this.#services.get(service)?.dedicatedCount.counts.count ?? 0, this.#others.find(service)?.apart ?? 0)
   }
@@ -258,7 +256,7 @@
     return transfer === null ? [] : listHolders(listTransferSources(this.#findSnapshot(service, at).usable, this.zones, at), cost)
   }
 
-  /** Notes that a request arrived, for the measure of demand. */
+  /** Records the arrival of a request, for the demand meters. */
   noteArrival (work: Work, at: number): void {
     const state = this.#services.get(work.service)
     if (state?.service.engine == null || work.cost === null) return
@@ -281,7 +279,7 @@
     return computeMinTolerantPause(this.#findReadingPause(state, at), state.pauses.findLongest(at))
   }
 
-  // All boxes go by the same pause where they hear of each other, as they must part requests alike.
+  // All boxes use the same reported pause if there is one, because they must classify requests alike.
   #findReadingPause (state: ServiceState, at: number): number {
     const { service, readMsPerToken: pace, readingPause } = state
     return this.#others.find(state.service.name)?.readingPauseMs ?? readingPause.find(at) ?? estimateInitialPause(service.engine?.tokensPerEvent ?? 1, pace.value)
@@ -305,7 +303,7 @@
     this.#reportedPrompts.forget(id)
   }
 
-  // The endpoints that may be used and how they are parted, as of some ms ago.
+  // The usable endpoints and which of them are dedicated, at most `snapshotTtlMs` old.
   #findSnapshot (service: ServiceName, at: number): ServiceSnapshot {
     const known = this.#snapshots.get(service)
     if (known !== undefined && at - known.at < snapshotTtlMs) return known
@@ -319,12 +317,10 @@
     return snapshot
   }
 
-  // `apart`: the engines in the order in which they are set apart.
   #agreeDedicatedCount (state: ServiceState, dedicationOrder: readonly EndpointView[], at: number): DedicatedCount {
     return agreeDedicatedCount(state, this.#others.find(state.service.name), dedicationOrder, at)
   }
 
-  // Tokens that wait in the boxes, of requests that go before one of this priority.
   #countHeldTokens (state: ServiceState, priority: number): number {
     return countHeldTokens(state, this.#others.find(state.service.name), priority)
   }
--- a/src/core/balance/index.ts
+++ b/src/core/balance/index.ts
@@ -1,4 +1,4 @@
-/** Endpoints, what is believed of them, and the choice among them. */
+/** Load balancing: the state of endpoints, the choice among them, and the admission of requests. */
 export type { Admission, Backlog } from './admission.js'
 export * from './endpoint-record.js'
 export * from './load-word.js'
--- a/src/core/balance/kind-tracker.ts
+++ b/src/core/balance/kind-tracker.ts
@@ -1,19 +1,19 @@
-/** The kinds of request that came to a service of late, and when some of each last began at an engine. */
+/** The kinds of request that recently arrived for a service, and when a request of each was last sent to an engine. */
 import { DemandMeter } from './demand-meter.js'
 import type { KindRates } from './load-word.js'
 import type { Work } from './work.js'
 
-/** A kind of request, told from others by its level. */
+/** A kind of request, identified by its level. */
 export interface KnownKind {
   readonly level: number
   readonly targetMs: number
-  /** The longest pause between events that its requests bear, ms; null where they have no events. */
+  /** Longest pause between events that its requests tolerate, ms; null if they have no events. */
   readonly pauseMs: number | null
-  /** The least urgent rank among its requests. */
+  /** The least urgent priority among its requests. */
   readonly priority: number
 }
 
-/** A kind that didn't come for so long no longer counts, ms. */
+/** A kind with no arrival for this long is ignored, ms. */
 const retentionMs = 60_000
 /** Window over which the arrival rate of each kind is measured, ms. */
 export const rateWindowMs = 1000
@@ -40,22 +40,22 @@
     return [...this.#meters].map(([level, meter]) => [level, Math.round(meter.rate(at))] as const).filter(([, rate]) => rate > 0)
   }
 
-  /** When a request less urgent than those of a level last began; -Infinity for never. */
+  /** When a request less urgent than `level` was last sent; -Infinity if none was. */
   findLastLessUrgentStart (level: number): number {
     let latest = -Infinity
     for (const [other, at] of this.#lastStartAt) if (other > level) latest = Math.max(latest, at)
     return latest
   }
 
-  /** The longest target of the kinds less urgent than a level that came of late, ms; 0 for none. */
+  /** Longest target of the recent kinds that are less urgent than `level`, ms; 0 if there are none. */
   findMaxLessUrgentTarget (level: number, at: number): number {
     return this.list(at).reduce((longest, kind) => kind.level > level ? Math.max(longest, kind.targetMs) : longest, 0)
   }
 
-  /** The least urgent rank of a level's requests; `priority` where none is known. */
+  /** The least urgent priority among a level's requests; `priority` if none is known. */
   findLowestPriority (level: number, priority: number): number { return this.#kinds.get(level)?.kind.priority ?? priority }
 
-  /** The kinds that came of late, the most urgent first. */
+  /** The recent kinds, the most urgent first. */
   list (at: number): KnownKind[] {
     return [...this.#kinds.values()].filter(one => at - one.at <= retentionMs).map(one => one.kind).sort((a, b) => a.level - b.level)
   }
--- a/src/core/balance/load-sum.ts
+++ b/src/core/balance/load-sum.ts
@@ -3,7 +3,10 @@
 import { findMedian } from './average.js'
 import type { EndpointLoad, EngineGap, LoadTotals, ServiceTotal, WaitingTokens } from './load-word.js'
 
-/** Adds up totals: work is summed, shares are the largest of any, gaps the middle of all. Prompts are passed on by themselves. */
+/**
+ * Aggregates totals: load is summed, counts of dedicated engines are maximized, and gaps and reading pauses are
+ * reduced to their median. Prompts are relayed separately.
+ */
 export class LoadSum {
   #loads = new Map<EndpointId, EndpointLoad>()
   #demands = new Map<ServiceName, ServiceTotal>()
@@ -15,7 +18,7 @@
     return { loads: [...this.#loads.values()], demands: this.#composeDemands(), gaps: findMedians(this.#gaps), prompts: [], zones: [...this.#zones] }
   }
 
-  /** Adds what one box, or one hub, tells. */
+  /** Adds the report of one box or one hub. */
   add ({ loads, demands, gaps, zones }: Omit<LoadTotals, 'prompts'>): void {
     for (const one of loads) this.#loads.set(one.endpoint, addLoad(this.#loads.get(one.endpoint), one))
     for (const one of demands) {
@@ -64,7 +67,7 @@
   return [...gaps].map(([endpoint, measured]) => [endpoint, findMedian(measured) ?? 0])
 }
 
-/** Adds tokens to others, or takes them off where `sign` is -1; what would be below nothing is left out. */
+/** Adds or, with `sign` -1, subtracts amounts by key; results that are not positive are omitted. */
 export function addAmounts (sum: WaitingTokens, more: WaitingTokens, sign: 1 | -1): WaitingTokens {
   const tokens = new Map(sum)
   for (const [priority, amount] of more) tokens.set(priority, (tokens.get(priority) ?? 0) + sign * amount)
--- a/src/core/balance/load-table.ts
+++ b/src/core/balance/load-table.ts
@@ -1,7 +1,6 @@
 /**
- * A hub's book of what each of its boxes last told of its work, and of the sums
- * that other hubs told of theirs. Whoever falls silent no longer counts. Prompts
- * are not kept here, as they are passed on by themselves.
+ * The newest load report of each box of a hub, and the totals that other hubs report. Entries expire if they are
+ * not renewed. Cached prompts are not stored here, as they are relayed separately.
  */
 import type { BoxId, ZoneName } from '../ids.js'
 import { LoadSum } from './load-sum.js'
@@ -10,19 +9,19 @@
 import { SumReader } from './sum-news.js'
 import type { SumNews } from './sum-news.js'
 
-/** A box that was silent for so long has nothing at the endpoints, ms: six of its words. */
-const silentMs = 1500
-/** A box's newest word. */
+/** The load of a box or hub expires after this long without a report, ms: six report intervals of a box. */
+const expiryMs = 1500
+
 interface ReportedLoad {
   readonly zone: ZoneName
   readonly load: BoxLoad
   readonly at: number
 }
 
-/** What another hub told, up to its newest word. */
+/** The totals of another hub, up to its newest update. */
 interface ReportedSum {
   readonly decoder: SumReader
-  /** Null before it was told whole. */
+  /** Null before the first complete update. */
   readonly sum: LoadTotals | null
   readonly at: number
 }
@@ -31,34 +30,34 @@
   #loads = new Map<BoxId, ReportedLoad>()
   #sums = new Map<BoxId, ReportedSum>()
 
-  /** Takes a box's newest word. */
+  /** Stores a box's newest report. */
   note (box: BoxId, zone: ZoneName, load: BoxLoad, at: number): void {
     this.#loads.set(box, { zone, load, at })
   }
 
-  /** Forgets a box's word at once. */
+  /** Drops a box's report immediately. */
   forget (box: BoxId): void { this.#loads.delete(box) }
 
-  /** Takes the news of another hub's sum. */
-  noteSum (hub: BoxId, news: SumNews, at: number): void {
+  /** Applies an update of another hub's totals. */
+  noteSum (hub: BoxId, update: SumNews, at: number): void {
     const decoder = this.#sums.get(hub)?.decoder ?? new SumReader()
-    this.#sums.set(hub, { decoder, sum: decoder.take(news), at })
+    this.#sums.set(hub, { decoder, sum: decoder.take(update), at })
   }
 
-  /** Forgets boxes and hubs that have fallen silent; returns them. */
+  /** Drops the boxes and hubs whose reports have expired; returns them. */
   forgetSilent (at: number): BoxId[] {
     const silent: BoxId[] = []
-    for (const told of [this.#loads, this.#sums]) {
-      for (const [box, word] of told) {
-        if (at - word.at <= silentMs) continue
-        told.delete(box)
+    for (const reports of [this.#loads, this.#sums]) {
+      for (const [box, report] of reports) {
+        if (at - report.at <= expiryMs) continue
+        reports.delete(box)
         silent.push(box)
       }
     }
     return silent
   }
 
-  /** Adds up what this hub's own boxes told: what it tells the other hubs. */
+  /** Sums the reports of this hub's own boxes, to be sent to other hubs. */
   sumOwn (at: number): LoadTotals {
     const sum = new LoadSum()
     for (const { zone, load, at: reportedAt } of this.#loads.values()) {
@@ -69,7 +68,7 @@
     return sum.totals
   }
 
-  /** Adds what other hubs told to the sum of the own boxes: what it tells its boxes. */
+  /** Adds the totals of other hubs to those of the own boxes, to be sent to the own boxes. */
   sumAll (own: LoadTotals, at: number): LoadTotals {
     const sum = new LoadSum()
     sum.add(own)
--- a/src/core/balance/load-word.ts
+++ b/src/core/balance/load-word.ts
@@ -1,51 +1,51 @@
 /**
- * What boxes tell of their work: at each endpoint, of each service, and the
- * speed of engines. Each box tells a hub; the hub tells all boxes the totals.
+ * Load reports of boxes: for each endpoint, for each service, and the speed of engines. Each box reports to a hub,
+ * and the hub sends the totals to all boxes.
  */
 import type { EndpointId, ServiceName, ZoneName } from '../ids.js'
 
-/** Prompt tokens that wait to be read, by the priority of their requests. */
+/** Prompt tokens waiting to be read, by the priority of their requests. */
 export type WaitingTokens = readonly (readonly [priority: number, tokens: number])[]
 
 /** Arrival rates in prompt tokens/s, by the level of the kind. */
 export type KindRates = readonly (readonly [level: number, rate: number])[]
 
-/** What one box, or all of them, have at one endpoint. */
+/** Load of one box, or of several, at one endpoint. */
 export interface EndpointLoad {
   readonly endpoint: EndpointId
   /** Requests in flight. */
   readonly running: number
-  /** Those of them whose pauses break where a prompt is read beside them. */
+  /** Those of them that are pause-sensitive: reading a prompt beside them violates their pause limit. */
   readonly brisk: number
   /** Memory that they are expected to take, tokens. */
   readonly memory: number
   readonly waiting: WaitingTokens
-  /** The most that one waiting prompt still has to be read, tokens: a prompt that is begun is not put back. */
+  /** The most unread tokens of one waiting prompt: a prompt that was started is not preempted. */
   readonly largest: number
-  /** Boxes that the endpoint has asked to back off. */
+  /** Number of boxes that the endpoint has asked to back off. */
   readonly backedOff: number
 }
 
-/** Time between events at an engine while it reads no prompt, ms: as one box measured it, or the middle of what all did. */
+/** Time between events at an engine while it reads no prompt, ms: as measured by one box, or the median over several. */
 export type EngineGap = readonly [endpoint: EndpointId, gapMs: number]
 
-/** Shared parts of a prompt that was just sent to an engine; once `isKept`, it has been read there and may be taken by others. */
+/** Shared parts of a prompt that was recently sent to an engine; once `isKept`, they are cached there, and other engines may fetch them. */
 export type ReadPrompt = readonly [endpoint: EndpointId, parts: readonly (readonly [id: string, tokens: number])[], isKept: boolean]
 
-/** Prompt tokens a second that arrive for a service, at one box or at all of them. */
+/** Demand for a service at one box or at several; arrival rates in prompt tokens/s. */
 export interface ServiceDemand {
   readonly service: ServiceName
-  /** Of requests that bear long pauses. */
+  /** Arrival rate of pause-tolerant requests. */
   readonly patient: number
-  /** Of requests whose pauses must stay short. */
+  /** Arrival rate of pause-sensitive requests. */
   readonly brisk: number
-  /** Engines that the box would set apart for long prompts; of several boxes the most. */
+  /** Number of engines that the box would dedicate to long prompts; the maximum over several boxes. */
   readonly apart: number
-  /** Those of them that are homes of shared prompts; of several boxes the most. */
+  /** Those of them among which affinity engines of shared prompts are selected; the maximum over several boxes. */
   readonly base: number
-  /** The pause of streams beside an engine that reads all the time, ms; of several boxes the middle; null where none was seen. */
+  /** The pause of streams at an engine that reads continuously, ms; the median over several boxes; null if none was measured. */
   readonly readingPauseMs: number | null
-  /** Tokens of requests that wait in the boxes themselves. */
+  /** Tokens of requests that are held in the boxes. */
   readonly held: WaitingTokens
   /** Arrival rate of each kind; not sent by boxes of earlier versions. */
   readonly rates?: KindRates
@@ -53,7 +53,7 @@
   readonly read?: number
 }
 
-/** What a box tells its hub of its work. */
+/** The load report of a box to its hub. */
 export interface BoxLoad {
   readonly loads: readonly EndpointLoad[]
   readonly demands: readonly ServiceDemand[]
@@ -63,19 +63,19 @@
 
 /** The demand for a service over several boxes. */
 export interface ServiceTotal extends ServiceDemand {
-  /** Boxes in which requests of the service wait. */
+  /** Number of boxes that hold requests of the service. */
   readonly holders: number
 }
 
-/** What a hub tells of the work of all boxes that it hears. */
+/** The totals that a hub reports, over all boxes known to it. */
 export interface LoadTotals {
   readonly loads: readonly EndpointLoad[]
   readonly demands: readonly ServiceTotal[]
   readonly gaps: readonly EngineGap[]
   readonly prompts: readonly ReadPrompt[]
-  /** Zones from which a box was heard just now. */
+  /** Zones with a recent report of a box. */
   readonly zones: readonly ZoneName[]
 }
 
-/** Nothing at all: what is known of the others where no hub is heard. */
+/** Empty totals, used while no hub is reachable. */
 export const noTotals: LoadTotals = { loads: [], demands: [], gaps: [], prompts: [], zones: [] }
--- a/src/core/balance/others-load.ts
+++ b/src/core/balance/others-load.ts
@@ -1,10 +1,10 @@
-/** What the other boxes have: the hub's totals less this box's own part of them. */
+/** The load of the other boxes: the hub's totals minus this box's own contribution. */
 import { addAmounts } from './load-sum.js'
 import type { BoxLoad, EndpointLoad, LoadTotals, ServiceDemand, ServiceTotal } from './load-word.js'
 
 /**
- * Takes a box's own word off totals that hold it. Where `own` is null the totals
- * are taken as they are: the box then counts its own work twice for a moment.
+ * Subtracts a box's own report from totals that include it. If `own` is null, the totals are returned unchanged,
+ * and the box briefly counts its own load twice.
  */
 export function subtractOwn (totals: LoadTotals, own: BoxLoad | null): LoadTotals {
   if (own === null) return totals
@@ -29,7 +29,7 @@
   }
 }
 
-// The largest share stays: it may be this box's own, which it agrees to anyway.
+// The counts of dedicated engines stay, as they are maxima: if the maximum is this box's own, it agrees to it anyway.
 function subtractDemand (sum: ServiceTotal, own: ServiceDemand | undefined): ServiceTotal {
   if (own === undefined) return sum
   return {
--- a/src/core/balance/pause-range.ts
+++ b/src/core/balance/pause-range.ts
@@ -1,21 +1,21 @@
-/** The pauses that the requests of a service bear, from those that came of late. */
+/** The pauses that recent requests of a service tolerate. */
 import { RecentMost } from './sliding-max.js'
 
-/** Kinds of request that didn't come for so long no longer count, ms. */
+/** Requests older than this are ignored, ms. */
 const retentionMs = 60_000
 
 export class PauseRange {
   #longest = new RecentMost(retentionMs)
-  /** Of the pauses' negatives: the shortest pause is the largest of them. */
+  /** Maximum of the negated pauses, that is, the negated shortest pause. */
   #shortest = new RecentMost(retentionMs)
 
-  /** Notes a request that bears pauses of `pauseMs`. */
+  /** Records a request that tolerates pauses of `pauseMs`. */
   note (at: number, pauseMs: number): void {
     this.#longest.note(at, pauseMs)
     this.#shortest.note(at, -pauseMs)
   }
 
-  /** The longest pause that any kind bears, ms, where others bear less; null where all are alike. */
+  /** The longest pause that any recent request tolerates, ms, if others tolerate less; null if all are alike. */
   findLongest (at: number): number | null {
     const longest = this.#longest.find(at, 0)
     return longest > -this.#shortest.find(at, 0) ? longest : null
--- a/src/core/balance/prompt-affinity.ts
+++ b/src/core/balance/prompt-affinity.ts
@@ -1,4 +1,4 @@
-/** Which engines all boxes hold for the homes of a prompt's shared part, and what that leaves them to read. */
+/** Selects the affinity engines of a prompt's shared part, and estimates what engines have to read of a prompt. */
 import { chooseByHash } from '../hash.js'
 import type { EndpointId } from '../ids.js'
 import type { PromptTransfer } from '../routes/index.js'
@@ -8,10 +8,13 @@
 import { countSharedTokens, affinityHitShare } from './prompt-reading.js'
 import type { PromptCost } from './work.js'
 
-/** Part of the shared tokens that the first home and the second, to which some are sent when the first has much to read, are believed to hold. */
+/**
+ * Assumed fraction of the shared tokens that the first affinity engine has cached, and the second, which receives
+ * the prompts that the first has no capacity for.
+ */
 const affinityHitShares = [affinityHitShare, 0.3]
 
-/** The engines to which all boxes send prompts that share their longest part: the first, and the one that takes what it can't. */
+/** The engines to which all boxes send prompts with the same longest shared part: the first, and the second for overflow. */
 export function findAffinityEngines (cost: PromptCost, engines: readonly EndpointView[]): EndpointId[] {
   const shared = cost.parts.at(-2)
   if (shared === undefined) return []
@@ -21,14 +24,17 @@
   return [first, second].filter(id => id !== undefined)
 }
 
-/** Tokens that the engine is expected to read; homes are believed to hold a part of what is shared, the first one most of it. */
+/**
+ * Tokens that an engine is expected to read; affinity engines are assumed to have a fraction of the shared tokens
+ * cached, the first one most of them.
+ */
 export function estimateReadTokens (view: EndpointView, cost: PromptCost, affinityEngines: readonly EndpointId[]): number {
-  const held = view.prompts.countHeld(cost.parts)
-  const believed = countSharedTokens(cost) * (affinityHitShares[affinityEngines.indexOf(view.id)] ?? 0)
-  return cost.promptTokens - Math.max(held, believed)
+  const cached = view.prompts.countHeld(cost.parts)
+  const assumed = countSharedTokens(cost) * (affinityHitShares[affinityEngines.indexOf(view.id)] ?? 0)
+  return cost.promptTokens - Math.max(cached, assumed)
 }
 
-/** Time that the engine which has least to do for a prompt takes over it, ms. */
+/** Shortest expected time in which one of the engines obtains and reads a prompt, ms. */
 export function estimateReadingMs (cost: PromptCost, engines: readonly EndpointView[], holders: readonly PromptHolder[], transfer: PromptTransfer | null): number {
   const times = engines.map(view => {
     const { readTokens, fetch } = planPrompt(view, cost, estimateReadTokens(view, cost, []), holders, transfer)
--- a/src/core/balance/prompt-index.ts
+++ b/src/core/balance/prompt-index.ts
@@ -2,27 +2,28 @@
 import type { ReadPrompt } from './load-word.js'
 
 /**
- * Prompts that are remembered, over all engines: some thousand shared parts at one or two engines each, in about
- * a megabyte. The oldest give way: what is forgotten is read anew by whichever engine a box that has just started chooses.
+ * Maximum number of prompts over all engines: a few thousand shared parts on one or two engines each, in about a
+ * megabyte. The oldest are evicted; a box that has just started may have evicted prompts read again, by any
+ * engine.
  */
 const maxPrompts = 8000
 
-/** Which engine holds which shared prompt, as boxes told it, for a box that starts anew. */
+/** Index of which engine has cached which shared prompt, as reported by boxes; given to boxes that start. */
 export class PromptBook {
   #prompts = new Map<string, ReadPrompt>()
   #version = 0
 
-  /** Rises with each change. */
+  /** Increases with each change. */
   get version (): number { return this.#version }
   get isEmpty (): boolean { return this.#prompts.size === 0 }
   get prompts (): ReadPrompt[] { return [...this.#prompts.values()] }
 
-  /** Forgets what an endpoint held: it has started again, and holds nothing. */
+  /** Drops the prompts of an endpoint that has restarted and lost its cache. */
   forget (endpoint: EndpointId): void {
     for (const [key, [holder]] of this.#prompts) if (holder === endpoint && this.#prompts.delete(key)) this.#version += 1
   }
 
-  /** Notes what boxes told; what is still being read isn't held yet. */
+  /** Adds reported prompts; those still being read are not cached yet and are skipped. */
   note (prompts: readonly ReadPrompt[]): void {
     for (const prompt of prompts) {
       const [endpoint, parts, isKept] = prompt
--- a/src/core/balance/prompt-memory.ts
+++ b/src/core/balance/prompt-memory.ts
@@ -1,21 +1,20 @@
 import type { PromptPart } from './work.js'
 
 /**
- * Which parts of prompts an engine is believed to hold, from what was sent to
- * it. A part counts only where every part before it is held as well; those used
- * longest ago give way, as in the engine.
+ * Estimates which prompt parts an engine has cached, from what was sent to it. A part counts only if every part
+ * before it is cached as well; the least recently used are evicted first, as in the engine.
  */
 export class PromptMemory {
   #capacity: number
   #held = new Map<string, number>()
   #tokens = 0
 
-  /** `capacity`: tokens that are believed to be kept. */
+  /** `capacity`: assumed size of the cache, tokens. */
   constructor (capacity: number) {
     this.#capacity = capacity
   }
 
-  /** Tokens at the prompt's beginning that need not be read again. */
+  /** Length of the cached prefix of a prompt, in tokens. */
   countHeld (parts: readonly PromptPart[]): number {
     let tokens = 0
     for (const part of parts) {
@@ -25,7 +24,7 @@
     return tokens
   }
 
-  /** Notes that a prompt was sent to the engine. */
+  /** Records that a prompt was sent to the engine. */
   add (parts: readonly PromptPart[]): void {
     for (const { id, tokens } of parts) {
       const known = this.#held.get(id)
--- a/src/core/balance/prompt-plan.ts
+++ b/src/core/balance/prompt-plan.ts
@@ -1,14 +1,11 @@
-/**
- * How an engine comes by a prompt: what it keeps of it already, what it takes
- * from another engine, and what is left to read.
- */
+/** Plans how an engine obtains a prompt: which part it has cached, which it fetches from another engine, and what is left to read. */
 import type { EndpointId } from '../ids.js'
 import type { PromptTransfer } from '../routes/index.js'
 import type { EndpointRecord } from './endpoint-record.js'
 import type { PromptMemory } from './prompt-memory.js'
 import type { PromptCost } from './work.js'
 
-/** As much of an engine as it takes to plan for it. */
+/** The properties of an engine that planning needs. */
 export interface PromptEngine {
   readonly id: EndpointId
   readonly record: EndpointRecord
@@ -16,34 +13,33 @@
   readonly readMsPerToken: number
 }
 
-/** What an engine takes from another. */
+/** The part of a prompt that an engine fetches from another. */
 export interface PromptFetch {
   readonly from: PromptEngine
-  /** Tokens beyond those that the taker keeps itself. */
+  /** Tokens beyond those that the fetching engine has cached itself. */
   readonly tokens: number
   readonly ms: number
 }
 
-/** What an engine has to do for a prompt. */
 export interface PromptPlan {
   readonly readTokens: number
   readonly fetch: PromptFetch | null
 }
 
-/** An engine that keeps the beginning of a prompt, as far as is known. */
+/** An engine that has a prefix of a prompt cached, as far as is known. */
 export interface PromptHolder {
   readonly view: PromptEngine
   readonly tokens: number
 }
 
-/** Time of a move beside its bytes, ms: a call between two engines and its beginning. */
+/** Fixed time of a transfer, ms: a call between two engines and the start of the transfer. */
 const transferSetupMs = 3
-/** How many times longer a move takes between zones, as the users' platform says. */
+/** Factor by which a transfer between zones takes longer, as specified by the platform. */
 const crossZoneFactor = 2
-/** A move must take at most this part of the reading that it saves: what is believed of the holder may be wrong. */
+/** A transfer must take at most this fraction of the read time that it saves, because the estimate of the holder's cache may be wrong. */
 const maxTransferShare = 0.5
 
-/** The engines that keep a part of the prompt, those that keep most first. `views` must be in good standing. */
+/** The engines that have a prefix of the prompt cached, longest first. `views` must contain healthy engines only. */
 export function listHolders (views: readonly (PromptEngine & { readonly kept: PromptMemory })[], cost: PromptCost): PromptHolder[] {
   return views
     .map(view => ({ view, tokens: view.kept.countHeld(cost.parts) }))
@@ -51,7 +47,7 @@
     .sort((a, b) => b.tokens - a.tokens)
 }
 
-/** What `view` would have to do for a prompt; `expectedRead`: what it would read by itself. */
+/** Plans a prompt at `view`; `expectedReadTokens`: what it would read without a transfer. */
 export function planPrompt (view: PromptEngine, cost: PromptCost, expectedReadTokens: number, holders: readonly PromptHolder[], transfer: PromptTransfer | null): PromptPlan {
   const alone: PromptPlan = { readTokens: expectedReadTokens, fetch: null }
   if (transfer === null) return alone
@@ -63,7 +59,7 @@
   return { readTokens: cost.promptTokens - holder.tokens, fetch: { from: holder.view, tokens, ms } }
 }
 
-// Of those that keep most, one of the own zone.
+// Returns the holder with the longest prefix, preferably one in the same zone.
 function pickHolder (view: PromptEngine, holders: readonly PromptHolder[]): PromptHolder | null {
   const others = holders.filter(holder => holder.view !== view)
   if (others.length === 0) return null
--- a/src/core/balance/prompt-reading.ts
+++ b/src/core/balance/prompt-reading.ts
@@ -1,38 +1,41 @@
 /**
- * What reading a prompt comes to, whichever engine does it: its shared part, the
- * tokens that are left to read, and who bears the pauses beside it.
+ * Properties of prompt reading (prefill) that do not depend on the engine: shared tokens, tokens expected to be
+ * read, and which requests tolerate its pauses.
  */
 import type { PromptCost, PromptPart, Work } from './work.js'
 
-/** Tokens that an engine is believed to read at a time before its pauses were seen: what engines are commonly set to. */
+/** Assumed chunk size in which engines read prompts, in tokens, before pauses were measured: the common default. */
 const initialChunkTokens = 2048
-/** How much longer a piece takes than its tokens at the usual pace, before it was seen: the step itself, and looking back at what was read. */
+/**
+ * Assumed ratio of the time of a chunk to that of its tokens at the average rate, before pauses were measured: for
+ * the decoding step and attention to what was read before.
+ */
 const initialChunkOverhead = 1.3
-/** A pause must be this many times longer than one beside reading to be safe there: prompts that look back on much take longer to read. */
+/** Safety factor between the reading pause and the pause limit of a tolerant request: prompts with a long context take longer to read. */
 const pauseMargin = 1.2
-/** Part of the shared tokens that an engine is believed to hold of a prompt that all boxes send there. */
+/** Assumed fraction of the shared tokens that an affinity engine has cached. */
 export const affinityHitShare = 0.7
 
-/** The pause beside reading before any was seen, ms: a piece for each token of an event. */
+/** The reading pause before any was measured, ms: one chunk for each token of an event. */
 export function estimateInitialPause (tokensPerEvent: number, readMsPerToken: number): number {
   return tokensPerEvent * initialChunkTokens * readMsPerToken * initialChunkOverhead
 }
 
 /**
- * The shortest pause with which a request goes beside reading, ms. Where kinds of request
- * bear different pauses, those that bear the longest (`longestMs`; null where all are alike)
- * always do: somebody must, and they lose least.
+ * The shortest allowed pause with which a request is pause-tolerant, ms. If kinds of request allow different
+ * pauses, those that allow the longest (`longestMs`; null if all are alike) are always tolerant: some must share
+ * engines with reading, and these lose least.
  */
 export function computeMinTolerantPause (readingPauseMs: number, longestMs: number | null): number {
   return Math.min(readingPauseMs * pauseMargin, longestMs ?? Infinity)
 }
 
-/** True where a request goes beside prompts that are being read; `patienceMs`: the shortest pause that does. */
+/** True if a request may share an engine with prompt reading; `minTolerantPauseMs`: the shortest allowed pause of one that may. */
 export function isPauseTolerant ({ pauseMs }: Pick<Work, 'pauseMs'>, minTolerantPauseMs: number): boolean {
   return pauseMs === null || pauseMs >= minTolerantPauseMs
 }
 
-/** Tokens that are expected to be read for a prompt, wherever it goes. */
+/** Tokens that are expected to be read for a prompt, on any engine. */
 export function countExpectedTokens (cost: PromptCost): number {
   return Math.round(cost.promptTokens - countSharedTokens(cost) * affinityHitShare)
 }
--- a/src/core/balance/prompt-relay.ts
+++ b/src/core/balance/prompt-relay.ts
@@ -1,8 +1,8 @@
 import type { ReadPrompt } from './load-word.js'
 
-/** How often a prompt is passed on: a datagram may be lost, two in a row seldom are. */
+/** How often a prompt report is sent: a datagram may be lost, but rarely two in a row. */
 const relayCount = 2
-/** A prompt that is heard of for longer than this was read once more, ms: boxes tell each for 200 ms, and words are late. */
+/** A prompt that is still reported after this time was read again, ms: boxes repeat each report for 200 ms, and messages may be delayed. */
 const retentionMs = 600
 
 interface RelayedPrompt {
@@ -11,35 +11,35 @@
   sendsLeft: number
 }
 
-/** Passes on word of prompts, each a few times, however often it is told. */
+/** Relays prompt reports, each a fixed number of times, however often it is received. */
 export class PromptRelay {
   #known = new Map<string, RelayedPrompt>()
 
-  /** Takes in prompts that were told; returns those that are new. */
+  /** Adds reported prompts; returns those that are new. */
   take (prompts: readonly ReadPrompt[], receivedAt: number): ReadPrompt[] {
     this.#forgetOld(receivedAt)
-    const fresh: ReadPrompt[] = []
+    const added: ReadPrompt[] = []
     for (const prompt of prompts) {
       const key = JSON.stringify(prompt)
       if (this.#known.has(key)) continue
       this.#known.set(key, { prompt, receivedAt, sendsLeft: relayCount })
-      fresh.push(prompt)
+      added.push(prompt)
     }
-    return fresh
+    return added
   }
 
-  /** The prompts to pass on now. */
+  /** The prompts to send now; counts as one sending of each. */
   draw (): ReadPrompt[] {
-    const drawn: ReadPrompt[] = []
-    for (const passed of this.#known.values()) {
-      if (passed.sendsLeft === 0) continue
-      passed.sendsLeft -= 1
-      drawn.push(passed.prompt)
+    const pending: ReadPrompt[] = []
+    for (const relayed of this.#known.values()) {
+      if (relayed.sendsLeft === 0) continue
+      relayed.sendsLeft -= 1
+      pending.push(relayed.prompt)
     }
-    return drawn
+    return pending
   }
 
-  // The map keeps the order in which they were first heard of.
+  // The map iterates in the order in which reports were first received.
   #forgetOld (at: number): void {
     for (const [key, { receivedAt: heardAt }] of this.#known) {
       if (at - heardAt <= retentionMs) return
--- a/src/core/balance/reading-pause.ts
+++ b/src/core/balance/reading-pause.ts
@@ -1,18 +1,21 @@
-/** The pause that a stream makes at worst while its engine reads prompts, as seen in the last streams of a service. */
+/** The longest pause of a stream while its engine reads prompts, measured over recent streams of a service. */
 import { RecentMost } from './sliding-max.js'
 
-/** Pauses that are kept: those of some seconds of a busy service. */
+/** Number of recent pauses over which the quantile is computed: a few seconds of a busy service. */
 const maxSamples = 240
-/** Pauses that must be seen before they count: the first prompts are few, and pauses beside one alone are short. */
+/** Minimum number of pauses: the first prompts are few, and pauses beside a single one are short. */
 const minSamples = 120
-/** A stream makes dozens of pauses, and its longest decides: at 0.9 half of the streams of some hundred events had a pause too long. */
+/**
+ * Quantile of the pauses. A stream has dozens of pauses, and its longest decides: at 0.9, half of the streams of a
+ * few hundred events violated their pause limit.
+ */
 const quantile = 0.99
-/** Pauses that are added before the quantile is worked out anew: sorting costs more than a choice. */
+/** Number of new pauses after which the quantile is recomputed: sorting costs more than a choice. */
 const refreshAfter = 12
 /**
- * The longest value of so long counts, ms. The pause beside an engine that reads all
- * the time belongs to the engine, but shows only while it does: a kind of request that
- * was let in beside reading as the load fell had its pauses broken as soon as it rose.
+ * The largest quantile within this time is used, ms. The pause at an engine that reads continuously is a property
+ * of the engine, but shows only under load: if a kind of request were classified as tolerant when the load falls,
+ * its pause limits would be violated as soon as it rises.
  */
 const retentionMs = 60_000
 
@@ -22,13 +25,13 @@
   #added = 0
   #max = new RecentMost(retentionMs)
 
-  /** The pause at an engine of middling speed, ms; null where too few were seen. */
+  /** The reading pause at an engine of median speed, ms; null until there are enough samples. */
   find (at: number): number | null {
     const most = this.#max.find(at, -1)
     return most < 0 ? null : most
   }
 
-  /** Adds a pause of `ms` at an engine `slowness` times slower than the middle one. */
+  /** Adds a pause at an engine slower than the median by the factor `slowness`. */
   add (ms: number, slowness: number, at: number): void {
     this.#samples[this.#next] = ms / slowness
     this.#next = (this.#next + 1) % maxSamples
--- a/src/core/balance/reported-prompts.ts
+++ b/src/core/balance/reported-prompts.ts
@@ -1,7 +1,4 @@
-/**
- * What registries told, at the start of this box, that engines hold: kept by
- * engine, as the engine's record or its service may come later.
- */
+/** Cached prompts that registries reported when this box started, by engine: an engine's record or service may arrive later. */
 import type { EndpointId } from '../ids.js'
 import type { EndpointView } from './endpoint-view.js'
 import type { ReadPrompt } from './load-word.js'
@@ -9,7 +6,7 @@
 export class ReportedPrompts {
   #prompts = new Map<EndpointId, ReadPrompt[]>()
 
-  /** Takes what one registry tells; returns the engines that it tells of. */
+  /** Stores the report of one registry; returns the engines that it covers. */
   take (prompts: readonly ReadPrompt[]): EndpointId[] {
     const byEndpoint = new Map<EndpointId, ReadPrompt[]>()
     for (const prompt of prompts) {
@@ -22,16 +19,15 @@
     return [...byEndpoint.keys()]
   }
 
-  /** Notes at an engine's view what it holds. */
+  /** Records in an engine's view which prompts it has cached. */
   note (view: EndpointView): void {
     for (const prompt of this.#prompts.get(view.id) ?? []) notePrompt(view, prompt)
   }
 
-  /** Forgets an engine that is gone. */
   forget (endpoint: EndpointId): void { this.#prompts.delete(endpoint) }
 }
 
-/** Notes at an engine's view what a box told of a prompt there. */
+/** Records in an engine's view the state of a prompt that a box reported. */
 export function notePrompt (view: EndpointView, [, parts, isKept]: ReadPrompt): void {
   view.notePrompt(parts.map(([id, tokens]) => ({ id, tokens })), isKept)
 }
--- a/src/core/balance/retry-budget.ts
+++ b/src/core/balance/retry-budget.ts
@@ -1,22 +1,21 @@
 /**
- * What this box may spend on sending requests a second time. All boxes together
- * may send a share of a service's requests again, and a fixed number more in
- * each window. Each box takes its share of its own requests, and its part of
- * the fixed number, so that the sum holds without a word between boxes.
+ * Limits how many retries this box sends. All boxes together may retry a fraction of a service's requests, plus a
+ * fixed number per window. Each box counts the fraction of its own requests and an equal part of the fixed number,
+ * so that the total holds without communication between boxes.
  */
 
-/** The bounds of the whole system. */
+/** Bounds over all boxes. */
 export interface RetryBounds {
-  /** Second sends for each request, 0 to 1. */
+  /** Retries per request, 0 to 1. */
   readonly ratio: number
-  /** Second sends beyond those, over all boxes. */
+  /** Additional retries per window, over all boxes. */
   readonly extra: number
   readonly windowMs: number
 }
 
-/** Buckets that a window is divided into. */
+/** Number of buckets in a window. */
 const bucketsPerWindow = 10
-/** Part of what is allowed that is spent: requests of a burst's beginning may lie outside a window that its retries lie in. */
+/** Fraction of the budget that is used: requests at the start of a burst may lie outside the window that contains their retries. */
 const safetyFactor = 0.8
 
 interface Bucket {
@@ -33,11 +32,11 @@
     this.#bounds = bounds
   }
 
-  noteRequest (at: number): void { this.#open(at).requests += 1 }
+  noteRequest (at: number): void { this.#openBucket(at).requests += 1 }
 
-  /** Takes one second send; false where the window's are spent. `boxes`: how many boxes share the fixed number. */
+  /** Consumes one retry; false if the budget of the window is used up. `boxes`: number of boxes that share the fixed number. */
   take (at: number, boxes: number): boolean {
-    const bucket = this.#open(at)
+    const bucket = this.#openBucket(at)
     let requests = 0
     let retries = 0
     for (const one of this.#buckets) {
@@ -50,7 +49,7 @@
     return true
   }
 
-  #open (at: number): Bucket {
+  #openBucket (at: number): Bucket {
     const number = Math.floor(at / (this.#bounds.windowMs / bucketsPerWindow))
     while (this.#buckets.length > 0 && this.#buckets[0].number <= number - bucketsPerWindow) this.#buckets.shift()
     const last = this.#buckets[this.#buckets.length - 1]
--- a/src/core/balance/service-admission.ts
+++ b/src/core/balance/service-admission.ts
@@ -1,6 +1,6 @@
 /**
  * Admission of requests to a service's engines, and the check that holds back
- * less urgent requests while more urgent ones are late. Patient requests, which
+ * less urgent requests while more urgent ones are late. Pause-tolerant requests, which
  * tolerate the pauses of prompt reading, are held in the box until an engine has
  * room; all others are sent immediately or refused, whichever engine they go to.
  */
@@ -30,7 +30,7 @@
   readonly others: ServiceTotal | null
   /** Boxes that may use the same engines without their load being known here, including this one. */
   readonly sharers: number
-  /** The shortest tolerated pause with which a request is patient, ms. */
+  /** The shortest tolerated pause with which a request is pause-tolerant, ms. */
   readonly minTolerantPauseMs: number
   listHolders (cost: PromptCost): PromptHolder[]
 }
@@ -38,20 +38,20 @@
 /** Fraction of the reading capacity that is divided among the kinds while they are limited. */
 const plannedCapacityShare = 0.95
 
-/** Decides whether to admit a request; returns null for one that is not patient if engines are not congested for it. */
+/** Decides whether to admit a request; returns null for one that is not pause-tolerant if engines are not congested for it. */
 export function admitToEngines (context: AdmissionContext, work: Work, cost: PromptCost, at: number): Admission | null {
   return isPauseTolerant(work, context.minTolerantPauseMs) ? admitPauseTolerant(context, work, cost, at) : admitImmediate(context, work, cost, at)
 }
 
 function admitPauseTolerant (context: AdmissionContext, work: Work, cost: PromptCost, at: number): Admission {
-  const { state, snapshot: { dedicationOrder: apart, counts } } = context
-  const side = apart.slice(0, Math.max(1, counts.count))
+  const { state, snapshot: { dedicationOrder, counts } } = context
+  const dedicated = dedicationOrder.slice(0, Math.max(1, counts.count))
   const backlog = measureBacklogFor(context, work, at)
   if (backlog.lessTokens > 0) state.kinds.noteBegun(work.level + 1, at)
   const admission = decideAdmission({
     backlog,
     lateness: state.lateness.find(work.level),
-    readingMs: estimateReadingMs(cost, side, context.listHolders(cost), context.engine.transfer),
+    readingMs: estimateReadingMs(cost, dedicated, context.listHolders(cost), context.engine.transfer),
     targetMs: work.targetMs,
     urgentRate: sumUrgentRates(context, work.level, at),
     sinceLessMs: at - state.kinds.findLastLessUrgentStart(work.level),
@@ -61,16 +61,16 @@
 }
 
 function admitImmediate (context: AdmissionContext, work: Work, cost: PromptCost, at: number): Admission | null {
-  const { state, snapshot: { dedicationOrder: apart } } = context
+  const { state, snapshot: { dedicationOrder } } = context
   const share = findKindShares(context, at).get(work.level) ?? 1
   const engineWaitMs = findShortestWait(listImmediateEngines(context, work.targetMs, at), context.engine.slots, at)
   const lateness = state.lateness.find(work.level)
   if (!isCongested(engineWaitMs, lateness, work.targetMs)) return null
   return decideImmediateAdmission({
-    backlog: measureBacklog(apart, 0, work.priority, state.kinds.findLowestPriority(work.level, work.priority), at),
+    backlog: measureBacklog(dedicationOrder, 0, work.priority, state.kinds.findLowestPriority(work.level, work.priority), at),
     lateness,
     engineWaitMs,
-    readingMs: estimateReadingMs(cost, apart, context.listHolders(cost), context.engine.transfer),
+    readingMs: estimateReadingMs(cost, dedicationOrder, context.listHolders(cost), context.engine.transfer),
     targetMs: work.targetMs,
     share,
     credits: state.credits,
@@ -79,28 +79,28 @@
 }
 
 /**
- * Returns the level of the most urgent kind whose requests wait too long at the engines set apart, or Infinity if there is none.
+ * Returns the level of the most urgent kind whose requests wait too long at the dedicated engines, or Infinity if there is none.
  * Less urgent requests are held back meanwhile, because engines read in order of arrival, whatever the priority. Kinds that are
- * not patient are ignored: they use the other engines, and a long burst of them would block all reading at the engines set apart.
+ * not pause-tolerant are ignored: they use the other engines, and a long burst of them would block all reading at the dedicated engines.
  */
 export function findOverloadedLevel (context: AdmissionContext, at: number): number {
-  const { state, snapshot: outlook, minTolerantPauseMs: patienceMs } = context
-  const isLate = (kind: KnownKind): boolean => isPauseTolerant(kind, patienceMs) && isOverloaded(measureBacklogFor(context, kind, at), state.lateness.find(kind.level), kind.targetMs)
-  outlook.overloadedLevel ??= state.kinds.list(at).find(isLate)?.level ?? Infinity
-  return outlook.overloadedLevel
+  const { state, snapshot, minTolerantPauseMs } = context
+  const isLate = (kind: KnownKind): boolean => isPauseTolerant(kind, minTolerantPauseMs) && isOverloaded(measureBacklogFor(context, kind, at), state.lateness.find(kind.level), kind.targetMs)
+  snapshot.overloadedLevel ??= state.kinds.list(at).find(isLate)?.level ?? Infinity
+  return snapshot.overloadedLevel
 }
 
-// Backlog that is read before a request at the engines set apart.
-function measureBacklogFor ({ state, snapshot: { dedicationOrder: apart, counts }, others }: AdmissionContext, { level, priority }: Pick<Work, 'level' | 'priority'>, at: number): Backlog {
-  const side = apart.slice(0, Math.max(1, counts.count))
-  return measureBacklog(side, countHeldTokens(state, others, priority), priority, state.kinds.findLowestPriority(level, priority), at)
+// Backlog that is read before a request at the dedicated engines.
+function measureBacklogFor ({ state, snapshot: { dedicationOrder, counts }, others }: AdmissionContext, { level, priority }: Pick<Work, 'level' | 'priority'>, at: number): Backlog {
+  const dedicated = dedicationOrder.slice(0, Math.max(1, counts.count))
+  return measureBacklog(dedicated, countHeldTokens(state, others, priority), priority, state.kinds.findLowestPriority(level, priority), at)
 }
 
-// Total arrival rate, in tokens/ms, of the patient kinds that are more urgent than `level`.
+// Total arrival rate, in tokens/ms, of the pause-tolerant kinds that are more urgent than `level`.
 function sumUrgentRates (context: AdmissionContext, level: number, at: number): number {
-  const { state, minTolerantPauseMs: patienceMs } = context
-  const patientLevels = new Set(state.kinds.list(at).filter(kind => isPauseTolerant(kind, patienceMs)).map(kind => kind.level))
-  return listTotalRates(context, at).reduce((sum, [otherLevel, rate]) => otherLevel < level && patientLevels.has(otherLevel) ? sum + rate / 1000 : sum, 0)
+  const { state, minTolerantPauseMs } = context
+  const tolerantLevels = new Set(state.kinds.list(at).filter(kind => isPauseTolerant(kind, minTolerantPauseMs)).map(kind => kind.level))
+  return listTotalRates(context, at).reduce((sum, [otherLevel, rate]) => otherLevel < level && tolerantLevels.has(otherLevel) ? sum + rate / 1000 : sum, 0)
 }
 
 // Arrival rates summed over this box and the others that report theirs.
@@ -110,9 +110,9 @@
 
 // Fraction of each kind's requests that the engines can read beside the other kinds, by level; empty if kinds are not limited.
 function findKindShares (context: AdmissionContext, at: number): ReadonlyMap<number, number> {
-  const { snapshot: outlook } = context
-  outlook.kindShares ??= computeKindShares(context, at)
-  return outlook.kindShares
+  const { snapshot } = context
+  snapshot.kindShares ??= computeKindShares(context, at)
+  return snapshot.kindShares
 }
 
 function computeKindShares (context: AdmissionContext, at: number): ReadonlyMap<number, number> {
@@ -127,9 +127,9 @@
 
 // Level of the most urgent kind, of those that are never held, for which engines are congested; Infinity if there is none.
 function findCongestedLevel (context: AdmissionContext, at: number): number {
-  const { state, engine, minTolerantPauseMs: patienceMs, snapshot: { dedicationOrder: apart, counts } } = context
-  const engineWaitMs = findShortestWait(listSensitiveEngines(apart, counts.count, engine), engine.slots, at)
-  const isCongestedFor = ({ level, targetMs, pauseMs }: KnownKind): boolean => !isPauseTolerant({ pauseMs }, patienceMs) && isCongested(engineWaitMs, state.lateness.find(level), targetMs)
+  const { state, engine, minTolerantPauseMs, snapshot: { dedicationOrder, counts } } = context
+  const engineWaitMs = findShortestWait(listSensitiveEngines(dedicationOrder, counts.count, engine), engine.slots, at)
+  const isCongestedFor = ({ level, targetMs, pauseMs }: KnownKind): boolean => !isPauseTolerant({ pauseMs }, minTolerantPauseMs) && isCongested(engineWaitMs, state.lateness.find(level), targetMs)
   return state.kinds.list(at).find(isCongestedFor)?.level ?? Infinity
 }
 
@@ -138,13 +138,13 @@
 }
 
 /**
- * Engines for requests that are never held. Includes those set apart only if the others have no free slot, or are congested
- * while kinds are limited: streams pause longer beside prompt reading, but idle engines set apart would waste capacity.
+ * Engines for requests that are never held. Includes dedicated ones only if the others have no free slot, or are congested
+ * while kinds are limited: streams pause longer beside prompt reading, but idle dedicated engines would waste capacity.
  */
 export function listImmediateEngines (context: AdmissionContext, targetMs: number, at: number): readonly EndpointView[] {
-  const { snapshot: { dedicationOrder: apart, counts }, engine } = context
-  const side = listSensitiveEngines(apart, counts.count, engine)
+  const { snapshot: { dedicationOrder, counts }, engine } = context
+  const candidates = listSensitiveEngines(dedicationOrder, counts.count, engine)
   const maxWaitMs = targetMs * congestedWaitShare
-  if (findShortestWait(side, engine.slots, at) <= maxWaitMs || findKindShares(context, at).size === 0) return side
-  return listWithinWait(apart, engine.slots, maxWaitMs, at)
+  if (findShortestWait(candidates, engine.slots, at) <= maxWaitMs || findKindShares(context, at).size === 0) return candidates
+  return listWithinWait(dedicationOrder, engine.slots, maxWaitMs, at)
 }
--- a/src/core/balance/service-state.ts
+++ b/src/core/balance/service-state.ts
@@ -1,4 +1,4 @@
-/** What a box knows of one service: its share, its demand, what is learned of its engines, and what waits in the box. */
+/** The state of one service on a box: dedicated engines, demand, measurements of its engines, and held requests. */
 import type { RoutedService } from '../routes/index.js'
 import { AdmissionCredits } from './admission-credits.js'
 import { CongestionTracker } from './congestion-tracker.js'
@@ -13,24 +13,24 @@
 export interface ServiceState extends EngineStats {
   readonly service: RoutedService
   readonly dedicatedCount: DedicatedCountController
-  /** Pauses that requests bear. */
+  /** Pauses that requests tolerate. */
   readonly pauses: PauseRange
   readonly kinds: KindTracker
-  /** Prompt tokens of requests that bear long pauses, and of the others. */
+  /** Arriving prompt tokens of pause-tolerant requests, and of pause-sensitive ones. */
   readonly tolerantDemand: DemandMeter
   readonly sensitiveDemand: DemandMeter
-  /** Tokens of requests that wait in this box, by priority. */
+  /** Tokens of requests held in this box, by priority. */
   readonly held: Map<number, number>
   readonly credits: AdmissionCredits
   readonly congestion: CongestionTracker
 }
 
-/** A service of which nothing has been learned. */
+/** The initial state of a service. */
 export function createServiceState (service: RoutedService): ServiceState {
   return { ...createEngineStats(), service, dedicatedCount: new DedicatedCountController(), pauses: new PauseRange(), kinds: new KindTracker(), tolerantDemand: new DemandMeter(), sensitiveDemand: new DemandMeter(), held: new Map(), credits: new AdmissionCredits(), congestion: new CongestionTracker() }
 }
 
-/** What a box tells its hub of a service. */
+/** The demand for a service that a box reports to its hub. */
 export function composeDemand ({ service, tolerantDemand, sensitiveDemand, dedicatedCount, held, kinds, readMeter, readingPause }: ServiceState, at: number): ServiceDemand {
   const { count, base } = dedicatedCount.counts
   return { service: service.name, patient: Math.round(tolerantDemand.rate(at)), brisk: Math.round(sensitiveDemand.rate(at)), apart: count, base, readingPauseMs: readingPause.find(at), held: [...held], rates: kinds.measureRates(at), read: Math.round(readMeter.rate(at)) }
--- a/src/core/balance/sliding-max.ts
+++ b/src/core/balance/sliding-max.ts
@@ -1,4 +1,4 @@
-/** The largest of the values noted within the last `windowMs`. */
+/** The maximum over a sliding window of `windowMs`. */
 export class RecentMost {
   #windowMs: number
   #noted: { readonly at: number, readonly value: number }[] = []
@@ -7,13 +7,13 @@
     this.#windowMs = windowMs
   }
 
-  // A value is dropped once a later one is as large: it can't be the largest any more.
+  // A value is dropped once a later one is at least as large: it can't be the maximum any more.
   note (at: number, value: number): void {
     this.#noted = this.#noted.filter(one => one.value > value && at - one.at <= this.#windowMs)
     this.#noted.push({ at, value })
   }
 
-  /** The largest; `fallback` where nothing was noted for so long. */
+  /** The maximum; `fallback` if there is no value in the window. */
   find (at: number, fallback: number): number {
     const recent = this.#noted.filter(one => at - one.at <= this.#windowMs).map(one => one.value)
     return recent.length === 0 ? fallback : Math.max(...recent)
--- a/src/core/balance/stale-load.ts
+++ b/src/core/balance/stale-load.ts
@@ -1,19 +1,20 @@
-/** What is left of a word about loads that was not renewed. */
+/** Reduces load reports that were not renewed. */
 import type { LoadTotals } from './load-word.js'
 
 /**
- * A word that was not renewed for so long, ms (two words of one box), tells neither that its zone is heard nor what
- * waits: engines have read that by now, or the box is gone with it. What a box that had ended believed to wait kept
- * the others from engines with room for 1.5 s; what moved with its box to another hub counted twice for as long.
+ * A report is stale after this long without a newer one, ms (two report intervals of a box): it no longer shows
+ * that its zone is reachable, nor what waits, as engines have read that by now or the box has stopped. Otherwise,
+ * the backlog of a stopped box keeps the others away from engines with room for 1.5 s, and that of a box that
+ * changed its hub is counted twice for as long.
  */
 export const staleMs = 550
 
-/** Takes off what waits: the requests that run are all that still counts. */
-export function dropWaiting (told: LoadTotals): LoadTotals {
+/** Removes the backlog from stale totals; only running requests still count. */
+export function dropWaiting (totals: LoadTotals): LoadTotals {
   return {
-    ...told,
-    loads: told.loads.map(load => ({ ...load, waiting: [], largest: 0 })),
-    demands: told.demands.map(demand => ({ ...demand, held: [], holders: 0 })),
+    ...totals,
+    loads: totals.loads.map(load => ({ ...load, waiting: [], largest: 0 })),
+    demands: totals.demands.map(demand => ({ ...demand, held: [], holders: 0 })),
     prompts: [],
     zones: []
   }
--- a/src/core/balance/sum-news.ts
+++ b/src/core/balance/sum-news.ts
@@ -1,38 +1,38 @@
 /**
- * A hub's sum as it is told. To other hubs: whole now and then, and in between
- * only what changed, as such words cross between zones, where bytes are dear, and
- * each of six hubs tells five others up to a hundred times a second. To gateways:
- * whole, as most of it changes between two words; the speeds of engines now and then.
+ * Encodes a hub's load totals as updates. Other hubs receive complete totals periodically and only changes in
+ * between, because traffic between zones is billed and each of six hubs sends to five others up to a hundred times
+ * a second. Gateways receive complete totals, as most of them change between two updates, with the speeds of
+ * engines only now and then.
  */
 import type { EndpointId } from '../ids.js'
 import type { EndpointLoad, EngineGap, LoadTotals } from './load-word.js'
 
-/** What a hub tells of its sum. */
+/** An update of a hub's load totals. */
 export interface SumNews extends Omit<LoadTotals, 'gaps'> {
-  /** True where `loads` are all that there is; else they are those that changed of late. */
+  /** True if `loads` is complete; otherwise it contains recent changes only. */
   readonly isWhole: boolean
-  /** Endpoints at which nothing is left; none in a whole word. */
+  /** Endpoints without any load left; empty in a complete update. */
   readonly gone: readonly EndpointId[]
-  /** Null where they are as told before: the speeds of engines change slowly. */
+  /** Null if unchanged since the last update that had them: the speeds of engines change slowly. */
   readonly gaps: readonly EngineGap[] | null
 }
 
-/** A change is told in so many words, as one of them may be lost. */
+/** Number of updates in which a change is repeated, as one of them may be lost. */
 const sendCount = 2
 
 interface SentLoad {
-  /** Its text; empty once nothing is left. */
+  /** Serialized load; empty once there is none. */
   readonly text: string
-  /** The number of the word in which it was first told. */
+  /** Sequence number of the first update that contained it. */
   readonly sequence: number
 }
 
-/** Composes the news of a sum, for all other hubs alike. */
+/** Encodes a hub's totals; all other hubs receive the same updates. */
 export class SumTeller {
   #sent = new Map<EndpointId, SentLoad>()
   #sequence = 0
 
-  /** The next news. Where it isn't `isWhole`, it helps those alone who had all words of late but one. */
+  /** Composes the next update. A partial one (not `isWhole`) is sufficient only for receivers that missed at most one of the latest updates. */
   compose (sum: LoadTotals, isWhole: boolean): SumNews {
     this.#update(sum.loads)
     if (isWhole) return { ...sum, isWhole, gone: [] }
@@ -53,20 +53,20 @@
   }
 }
 
-/** Puts a hub's sum together again from its news. */
+/** Reconstructs a hub's totals from its updates. */
 export class SumReader {
   #loads = new Map<EndpointId, EndpointLoad>()
   #gaps: readonly EngineGap[] = []
   #hasWhole = false
 
-  /** The sum with the news in it; null before the first whole one. */
-  take ({ isWhole, gone, ...news }: SumNews): LoadTotals | null {
+  /** Applies an update; returns the totals, or null before the first complete update. */
+  take ({ isWhole, gone, ...update }: SumNews): LoadTotals | null {
     if (isWhole) this.#loads.clear()
     this.#hasWhole ||= isWhole
-    this.#gaps = news.gaps ?? this.#gaps
+    this.#gaps = update.gaps ?? this.#gaps
     if (!this.#hasWhole) return null
-    for (const load of news.loads) this.#loads.set(load.endpoint, load)
+    for (const load of update.loads) this.#loads.set(load.endpoint, load)
     for (const id of gone) this.#loads.delete(id)
-    return { ...news, loads: [...this.#loads.values()], gaps: this.#gaps }
+    return { ...update, loads: [...this.#loads.values()], gaps: this.#gaps }
   }
 }
--- a/src/core/balance/usable-endpoints.ts
+++ b/src/core/balance/usable-endpoints.ts
@@ -1,4 +1,4 @@
-/** Which endpoints of a service may be used at all, and for what. */
+/** Selects the endpoints of a service that may be used, and for what. */
 import type { ServiceName } from '../ids.js'
 import type { EngineProfile } from '../routes/index.js'
 import type { EndpointView } from './endpoint-view.js'
@@ -6,14 +6,14 @@
 import type { Work } from './work.js'
 import type { ZoneMonitor } from './zone-monitor.js'
 
-/** At least this part of a service's endpoints is used, however often their answers break. */
+/** At least this fraction of a service's endpoints is used, however often their answers break. */
 const minUsableShare = 0.6
 /** Engines are congested for requests whose expected wait there exceeds this fraction of their target. */
 export const congestedWaitShare = 0.3
 
 /**
- * Endpoints that aren't out. Where most are out for broken answers, the fault is
- * of the service rather than of some of them: those are used all the same.
+ * Endpoints that aren't ejected. If most are ejected for broken answers, the fault lies in the service rather than
+ * in single endpoints, and all reachable ones are used.
  */
 export function listUsable (ready: readonly EndpointView[], at: number): EndpointView[] {
   const reachable = ready.filter(view => view.trust.isReachable)
@@ -21,21 +21,18 @@
   return good.length >= ready.length * minUsableShare ? good : reachable
 }
 
-/** True where an endpoint takes a request of this priority now, or may be asked for a permit. */
+/** True if an endpoint accepts a request of this priority now, or a permit for it may be requested. */
 export function isOpen ({ gate }: EndpointView, { priority }: Pick<Work, 'priority'>, at: number): boolean {
   return gate.findOpenTime(priority, at) <= at
 }
 
-/** Engines from which a prompt may be taken: a holder in trouble would hold up the taker, and one that limits what it gets is spared. */
+/** Engines from which prompts may be fetched: a degraded holder would delay the fetching engine, and one with a rate limit is spared. */
 export function listTransferSources (usable: readonly EndpointView[], zones: ZoneMonitor, at: number): EndpointView[] {
   const isSound = (view: EndpointView): boolean => view.trust.look(at) === 'good' && !zones.isCut(view.record.zone, at) && view.measureOverdue(at) <= 0
   return usable.filter(view => view.gate.limit === null && !view.gate.isBackedOff(at) && isSound(view))
 }
 
-/**
- * Engines for requests whose pauses must stay short, where the first `count` are set apart; all engines if none of the others has a
- * free slot.
- */
+/** Engines for pause-sensitive requests: all but the first `count`, which are dedicated; all engines if none of the others has a free slot. */
 export function listSensitiveEngines (dedicationOrder: readonly EndpointView[], count: number, { slots }: EngineProfile): readonly EndpointView[] {
   const side = dedicationOrder.slice(count)
   return side.some(view => view.running < slots) ? side : dedicationOrder
--- a/src/core/balance/zone-monitor.ts
+++ b/src/core/balance/zone-monitor.ts
@@ -1,27 +1,26 @@
 import type { ZoneName } from '../ids.js'
 
 /**
- * Whether a zone can be reached, from when anything was last heard from there.
- * Links carry heartbeats and hubs tell totals several times a second, so that a
- * cut shows sooner here than in requests that stay unanswered.
+ * Detects unreachable zones from the time of the last message from each. Links carry heartbeats, and hubs send
+ * totals several times a second, so that a partition is detected sooner here than by unanswered requests.
  */
 export class ZoneMonitor {
   #own: ZoneName
-  #silentMs: number
+  #timeoutMs: number
   #lastMessageAt = new Map<ZoneName, number>()
 
-  /** `silentMs`: after so long without a word a zone counts as cut off. */
-  constructor (own: ZoneName, silentMs: number) {
+  /** `timeoutMs`: time without a message after which a zone counts as unreachable. */
+  constructor (own: ZoneName, timeoutMs: number) {
     this.#own = own
-    this.#silentMs = silentMs
+    this.#timeoutMs = timeoutMs
   }
 
   noteHeard (zone: ZoneName, at: number): void { this.#lastMessageAt.set(zone, at) }
 
-  /** True where the zone spoke once and has fallen silent. */
+  /** True if messages from the zone have arrived, but none recently. False for the own zone. */
   isCut (zone: ZoneName, at: number): boolean {
     if (zone === this.#own) return false
-    const heard = this.#lastMessageAt.get(zone)
-    return heard !== undefined && at - heard > this.#silentMs
+    const lastMessageAt = this.#lastMessageAt.get(zone)
+    return lastMessageAt !== undefined && at - lastMessageAt > this.#timeoutMs
   }
 }
