--- a/test/admission.test.ts
+++ b/test/admission.test.ts
@@ -3,10 +3,10 @@
 import type { Fleet, Work } from '../src/core/index.js'
 import { createFleet, createRecord, createWork, engineService } from './support/fleet-builder.js'
 
-// When a request is to come back, ms; null where it is let in.
+// Retry delay of a refused request, ms; null if it is admitted.
 function findReturn (fleet: Fleet, work: Work, at: number): number | null { return fleet.admit(work, at)?.returnMs ?? null }
 
-test('a request before which too much waits is told when to come back; a more urgent one is not', () => {
+test('a request with too long a backlog is refused with a retry delay; a more urgent one is admitted', () => {
   const fleet = createFleet([createRecord('e1'), createRecord('e2')], engineService)
   const long = createWork({ priority: 2, pauseMs: 600, targetMs: 2000, cost: { promptTokens: 30_000, mostTokens: 10, parts: [] } })
   assert.equal(findReturn(fleet, long, 0), null)
@@ -16,7 +16,7 @@
   assert.equal(findReturn(fleet, { ...long, priority: 1 }, 0), null)
 })
 
-test('where first events come later than expected, what can\'t be in time is refused sooner', () => {
+test('a request that would miss its target because first events are late is refused', () => {
   const fleet = createFleet([createRecord('e1'), createRecord('e2')], engineService)
   const work = createWork({ priority: 2, pauseMs: 600, targetMs: 600, cost: { promptTokens: 12_000, mostTokens: 10, parts: [] } })
   fleet.noteHeld(work, true)
@@ -31,7 +31,7 @@
   assert.ok((findReturn(fleet, work, 50_000) ?? 0) > 600)
 })
 
-test('a request that can\'t be in time by its own size is taken where little waits', () => {
+test('a request too large to meet its target is admitted if the backlog is short', () => {
   const fleet = createFleet([createRecord('e1'), createRecord('e2')], engineService)
   const huge = createWork({ priority: 2, pauseMs: 600, targetMs: 600, cost: { promptTokens: 60_000, mostTokens: 10, parts: [] } })
   assert.equal(findReturn(fleet, huge, 0), null)
@@ -39,9 +39,9 @@
   assert.notEqual(findReturn(fleet, huge, 0), null)
 })
 
-// "wait=241:reading=340:allowed=200:late=2.43" refused a tag whose plain wait and reading were 239 ms of its 400. Half of all tags came
-// no later than expected; the factor was a mean over all kinds, drawn up by quotes, which wait for one another and a part of which took six times as long.
-test('a kind of which first events come late does not make another pass for late', () => {
+// Guards against one lateness averaged over all kinds: quotes, which wait for one another and partly took six times as long as expected, raised
+// it to 2.43, so that a tag with 239 ms of wait and reading was refused at a target of 400 ms, although half of all tags were on time.
+test('late first events of one kind do not increase the lateness of another', () => {
   const fleet = createFleet([createRecord('e1'), createRecord('e2')], engineService)
   const quote = createWork({ priority: 2, pauseMs: 600, targetMs: 2000, cost: { promptTokens: 8000, mostTokens: 10, parts: [] } })
   const tag = createWork({ priority: 1, pauseMs: 500, targetMs: 400, cost: { promptTokens: 2000, mostTokens: 10, parts: [] } })
@@ -77,7 +77,7 @@
   })
 }
 
-test('a request is admitted to a service without a usable engine, for the search to fail', () => {
+test('a request is admitted to a service without a usable engine; the endpoint search rejects it', () => {
   const fleet = createFleet([], engineService)
   const quote = createWork({ priority: 2, pauseMs: 600, targetMs: 2000, cost: { promptTokens: 12_000, mostTokens: 10, parts: [] } })
   assert.equal(findReturn(fleet, quote, 0), null)
--- a/test/endpoint-choice.test.ts
+++ b/test/endpoint-choice.test.ts
@@ -4,7 +4,7 @@
 import type { EndpointGate, EndpointRecord, Fleet, ServiceName, Work } from '../src/core/index.js'
 import { createFleet, createLoad, createRecord, createWork, engineService, nameZone } from './support/fleet-builder.js'
 
-test('work goes only to endpoints that are ready, in touch and not tried', () => {
+test('only endpoints that are ready, reachable and untried are chosen', () => {
   const fleet = createFleet([createRecord('e1'), createRecord('e2', { stage: 'draining' }), createRecord('e3'), createRecord('e4', { service: brandId<ServiceName>('other') })])
   fleet.findView(brandId('e3'))?.trust.noteUnreachable(0)
   const choice = fleet.choose(createWork(), [], 1, 0.5)
@@ -13,7 +13,7 @@
   assert.equal(fleet.choose(createWork({ service: brandId<ServiceName>('nobody') }), [], 1, 0.5), 'none-known')
 })
 
-test('where the answers of all break, all are used on; where connections fail, they are not', () => {
+test('if the answers of all endpoints break, all remain usable; if all connections fail, none is', () => {
   const fleet = createFleet([createRecord('e1'), createRecord('e2'), createRecord('e3')])
   for (const view of fleet.views) for (let i = 0; i < 4; i++) view.trust.noteBroken(i)
   assert.notEqual(typeof fleet.choose(createWork(), [], 10, 0), 'string')
@@ -21,7 +21,7 @@
   assert.equal(fleet.choose(createWork(), [], 30, 0), 'none-usable')
 })
 
-test('an endpoint in a zone that fell silent is taken last', () => {
+test('an endpoint in an unreachable zone is chosen last', () => {
   const fleet = createFleet([createRecord('e1', { zone: nameZone('zone-b') }), createRecord('e2')])
   const busy = fleet.findView(brandId('e2'))
   for (let i = 0; i < 4; i++) busy?.place(createWork(), { readTokens: 0, fetch: null }, 900)
@@ -31,7 +31,7 @@
   assert.equal(choose(1000), 'e2')
 })
 
-test('prompts with the same shared part go to the same engine from all boxes', () => {
+test('all boxes choose the same engine for prompts with the same shared part', () => {
   const records = Array.from({ length: 8 }, (_, i) => createRecord(`e${i + 1}`))
   const boxes = [createFleet(records, engineService), createFleet(records, engineService)]
   for (let shared = 0; shared < 20; shared++) {
@@ -44,7 +44,7 @@
   }
 })
 
-test('a long prompt waits in the box while engines have much to read; a question is sent at once', () => {
+test('a pause-tolerant request waits in the box while engines have a backlog; a pause-sensitive one is sent immediately', () => {
   const fleet = createFleet([createRecord('e1'), createRecord('e2')], engineService)
   const long = createWork({ priority: 2, pauseMs: 600, targetMs: 2000, cost: { promptTokens: 30_000, mostTokens: 10, parts: [] } })
   const first = fleet.choose(long, [], 0, 0)
@@ -54,9 +54,9 @@
   assert.notEqual(fleet.choose(createWork({ pauseMs: 50, cost: { promptTokens: 100, mostTokens: 10, parts: [] } }), [], 1, 0), 'later')
 })
 
-// All registries were down for two seconds, and none of three gateways heard what the others did: each filled the same two engines up to
-// what one may send ("others=0 held=0", first events of quotes after 1.5 to 2.6 s), and 13 tags got nothing behind their quotes.
-test('a box that doesn\'t hear of the others sends long prompts only up to its part of what engines may have to read', () => {
+// Guards against overfilled engines while no load reports arrive: with all registries down for two seconds, each of three gateways filled the
+// same two engines up to the whole backlog limit. First events of quotes took 1.5 to 2.6 s, and 13 tags queued behind them failed.
+test('a box without load reports of the others fills only its part of an engine\'s backlog limit', () => {
   const work = createWork({ pauseMs: 600, cost: { promptTokens: 1000, mostTokens: 10, parts: [] } })
   const [heard, cut] = [true, false].map(isHeard => {
     const fleet = createFleet([createRecord('e1')], { ...engineService, engine: { slots: 64, memoryTokens: 600_000, tokensPerEvent: 5, transfer: null } })
@@ -65,10 +65,10 @@
     if (!isHeard) fleet.noteOthers(noTotals, 6500)
     return countSent(fleet, work, isHeard ? 5000 : 7000)
   })
-  assert.ok(cut >= 1 && cut <= Math.ceil(heard / 4), `${cut}, of ${heard} where it hears of them`)
+  assert.ok(cut >= 1 && cut <= Math.ceil(heard / 4), `${cut} sent without reports, ${heard} with reports`)
 })
 
-// How many requests are sent at one time until there is no room.
+// Number of requests sent at one time until there is no room.
 function countSent (fleet: Fleet, work: Work, at: number): number {
   for (let sent = 0; ; sent++) {
     const choice = fleet.choose(work, [], at, 0)
@@ -77,7 +77,7 @@
   }
 }
 
-test('an endpoint from which the others were turned away gets less of this box too', () => {
+test('an endpoint that asked other boxes to back off is chosen less by this box too', () => {
   const fleet = createFleet([createRecord('e1'), createRecord('e2')])
   const load = createLoad(1, { loads: [{ endpoint: brandId('e1'), running: 1, brisk: 0, memory: 0, waiting: [], largest: 0, backedOff: 3 }] })
   const choose = (): string => { const choice = fleet.choose(createWork(), [], 10, 0); return typeof choice === 'string' ? choice : choice.view.id }
@@ -88,12 +88,12 @@
 })
 
 const comings: readonly { name: string, record: Partial<EndpointRecord>, isBackedOff: boolean }[] = [
-  { name: 'the same life, seen again', record: { sequence: 3, born: 7 }, isBackedOff: true },
-  { name: 'a later life', record: { sequence: 1, born: 9 }, isBackedOff: false }
+  { name: 'the same incarnation, found again', record: { sequence: 3, born: 7 }, isBackedOff: true },
+  { name: 'a later incarnation', record: { sequence: 1, born: 9 }, isBackedOff: false }
 ]
 
 for (const { name, record, isBackedOff } of comings) {
-  test(`a back-off, a limit and a word of leaving ${isBackedOff ? 'hold on for' : 'end with'} ${name}`, () => {
+  test(`back-off, rate limit and leaving notice ${isBackedOff ? 'are kept for' : 'are reset for'} ${name}`, () => {
     const first = createRecord('e1', { born: 7 })
     const fleet = createFleet([first, createRecord('e2')])
     const gate = (): EndpointGate | undefined => fleet.findView(first.id)?.gate
--- a/test/endpoints.test.ts
+++ b/test/endpoints.test.ts
@@ -1,29 +1,29 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import fc from 'fast-check'
-import { EndpointDirectory, EndpointTrust, ZoneWatch, brandId } from '../src/core/index.js'
+import { EndpointDirectory, EndpointHealth, ZoneMonitor, brandId } from '../src/core/index.js'
 import type { EndpointRecord, EndpointStage, ServiceName } from '../src/core/index.js'
 import { createRecord } from './support/fleet-builder.js'
 
 const words: readonly { name: string, words: readonly EndpointRecord[], stage: EndpointStage, sequence: number }[] = [
-  { name: 'a late ready after draining', words: [createRecord('e1', { sequence: 5, stage: 'draining' }), createRecord('e1', { sequence: 4 })], stage: 'draining', sequence: 5 },
-  { name: 'ready again by a newer word', words: [createRecord('e1', { sequence: 5, stage: 'draining' }), createRecord('e1', { sequence: 6 })], stage: 'ready', sequence: 6 },
+  { name: 'a late ready update after draining', words: [createRecord('e1', { sequence: 5, stage: 'draining' }), createRecord('e1', { sequence: 4 })], stage: 'draining', sequence: 5 },
+  { name: 'ready again by a newer update', words: [createRecord('e1', { sequence: 5, stage: 'draining' }), createRecord('e1', { sequence: 6 })], stage: 'ready', sequence: 6 },
   { name: 'gone is final', words: [createRecord('e1', { sequence: 5 }), createRecord('e1', { sequence: 0, stage: 'gone' }), createRecord('e1', { sequence: 9 })], stage: 'gone', sequence: 5 },
-  { name: 'gone before anything else', words: [createRecord('e1', { sequence: 0, stage: 'gone' }), createRecord('e1', { sequence: 9 })], stage: 'gone', sequence: 0 },
-  { name: 'lost, and heard again', words: [createRecord('e1', { sequence: 5 }), createRecord('e1', { sequence: 5, stage: 'lost' }), createRecord('e1', { sequence: 6 })], stage: 'ready', sequence: 6 },
+  { name: 'gone as the first update', words: [createRecord('e1', { sequence: 0, stage: 'gone' }), createRecord('e1', { sequence: 9 })], stage: 'gone', sequence: 0 },
+  { name: 'lost, then a newer update', words: [createRecord('e1', { sequence: 5 }), createRecord('e1', { sequence: 5, stage: 'lost' }), createRecord('e1', { sequence: 6 })], stage: 'ready', sequence: 6 },
   { name: 'a reused address', words: [createRecord('e1', { port: 7 }), createRecord('e2', { port: 7, service: brandId<ServiceName>('other') })], stage: 'lost', sequence: 1 },
-  { name: 'a new life, its sequence anew', words: [createRecord('e1', { born: 10, sequence: 5000 }), createRecord('e1', { born: 20, sequence: 1 })], stage: 'ready', sequence: 1 },
-  { name: 'a new life at another address', words: [createRecord('e1', { born: 10, sequence: 5000 }), createRecord('e1', { born: 20, sequence: 1, host: '10.0.0.9' })], stage: 'ready', sequence: 1 },
-  { name: 'a new life after it drained', words: [createRecord('e1', { born: 10, sequence: 5, stage: 'draining' }), createRecord('e1', { born: 20, sequence: 1 })], stage: 'ready', sequence: 1 },
-  { name: 'a new life after it was gone', words: [createRecord('e1', { born: 10, sequence: 5 }), createRecord('e1', { sequence: 0, stage: 'gone' }), createRecord('e1', { born: 20, sequence: 1 })], stage: 'ready', sequence: 1 },
-  { name: 'a new life after it was lost', words: [createRecord('e1', { born: 10, sequence: 5 }), createRecord('e1', { born: 10, sequence: 5, stage: 'lost' }), createRecord('e1', { born: 20, sequence: 1 })], stage: 'ready', sequence: 1 },
-  { name: 'a late word of the earlier life', words: [createRecord('e1', { born: 20, sequence: 1 }), createRecord('e1', { born: 10, sequence: 5001, stage: 'draining' })], stage: 'ready', sequence: 1 },
-  { name: 'the earlier life counted as lost late', words: [createRecord('e1', { born: 20, sequence: 1 }), createRecord('e1', { born: 10, sequence: 5000, stage: 'lost' })], stage: 'ready', sequence: 1 },
-  { name: 'the earlier life gone late, as another registry tells it', words: [createRecord('e1', { born: 20, sequence: 1 }), createRecord('e1', { born: 10, sequence: 5000, stage: 'gone' })], stage: 'ready', sequence: 1 },
-  { name: 'a life with an earlier start, after the known one was lost', words: [createRecord('e1', { born: 20, sequence: 5 }), createRecord('e1', { born: 20, sequence: 5, stage: 'lost' }), createRecord('e1', { born: 10, sequence: 1 })], stage: 'ready', sequence: 1 },
-  { name: 'gone, then a late word of the same life', words: [createRecord('e1', { born: 10, sequence: 5 }), createRecord('e1', { sequence: 0, stage: 'gone' }), createRecord('e1', { born: 10, sequence: 9 })], stage: 'gone', sequence: 5 },
-  { name: 'gone before anything else, then which life that was, then a new one', words: [createRecord('e1', { sequence: 0, stage: 'gone' }), createRecord('e1', { born: 10, sequence: 9, stage: 'gone' }), createRecord('e1', { born: 20, sequence: 1 })], stage: 'ready', sequence: 1 },
-  { name: 'a word that does not say its life', words: [createRecord('e1', { born: 10, sequence: 5 }), createRecord('e1', { sequence: 6, stage: 'draining' })], stage: 'draining', sequence: 6 }
+  { name: 'a new incarnation whose sequence restarts', words: [createRecord('e1', { born: 10, sequence: 5000 }), createRecord('e1', { born: 20, sequence: 1 })], stage: 'ready', sequence: 1 },
+  { name: 'a new incarnation at another address', words: [createRecord('e1', { born: 10, sequence: 5000 }), createRecord('e1', { born: 20, sequence: 1, host: '10.0.0.9' })], stage: 'ready', sequence: 1 },
+  { name: 'a new incarnation after draining', words: [createRecord('e1', { born: 10, sequence: 5, stage: 'draining' }), createRecord('e1', { born: 20, sequence: 1 })], stage: 'ready', sequence: 1 },
+  { name: 'a new incarnation after gone', words: [createRecord('e1', { born: 10, sequence: 5 }), createRecord('e1', { sequence: 0, stage: 'gone' }), createRecord('e1', { born: 20, sequence: 1 })], stage: 'ready', sequence: 1 },
+  { name: 'a new incarnation after lost', words: [createRecord('e1', { born: 10, sequence: 5 }), createRecord('e1', { born: 10, sequence: 5, stage: 'lost' }), createRecord('e1', { born: 20, sequence: 1 })], stage: 'ready', sequence: 1 },
+  { name: 'a late update of the earlier incarnation', words: [createRecord('e1', { born: 20, sequence: 1 }), createRecord('e1', { born: 10, sequence: 5001, stage: 'draining' })], stage: 'ready', sequence: 1 },
+  { name: 'a late lost update of the earlier incarnation', words: [createRecord('e1', { born: 20, sequence: 1 }), createRecord('e1', { born: 10, sequence: 5000, stage: 'lost' })], stage: 'ready', sequence: 1 },
+  { name: 'a late gone update of the earlier incarnation, from another registry', words: [createRecord('e1', { born: 20, sequence: 1 }), createRecord('e1', { born: 10, sequence: 5000, stage: 'gone' })], stage: 'ready', sequence: 1 },
+  { name: 'an incarnation with an earlier start time, after the known one was lost', words: [createRecord('e1', { born: 20, sequence: 5 }), createRecord('e1', { born: 20, sequence: 5, stage: 'lost' }), createRecord('e1', { born: 10, sequence: 1 })], stage: 'ready', sequence: 1 },
+  { name: 'gone, then a late update of the same incarnation', words: [createRecord('e1', { born: 10, sequence: 5 }), createRecord('e1', { sequence: 0, stage: 'gone' }), createRecord('e1', { born: 10, sequence: 9 })], stage: 'gone', sequence: 5 },
+  { name: 'gone as the first update, then its incarnation, then a new one', words: [createRecord('e1', { sequence: 0, stage: 'gone' }), createRecord('e1', { born: 10, sequence: 9, stage: 'gone' }), createRecord('e1', { born: 20, sequence: 1 })], stage: 'ready', sequence: 1 },
+  { name: 'an update without a start time', words: [createRecord('e1', { born: 10, sequence: 5 }), createRecord('e1', { sequence: 6, stage: 'draining' })], stage: 'draining', sequence: 6 }
 ]
 
 for (const { name, words: told, stage, sequence } of words) {
@@ -35,7 +35,7 @@
   })
 }
 
-test('directories that heard the same words of an endpoint, in any order and twice, agree', () => {
+test('directories that receive the same updates, reordered and duplicated, agree', () => {
   const stages: EndpointStage[] = ['ready', 'draining', 'gone']
   const word = fc.record({ sequence: fc.integer({ min: 1, max: 20 }), stage: fc.constantFrom(...stages), born: fc.integer({ min: 1, max: 3 }) })
   fc.assert(fc.property(fc.uniqueArray(word, { selector: one => `${one.born} ${one.sequence}`, minLength: 1, maxLength: 8 }), fc.infiniteStream(fc.nat()), (told, order) => {
@@ -50,8 +50,8 @@
   }), { numRuns: 300 })
 })
 
-test('an endpoint that refuses connections is out until one comes about, tried ever more seldom', () => {
-  const trust = new EndpointTrust()
+test('an endpoint that refuses connections is ejected until one succeeds, with growing probe intervals', () => {
+  const trust = new EndpointHealth()
   trust.noteUnreachable(0)
   assert.deepEqual([trust.look(10), trust.look(260)], ['out', 'probing'])
   trust.noteUnreachable(260)
@@ -60,8 +60,8 @@
   assert.equal(trust.look(771), 'good')
 })
 
-test('one broken answer makes an endpoint doubtful, two in a row put it out', () => {
-  const trust = new EndpointTrust()
+test('one broken answer makes an endpoint doubtful, two in a row eject it', () => {
+  const trust = new EndpointHealth()
   trust.noteBroken(0)
   assert.equal(trust.look(1), 'doubtful')
   assert.equal(trust.look(800), 'good')
@@ -69,8 +69,8 @@
   assert.equal(trust.look(801), 'out')
 })
 
-test('a zone counts as cut off once it spoke and fell silent, the own one never', () => {
-  const watch = new ZoneWatch(brandId('zone-a'), 500)
+test('a zone is unreachable once its messages stop, the own zone never', () => {
+  const watch = new ZoneMonitor(brandId('zone-a'), 500)
   assert.equal(watch.isCut(brandId('zone-b'), 10_000), false)
   watch.noteHeard(brandId('zone-b'), 10_000)
   assert.equal(watch.isCut(brandId('zone-b'), 10_400), false)
--- a/test/engines-apart.test.ts
+++ b/test/engines-apart.test.ts
@@ -1,27 +1,27 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { LoadBook, PauseRange, ReadingPause, ReadingShare, brandId, computeShare, findPatience, isPatient } from '../src/core/index.js'
+import { LoadBook, PauseRange, ReadingPause, DedicatedCountController, brandId, computeDedicatedCount, computeMinTolerantPause, isPauseTolerant } from '../src/core/index.js'
 import type { ReadingDemand } from '../src/core/index.js'
 import { createFleet, createLoad, createRecord, createWork, desk, engineService, movingService, nameZone } from './support/fleet-builder.js'
 
 const demand: ReadingDemand = { rates: Array<number>(10).fill(40_000), tolerantRate: 0, sensitiveRate: 0, waiting: 0, tolerantEngines: 0, sensitiveEngines: 0 }
 const shares: readonly { name: string, demand: Partial<ReadingDemand>, count: number }[] = [
-  { name: 'nothing asked', demand: {}, count: 1 },
-  { name: 'reading for three engines, with some time left to each for its streams', demand: { tolerantRate: 100_000 }, count: 4 },
-  { name: 'a burst of reading leaves a fifth to the others', demand: { tolerantRate: 900_000 }, count: 8 },
-  { name: 'in bursts of both quick questions go first', demand: { tolerantRate: 240_000, sensitiveRate: 100_000 }, count: 5 },
-  { name: 'a burst of quick questions leaves some to long prompts', demand: { tolerantRate: 240_000, sensitiveRate: 900_000 }, count: 3 },
-  { name: 'slow engines count for less', demand: { rates: Array<number>(10).fill(20_000), tolerantRate: 100_000 }, count: 8 },
-  { name: 'memory needs engines too', demand: { tolerantEngines: 4.2 }, count: 5 },
-  { name: 'one engine serves all', demand: { rates: [40_000], tolerantRate: 100_000 }, count: 1 }
+  { name: 'no demand', demand: {}, count: 1 },
+  { name: 'reading for three engines, with planned utilization below one', demand: { tolerantRate: 100_000 }, count: 4 },
+  { name: 'a burst of long prompts leaves a fifth of the engines to other requests', demand: { tolerantRate: 900_000 }, count: 8 },
+  { name: 'pause-sensitive requests take precedence in bursts of both', demand: { tolerantRate: 240_000, sensitiveRate: 100_000 }, count: 5 },
+  { name: 'a burst of pause-sensitive requests leaves some engines to long prompts', demand: { tolerantRate: 240_000, sensitiveRate: 900_000 }, count: 3 },
+  { name: 'slower engines require a higher count', demand: { rates: Array<number>(10).fill(20_000), tolerantRate: 100_000 }, count: 8 },
+  { name: 'memory use requires engines', demand: { tolerantEngines: 4.2 }, count: 5 },
+  { name: 'a single engine serves all requests', demand: { rates: [40_000], tolerantRate: 100_000 }, count: 1 }
 ]
 
 for (const { name, demand: more, count } of shares) {
-  test(`engines set apart: ${name}`, () => assert.equal(computeShare({ ...demand, ...more }), count))
+  test(`dedicated engines: ${name}`, () => assert.equal(computeDedicatedCount({ ...demand, ...more }), count))
 }
 
-test('the share grows at once and shrinks slowly, never below its base', () => {
-  const share = new ReadingShare()
+test('the count of dedicated engines grows immediately and shrinks slowly, never below its base', () => {
+  const share = new DedicatedCountController()
   assert.deepEqual(share.update(0, demand), { count: 4, base: 4 })
   assert.equal(share.update(10, { ...demand, tolerantRate: 250_000 }).count, 8)
   assert.equal(share.update(1000, demand).count, 8)
@@ -30,14 +30,14 @@
   assert.deepEqual(share.counts, { count: 4, base: 4 })
 })
 
-test('what quick questions need is given up at once, down to the base', () => {
-  const share = new ReadingShare()
-  assert.equal(share.update(0, { ...demand, tolerantRate: 250_000 }).count, 8)
-  assert.equal(share.update(10, { ...demand, tolerantRate: 250_000, sensitiveEngines: 5 }).count, 5)
-  assert.equal(share.update(20, { ...demand, tolerantRate: 250_000, sensitiveEngines: 9 }).count, 3)
+test('engines needed by pause-sensitive requests are released immediately', () => {
+  const controller = new DedicatedCountController()
+  assert.equal(controller.update(0, { ...demand, tolerantRate: 250_000 }).count, 8)
+  assert.equal(controller.update(10, { ...demand, tolerantRate: 250_000, sensitiveEngines: 5 }).count, 5)
+  assert.equal(controller.update(20, { ...demand, tolerantRate: 250_000, sensitiveEngines: 9 }).count, 3)
 })
 
-test('a quick question goes beside long prompts only where no other engine has a slot free', () => {
+test('a pause-sensitive request uses a dedicated engine only if no other engine has a free slot', () => {
   const records = Array.from({ length: 5 }, (_, i) => createRecord(`e${i + 1}`))
   const fleet = createFleet(records, engineService)
   const quick = createWork({ pauseMs: 50, cost: { promptTokens: 100, mostTokens: 10, parts: [] } })
@@ -52,38 +52,38 @@
   assert.equal([...fleet.views].filter(view => view.running > 0).length, 5)
 })
 
-test('long prompts and quick questions don\'t share engines, and boxes agree on which are which', () => {
+test('pause-tolerant and pause-sensitive requests don\'t share engines, and boxes agree on the division', () => {
   const records = Array.from({ length: 8 }, (_, i) => createRecord(`e${i + 1}`, { zone: nameZone(`zone-${i % 2}`) }))
   const boxes = [createFleet(records, engineService), createFleet([...records].reverse(), engineService)]
   const sides = boxes.map(fleet => {
-    const patient = new Set<string>()
-    const brisk = new Set<string>()
+    const tolerantEngines = new Set<string>()
+    const sensitiveEngines = new Set<string>()
     for (let i = 0; i < 60; i++) {
       const parts = [{ id: `shared-${i % 7}`, tokens: 300 }, { id: `own-${i}`, tokens: 700 }]
-      const long = fleet.choose(createWork({ priority: 2, pauseMs: 600, cost: { promptTokens: 1000, mostTokens: 10, parts } }), [], i, i / 60)
-      const quick = fleet.choose(createWork({ pauseMs: 100, cost: { promptTokens: 200, mostTokens: 10, parts: [{ id: `q-${i}`, tokens: 200 }] } }), [], i, i / 60)
-      if (typeof long !== 'string') patient.add(long.view.id)
-      if (typeof quick !== 'string') brisk.add(quick.view.id)
+      const tolerant = fleet.choose(createWork({ priority: 2, pauseMs: 600, cost: { promptTokens: 1000, mostTokens: 10, parts } }), [], i, i / 60)
+      const sensitive = fleet.choose(createWork({ pauseMs: 100, cost: { promptTokens: 200, mostTokens: 10, parts: [{ id: `q-${i}`, tokens: 200 }] } }), [], i, i / 60)
+      if (typeof tolerant !== 'string') tolerantEngines.add(tolerant.view.id)
+      if (typeof sensitive !== 'string') sensitiveEngines.add(sensitive.view.id)
     }
-    return { patient, brisk }
+    return { patient: tolerantEngines, brisk: sensitiveEngines }
   })
   for (const { patient, brisk } of sides) assert.deepEqual([...patient].filter(id => brisk.has(id)), [])
   assert.deepEqual([...sides[0].patient].filter(id => sides[1].brisk.has(id)), [])
   assert.deepEqual([...sides[1].patient].filter(id => sides[0].brisk.has(id)), [])
 })
 
-test('who bears pauses beside reading is learned from the longest pauses seen there', () => {
+test('which requests are pause-tolerant is learned from the longest measured reading pauses', () => {
   const slow = createWork({ pauseMs: 300, cost: { promptTokens: 100, mostTokens: 10, parts: [] } })
-  const brisk = createWork({ ...slow, pauseMs: 185 })
+  const sensitive = createWork({ ...slow, pauseMs: 185 })
   const pause = new ReadingPause()
   assert.equal(pause.find(0), null)
   for (let i = 0; i < 240; i++) pause.add(i % 40 === 0 ? 180 : 60, 1, i)
   for (let i = 240; i < 600; i++) pause.add(60, 1, i)
   assert.deepEqual([pause.find(600), pause.find(70_000)], [180, null])
-  assert.deepEqual([slow, brisk].map(work => isPatient(work, findPatience(pause.find(600) ?? 0, null))), [true, false])
+  assert.deepEqual([slow, sensitive].map(work => isPauseTolerant(work, computeMinTolerantPause(pause.find(600) ?? 0, null))), [true, false])
 })
 
-test('a box that has seen no pause goes by the middle of what the others saw', () => {
+test('a box that has measured no reading pause uses the reported median', () => {
   const fleet = createFleet(Array.from({ length: 5 }, (_, i) => createRecord(`e${i + 1}`)), engineService)
   const work = createWork({ pauseMs: 200, cost: { promptTokens: 100, mostTokens: 10, parts: [] } })
   const tell = (readingPauseMs: number): void => {
@@ -101,7 +101,7 @@
   assert.notEqual(countCandidates(200), beside)
 })
 
-test('an engine that was just set apart gets no prompt while streams run there that bear none beside them', () => {
+test('a newly dedicated engine gets no long prompt while pause-sensitive streams run there', () => {
   const fleet = createFleet(Array.from({ length: 5 }, (_, i) => createRecord(`e${i + 1}`)), movingService)
   const large = createWork({ pauseMs: 600, cost: { promptTokens: 20_000, mostTokens: 10, parts: [] } })
   const pick = (): string => {
@@ -109,23 +109,23 @@
     return typeof choice === 'string' ? choice : choice.view.id
   }
   const first = pick()
-  const brisk = createWork({ pauseMs: 50, cost: { promptTokens: 100, mostTokens: 10, parts: [] } })
-  fleet.findView(brandId(first))?.place(brisk, { readTokens: 0, fetch: null }, 0)
+  const sensitive = createWork({ pauseMs: 50, cost: { promptTokens: 100, mostTokens: 10, parts: [] } })
+  fleet.findView(brandId(first))?.place(sensitive, { readTokens: 0, fetch: null }, 0)
   assert.notEqual(pick(), first)
 })
 
 const patience: readonly { name: string, besideMs: number, pauses: readonly number[], patient: readonly number[] }[] = [
-  { name: 'all bear it', besideMs: 100, pauses: [200, 300], patient: [200, 300] },
-  { name: 'some bear it', besideMs: 200, pauses: [120, 250, 500], patient: [250, 500] },
-  { name: 'none bears it: those that bear most go beside it', besideMs: 400, pauses: [120, 200, 300], patient: [300] },
-  { name: 'none bears it, and all are alike: engines are not parted', besideMs: 400, pauses: [300], patient: [] }
+  { name: 'all allow the reading pause', besideMs: 100, pauses: [200, 300], patient: [200, 300] },
+  { name: 'some allow it', besideMs: 200, pauses: [120, 250, 500], patient: [250, 500] },
+  { name: 'none allows it: those that allow the longest are tolerant', besideMs: 400, pauses: [120, 200, 300], patient: [300] },
+  { name: 'none allows it, and all are alike: none is tolerant', besideMs: 400, pauses: [300], patient: [] }
 ]
 
 for (const { name, besideMs, pauses, patient } of patience) {
-  test(`who goes beside reading: ${name}`, () => {
+  test(`pause-tolerant requests: ${name}`, () => {
     const range = new PauseRange()
     pauses.forEach((pauseMs, i) => range.note(i, pauseMs))
-    const found = pauses.filter(pauseMs => isPatient(createWork({ pauseMs }), findPatience(besideMs, range.findLongest(10))))
+    const found = pauses.filter(pauseMs => isPauseTolerant(createWork({ pauseMs }), computeMinTolerantPause(besideMs, range.findLongest(10))))
     assert.deepEqual(found, patient)
     assert.equal(range.findLongest(100_000), null)
   })
--- a/test/loads.test.ts
+++ b/test/loads.test.ts
@@ -6,14 +6,14 @@
 import { createFleet, createLoad, createRecord, createWork, desk, engineService, nameZone } from './support/fleet-builder.js'
 
 const holders: readonly { readonly name: string, readonly held: readonly (readonly [number, number])[], readonly priority: number, readonly count: number }[] = [
-  { name: 'what the others hold goes after it', held: [[2, 900]], priority: 1, count: 1 },
-  { name: 'what the others hold goes with it', held: [[2, 900]], priority: 2, count: 4 },
-  { name: 'the others hold something as urgent beside what goes after it', held: [[1, 100], [2, 900]], priority: 1, count: 4 },
+  { name: 'the others hold less urgent ones', held: [[2, 900]], priority: 1, count: 1 },
+  { name: 'the others hold equally urgent ones', held: [[2, 900]], priority: 2, count: 4 },
+  { name: 'the others hold equally and less urgent ones', held: [[1, 100], [2, 900]], priority: 1, count: 4 },
   { name: 'the others hold nothing', held: [], priority: 2, count: 1 }
 ]
 
 for (const { name, held, priority, count } of holders) {
-  test(`a box competes with those that hold as urgent requests: ${name}`, () => {
+  test(`counts the boxes that hold requests at least as urgent: ${name}`, () => {
     const fleet = createFleet([createRecord('e1')], engineService)
     fleet.noteHeld(createWork({ priority, pauseMs: 600, cost: { promptTokens: 900, mostTokens: 10, parts: [] } }), true)
     fleet.noteOthers({ ...noTotals, demands: [{ service: desk, patient: 0, brisk: 0, apart: 1, base: 1, readingPauseMs: null, held, holders: held.length === 0 ? 0 : 3 }] }, 0)
@@ -21,7 +21,7 @@
   })
 }
 
-test('the others\' work counts, until nobody tells it any more', () => {
+test('the load of other boxes counts until it is no longer reported', () => {
   const fleet = createFleet([createRecord('e1'), createRecord('e2')])
   fleet.noteOthers({ ...createLoad(9), demands: [], zones: [] }, 0)
   assert.equal(fleet.findView(brandId('e1'))?.running, 9)
@@ -29,21 +29,20 @@
   assert.equal(fleet.findView(brandId('e1'))?.running, 0)
 })
 
-test('the totals of a hub hold every box until it falls silent, and the zones heard just now', () => {
-  const book = new LoadBook()
-  book.note(brandId('a'), nameZone('zone-a'), createLoad(2), 0)
-  book.note(brandId('b'), nameZone('zone-b'), createLoad(3), 1000)
-  const totals = book.sumOwn(1100)
+test('a hub\'s totals include each box until its report expires, and the zones with recent reports', () => {
+  const table = new LoadBook()
+  table.note(brandId('a'), nameZone('zone-a'), createLoad(2), 0)
+  table.note(brandId('b'), nameZone('zone-b'), createLoad(3), 1000)
+  const totals = table.sumOwn(1100)
   assert.deepEqual(totals.loads, [{ endpoint: 'e1', running: 5, brisk: 2, memory: 50, waiting: [[1, 300]], largest: 300, backedOff: 0 }])
   assert.deepEqual(totals.zones, ['zone-b'])
-  assert.deepEqual(book.forgetSilent(1600), ['a'])
-  assert.deepEqual(book.sumOwn(1600).loads[0].running, 3)
+  assert.deepEqual(table.forgetSilent(1600), ['a'])
+  assert.deepEqual(table.sumOwn(1600).loads[0].running, 3)
 })
 
-// Boxes of all zones believed the same 9,580 tokens held for 600 ms after the registries' leader had lost its power, and refused 60
-// tags meanwhile: its gateways told another hub by then, and what it had last told of them counted for 1.5 s more. A gateway
-// that had ended likewise left 18,214 unread tokens behind ("others=6747 … less=11467", unchanged for 1.4 s), so that an engine with
-// room got nothing.
+// Guards against counting the backlog of boxes that no longer report: after the registries' leader lost power, its gateways reported to another
+// hub, but their last reports to the old one counted for 1.5 s more, and 60 tags were refused. Likewise, the 18,214 unread tokens of a stopped
+// gateway kept requests away from an engine with room for 1.4 s.
 const unheard: readonly { readonly name: string, readonly tell: (book: LoadBook, load: BoxLoad) => void }[] = [
   { name: 'a box', tell: (book, load) => book.note(brandId('a'), nameZone('zone-a'), load, 0) },
   {
@@ -57,11 +56,11 @@
 ]
 
 for (const { name, tell } of unheard) {
-  test(`what waits by ${name} that was not heard for two words counts no more; what runs does until it falls silent`, () => {
-    const book = new LoadBook()
-    tell(book, createLoad(2, { demands: [{ service: desk, patient: 20, brisk: 2, apart: 1, base: 1, readingPauseMs: null, held: [[2, 900]] }] }))
+  test(`the backlog of ${name} is dropped after two missed reports; running requests count until the report expires`, () => {
+    const table = new LoadBook()
+    tell(table, createLoad(2, { demands: [{ service: desk, patient: 20, brisk: 2, apart: 1, base: 1, readingPauseMs: null, held: [[2, 900]] }] }))
     const read = (at: number): unknown[] => {
-      const { loads: [load], demands: [demand] } = book.sumAll(book.sumOwn(at), at)
+      const { loads: [load], demands: [demand] } = table.sumAll(table.sumOwn(at), at)
       return [load.running, load.waiting, load.largest, demand.held, demand.holders, demand.patient]
     }
     assert.deepEqual(read(500), [2, [[1, 200]], 200, [[2, 900]], 1, 20])
@@ -69,7 +68,7 @@
   })
 }
 
-test('the totals hold what other hubs told, until they fall silent', () => {
+test('the totals include those of other hubs until they expire', () => {
   const [here, there] = [new LoadBook(), new LoadBook()]
   here.note(brandId('a'), nameZone('zone-a'), createLoad(2), 0)
   there.note(brandId('b'), nameZone('zone-b'), createLoad(3), 0)
@@ -81,7 +80,7 @@
   assert.deepEqual(here.sumAll(here.sumOwn(1600), 1600).loads, [])
 })
 
-test('what is left of a hub\'s totals without a box\'s own word is what the others told', () => {
+test('a hub\'s totals minus a box\'s own report equal the sum of the other reports', () => {
   const load = fc.record({ running: fc.integer({ min: 1, max: 9 }), held: fc.integer({ min: 0, max: 900 }), apart: fc.integer({ min: 1, max: 5 }) })
   fc.assert(fc.property(fc.array(load, { minLength: 2, maxLength: 9 }), told => {
     const words = told.map(({ running, held, apart }) => createLoad(running, {
@@ -89,9 +88,9 @@
       gaps: [[brandId('e1'), running]]
     }))
     const sumOf = (some: readonly BoxLoad[]) => {
-      const book = new LoadBook()
-      some.forEach((word, i) => book.note(brandId(`box-${i}`), nameZone('zone-a'), word, 0))
-      return book.sumOwn(0)
+      const table = new LoadBook()
+      some.forEach((word, i) => table.note(brandId(`box-${i}`), nameZone('zone-a'), word, 0))
+      return table.sumOwn(0)
     }
     const left = subtractOwn(sumOf(words), words[0])
     const others = sumOf(words.slice(1))
@@ -102,7 +101,7 @@
   }))
 })
 
-test('the largest of the last while is found, older ones are not', () => {
+test('finds the maximum within the window, not older values', () => {
   const most = new RecentMost(100)
   assert.equal(most.find(0, 7), 7)
   for (const [at, value] of [[0, 9], [50, 4], [60, 5]] as const) most.note(at, value)
--- a/test/retry-purse.test.ts
+++ b/test/retry-purse.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check'
 import { RetryPurse } from '../src/core/index.js'
 
-test('boxes that each spend their part stay within the budget of all, in every window', () => {
+test('the retries of all boxes together stay within the budget in every window', () => {
   const bounds = { ratio: 0.2, extra: 58, windowMs: 10_000 }
   const step = fc.record({ box: fc.integer({ min: 0, max: 8 }), wait: fc.integer({ min: 0, max: 60 }), retries: fc.integer({ min: 0, max: 3 }) })
   fc.assert(fc.property(fc.array(step, { minLength: 200, maxLength: 600 }), steps => {
--- a/test/sum-news.test.ts
+++ b/test/sum-news.test.ts
@@ -11,8 +11,8 @@
 
 const steps = fc.array(fc.record({ endpoint: fc.constantFrom('a', 'b', 'c', 'd'), running: fc.nat(3), isWhole: fc.boolean(), isLost: fc.boolean() }), { maxLength: 80 })
 
-// A word between hubs may be lost, as any datagram; of two in a row the next whole one makes up.
-test('a sum that is told by its changes is the same at the other hub while no two words in a row are lost', () => {
+// Updates between hubs are datagrams and may be lost; after two lost in a row, the next complete update restores the totals.
+test('totals reconstructed from partial updates are correct unless two updates in a row are lost', () => {
   fc.assert(fc.property(steps, all => {
     const [teller, reader] = [new SumTeller(), new SumReader()]
     const running: Record<string, number> = {}
@@ -21,38 +21,38 @@
     for (const { endpoint, running: count, isWhole, isLost } of all) {
       running[endpoint] = count
       const news = teller.compose(composeSum(running), isWhole)
-      // A whole word that is lost changes nothing that the words around it don't tell.
+      // The changes in a lost complete update are also in the updates around it.
       wasLost = isLost && !wasLost
       if (!wasLost) assert.equal(describe(reader.take(news)), describe(composeSum(running)))
     }
   }), { seed: 8, numRuns: 300 })
 })
 
-test('nothing is known of a hub before its sum came whole, and all of it once it does', () => {
-  const [teller, early, late] = [new SumTeller(), new SumReader(), new SumReader()]
-  early.take(teller.compose(composeSum({ a: 1 }), true))
-  const change = teller.compose(composeSum({ a: 1, b: 2 }), false)
+test('a hub\'s totals are unknown until the first complete update', () => {
+  const [encoder, early, late] = [new SumTeller(), new SumReader(), new SumReader()]
+  early.take(encoder.compose(composeSum({ a: 1 }), true))
+  const change = encoder.compose(composeSum({ a: 1, b: 2 }), false)
   assert.deepEqual([describe(early.take(change)), describe(late.take(change))], ['[["a",1],["b",2]]', 'null'])
-  assert.equal(describe(late.take(teller.compose(composeSum({ a: 1, b: 2 }), true))), '[["a",1],["b",2]]')
+  assert.equal(describe(late.take(encoder.compose(composeSum({ a: 1, b: 2 }), true))), '[["a",1],["b",2]]')
 })
 
-// Between zones bytes are dear: the words of hubs were most of what crossed.
-test('a change at one of sixty engines is told in a tenth of the bytes of the whole sum', () => {
-  const teller = new SumTeller()
+// Traffic between zones is billed, and most of it was updates between hubs.
+test('a partial update with one of sixty engines takes at most a tenth of the bytes of a complete one', () => {
+  const encoder = new SumTeller()
   const running = Object.fromEntries(Array.from({ length: 60 }, (_, i) => [`i-00000000${i}`, 2]))
   const sum = { ...composeSum(running), gaps: Object.keys(running).map(id => [brandId<EndpointId>(id), 9.3] as const) }
-  const measure = (isWhole: boolean): number => encodeHubWord({ hub: brandId('registry-1'), start: 1, number: 9, news: teller.compose(sum, isWhole), notices: [] }).length
+  const measure = (isWhole: boolean): number => encodeHubWord({ hub: brandId('registry-1'), start: 1, number: 9, news: encoder.compose(sum, isWhole), notices: [] }).length
   const whole = measure(true)
   measure(false)
   sum.loads = [composeLoad('i-000000000', 3), ...sum.loads.slice(1)]
   assert.ok(measure(false) * 10 < whole)
 })
 
-// Hundreds of gateways decode twenty words a second: half of each was the speeds of engines and the names of fields.
-test('the speeds of engines stay known where a word leaves them out, and are none before they are told', () => {
-  const [teller, reader] = [new SumTeller(), new SumReader()]
+// Hundreds of gateways decode twenty updates a second; engine speeds and field names made up half of each.
+test('engine speeds persist over updates without them, and are empty before the first', () => {
+  const [encoder, reader] = [new SumTeller(), new SumReader()]
   const sum = { ...composeSum({ a: 1 }), gaps: [[brandId<EndpointId>('a'), 9.3] as const] }
-  const whole = teller.compose(sum, true)
+  const whole = encoder.compose(sum, true)
   const told = [{ ...whole, gaps: null }, whole, { ...whole, gaps: null }].map(news => reader.take(news)?.gaps)
   assert.deepEqual(told, [[], sum.gaps, sum.gaps])
 })
