--- a/src/core/balance/admission.ts
+++ b/src/core/balance/admission.ts
@@ -120,7 +120,7 @@
   return { ...admission, share, returnMs: credits.tryConsume(level, share) ? null : computeRetryAfterMs(share, admission.waitMs + admission.ownMs) }
 }
 
-// At least the time that the engines need to read the excess that arrives within one rate window, within the bounds on return times.
+// At least the time that the engines need to read the excess that arrives within one rate window, within the bounds on retry delays.
 function computeRetryAfterMs (share: number, waitMs: number): number {
   const excessRatio = share > 0 ? 1 / share - 1 : Infinity
   return Math.min(maxRetryAfterMs, Math.max(minRetryAfterMs, waitMs, excessRatio * rateWindowMs))
--- a/src/core/balance/fleet.ts
+++ b/src/core/balance/fleet.ts
@@ -81,11 +81,11 @@
   applyRecords (records: readonly EndpointRecord[]): void {
     for (const record of records) {
       const known = this.#views.get(record.id)
-      const isOver = record.stage === 'gone' || record.stage === 'lost'
+      const isStopped = record.stage === 'gone' || record.stage === 'lost'
       const isNewIncarnation = known !== undefined && isOtherLife(record, known.record)
       // A new incarnation has no cached prompts and no requests of the previous one.
-      if (isOver || isNewIncarnation) this.#forget(record)
-      if (isOver) continue
+      if (isStopped || isNewIncarnation) this.#forget(record)
+      if (isStopped) continue
       if (known !== undefined && !isNewIncarnation) known.record = record
       else this.#views.set(record.id, this.#createView(record))
     }
--- a/test/admission.test.ts
+++ b/test/admission.test.ts
@@ -4,23 +4,23 @@
 import { createFleet, createRecord, createWork, engineService } from './support/fleet-builder.js'
 
 // Retry delay of a refused request, ms; null if it is admitted.
-function findReturn (fleet: Fleet, work: Work, at: number): number | null { return fleet.admit(work, at)?.returnMs ?? null }
+function findRetryAfterMs (fleet: Fleet, work: Work, at: number): number | null { return fleet.admit(work, at)?.returnMs ?? null }
 
 test('a request with too long a backlog is refused with a retry delay; a more urgent one is admitted', () => {
   const fleet = createFleet([createRecord('e1'), createRecord('e2')], engineService)
   const long = createWork({ priority: 2, pauseMs: 600, targetMs: 2000, cost: { promptTokens: 30_000, mostTokens: 10, parts: [] } })
-  assert.equal(findReturn(fleet, long, 0), null)
+  assert.equal(findRetryAfterMs(fleet, long, 0), null)
   for (let i = 0; i < 5; i++) fleet.noteHeld(long, true)
-  const returnMs = findReturn(fleet, long, 0)
+  const returnMs = findRetryAfterMs(fleet, long, 0)
   assert.ok(returnMs !== null && returnMs > 1000)
-  assert.equal(findReturn(fleet, { ...long, priority: 1 }, 0), null)
+  assert.equal(findRetryAfterMs(fleet, { ...long, priority: 1 }, 0), null)
 })
 
 test('a request that would miss its target because first events are late is refused', () => {
   const fleet = createFleet([createRecord('e1'), createRecord('e2')], engineService)
   const work = createWork({ priority: 2, pauseMs: 600, targetMs: 600, cost: { promptTokens: 12_000, mostTokens: 10, parts: [] } })
   fleet.noteHeld(work, true)
-  assert.equal(findReturn(fleet, work, 0), null)
+  assert.equal(findRetryAfterMs(fleet, work, 0), null)
   for (let i = 0; i < 40; i++) {
     const choice = fleet.choose(work, [], 1000 * i, 0)
     assert.ok(typeof choice !== 'string')
@@ -28,15 +28,15 @@
     if (i % 2 === 0) choice.view.noteFirst(placed, 1000 * i + 900)
     choice.view.remove(placed, 1000 * i + 900)
   }
-  assert.ok((findReturn(fleet, work, 50_000) ?? 0) > 600)
+  assert.ok((findRetryAfterMs(fleet, work, 50_000) ?? 0) > 600)
 })
 
 test('a request too large to meet its target is admitted if the backlog is short', () => {
   const fleet = createFleet([createRecord('e1'), createRecord('e2')], engineService)
   const huge = createWork({ priority: 2, pauseMs: 600, targetMs: 600, cost: { promptTokens: 60_000, mostTokens: 10, parts: [] } })
-  assert.equal(findReturn(fleet, huge, 0), null)
+  assert.equal(findRetryAfterMs(fleet, huge, 0), null)
   fleet.noteHeld(huge, true)
-  assert.notEqual(findReturn(fleet, huge, 0), null)
+  assert.notEqual(findRetryAfterMs(fleet, huge, 0), null)
 })
 
 // Guards against one lateness averaged over all kinds: quotes, which wait for one another and partly took six times as long as expected, raised
@@ -80,5 +80,5 @@
 test('a request is admitted to a service without a usable engine; the endpoint search rejects it', () => {
   const fleet = createFleet([], engineService)
   const quote = createWork({ priority: 2, pauseMs: 600, targetMs: 2000, cost: { promptTokens: 12_000, mostTokens: 10, parts: [] } })
-  assert.equal(findReturn(fleet, quote, 0), null)
+  assert.equal(findRetryAfterMs(fleet, quote, 0), null)
 })
--- a/test/endpoint-choice.test.ts
+++ b/test/endpoint-choice.test.ts
@@ -35,12 +35,12 @@
   const records = Array.from({ length: 8 }, (_, i) => createRecord(`e${i + 1}`))
   const boxes = [createFleet(records, engineService), createFleet(records, engineService)]
   for (let shared = 0; shared < 20; shared++) {
-    const homes = boxes.map((fleet, i) => {
+    const engines = boxes.map((fleet, i) => {
       const parts = [{ id: `shared-${shared}`, tokens: 4000 }, { id: `own-${i}`, tokens: 500 }]
       const choice = fleet.choose(createWork({ pauseMs: 600, cost: { promptTokens: 4500, mostTokens: 10, parts } }), [], 0, 0.9 * i)
       return typeof choice === 'string' ? choice : choice.view.id
     })
-    assert.equal(homes[0], homes[1])
+    assert.equal(engines[0], engines[1])
   }
 })
 
@@ -58,14 +58,14 @@
 // same two engines up to the whole backlog limit. First events of quotes took 1.5 to 2.6 s, and 13 tags queued behind them failed.
 test('a box without load reports of the others fills only its part of an engine\'s backlog limit', () => {
   const work = createWork({ pauseMs: 600, cost: { promptTokens: 1000, mostTokens: 10, parts: [] } })
-  const [heard, cut] = [true, false].map(isHeard => {
+  const [sentWithReports, sentWithoutReports] = [true, false].map(hasReports => {
     const fleet = createFleet([createRecord('e1')], { ...engineService, engine: { slots: 64, memoryTokens: 600_000, tokensPerEvent: 5, transfer: null } })
     fleet.noteBoxes(4)
     fleet.noteOthers({ ...noTotals, zones: [nameZone('zone-a')] }, 5000)
-    if (!isHeard) fleet.noteOthers(noTotals, 6500)
-    return countSent(fleet, work, isHeard ? 5000 : 7000)
+    if (!hasReports) fleet.noteOthers(noTotals, 6500)
+    return countSent(fleet, work, hasReports ? 5000 : 7000)
   })
-  assert.ok(cut >= 1 && cut <= Math.ceil(heard / 4), `${cut} sent without reports, ${heard} with reports`)
+  assert.ok(sentWithoutReports >= 1 && sentWithoutReports <= Math.ceil(sentWithReports / 4), `${sentWithoutReports} sent without reports, ${sentWithReports} with reports`)
 })
 
 // Number of requests sent at one time until there is no room.
@@ -87,12 +87,12 @@
   assert.equal(choose(), 'e2')
 })
 
-const comings: readonly { name: string, record: Partial<EndpointRecord>, isBackedOff: boolean }[] = [
+const reappearances: readonly { name: string, record: Partial<EndpointRecord>, isBackedOff: boolean }[] = [
   { name: 'the same incarnation, found again', record: { sequence: 3, born: 7 }, isBackedOff: true },
   { name: 'a later incarnation', record: { sequence: 1, born: 9 }, isBackedOff: false }
 ]
 
-for (const { name, record, isBackedOff } of comings) {
+for (const { name, record, isBackedOff } of reappearances) {
   test(`back-off, rate limit and leaving notice ${isBackedOff ? 'are kept for' : 'are reset for'} ${name}`, () => {
     const first = createRecord('e1', { born: 7 })
     const fleet = createFleet([first, createRecord('e2')])
--- a/test/endpoints.test.ts
+++ b/test/endpoints.test.ts
@@ -5,31 +5,31 @@
 import type { EndpointRecord, EndpointStage, ServiceName } from '../src/core/index.js'
 import { createRecord } from './support/fleet-builder.js'
 
-const words: readonly { name: string, words: readonly EndpointRecord[], stage: EndpointStage, sequence: number }[] = [
-  { name: 'a late ready update after draining', words: [createRecord('e1', { sequence: 5, stage: 'draining' }), createRecord('e1', { sequence: 4 })], stage: 'draining', sequence: 5 },
-  { name: 'ready again by a newer update', words: [createRecord('e1', { sequence: 5, stage: 'draining' }), createRecord('e1', { sequence: 6 })], stage: 'ready', sequence: 6 },
-  { name: 'gone is final', words: [createRecord('e1', { sequence: 5 }), createRecord('e1', { sequence: 0, stage: 'gone' }), createRecord('e1', { sequence: 9 })], stage: 'gone', sequence: 5 },
-  { name: 'gone as the first update', words: [createRecord('e1', { sequence: 0, stage: 'gone' }), createRecord('e1', { sequence: 9 })], stage: 'gone', sequence: 0 },
-  { name: 'lost, then a newer update', words: [createRecord('e1', { sequence: 5 }), createRecord('e1', { sequence: 5, stage: 'lost' }), createRecord('e1', { sequence: 6 })], stage: 'ready', sequence: 6 },
-  { name: 'a reused address', words: [createRecord('e1', { port: 7 }), createRecord('e2', { port: 7, service: brandId<ServiceName>('other') })], stage: 'lost', sequence: 1 },
-  { name: 'a new incarnation whose sequence restarts', words: [createRecord('e1', { born: 10, sequence: 5000 }), createRecord('e1', { born: 20, sequence: 1 })], stage: 'ready', sequence: 1 },
-  { name: 'a new incarnation at another address', words: [createRecord('e1', { born: 10, sequence: 5000 }), createRecord('e1', { born: 20, sequence: 1, host: '10.0.0.9' })], stage: 'ready', sequence: 1 },
-  { name: 'a new incarnation after draining', words: [createRecord('e1', { born: 10, sequence: 5, stage: 'draining' }), createRecord('e1', { born: 20, sequence: 1 })], stage: 'ready', sequence: 1 },
-  { name: 'a new incarnation after gone', words: [createRecord('e1', { born: 10, sequence: 5 }), createRecord('e1', { sequence: 0, stage: 'gone' }), createRecord('e1', { born: 20, sequence: 1 })], stage: 'ready', sequence: 1 },
-  { name: 'a new incarnation after lost', words: [createRecord('e1', { born: 10, sequence: 5 }), createRecord('e1', { born: 10, sequence: 5, stage: 'lost' }), createRecord('e1', { born: 20, sequence: 1 })], stage: 'ready', sequence: 1 },
-  { name: 'a late update of the earlier incarnation', words: [createRecord('e1', { born: 20, sequence: 1 }), createRecord('e1', { born: 10, sequence: 5001, stage: 'draining' })], stage: 'ready', sequence: 1 },
-  { name: 'a late lost update of the earlier incarnation', words: [createRecord('e1', { born: 20, sequence: 1 }), createRecord('e1', { born: 10, sequence: 5000, stage: 'lost' })], stage: 'ready', sequence: 1 },
-  { name: 'a late gone update of the earlier incarnation, from another registry', words: [createRecord('e1', { born: 20, sequence: 1 }), createRecord('e1', { born: 10, sequence: 5000, stage: 'gone' })], stage: 'ready', sequence: 1 },
-  { name: 'an incarnation with an earlier start time, after the known one was lost', words: [createRecord('e1', { born: 20, sequence: 5 }), createRecord('e1', { born: 20, sequence: 5, stage: 'lost' }), createRecord('e1', { born: 10, sequence: 1 })], stage: 'ready', sequence: 1 },
-  { name: 'gone, then a late update of the same incarnation', words: [createRecord('e1', { born: 10, sequence: 5 }), createRecord('e1', { sequence: 0, stage: 'gone' }), createRecord('e1', { born: 10, sequence: 9 })], stage: 'gone', sequence: 5 },
-  { name: 'gone as the first update, then its incarnation, then a new one', words: [createRecord('e1', { sequence: 0, stage: 'gone' }), createRecord('e1', { born: 10, sequence: 9, stage: 'gone' }), createRecord('e1', { born: 20, sequence: 1 })], stage: 'ready', sequence: 1 },
-  { name: 'an update without a start time', words: [createRecord('e1', { born: 10, sequence: 5 }), createRecord('e1', { sequence: 6, stage: 'draining' })], stage: 'draining', sequence: 6 }
+const directoryCases: readonly { name: string, updates: readonly EndpointRecord[], stage: EndpointStage, sequence: number }[] = [
+  { name: 'a late ready update after draining', updates: [createRecord('e1', { sequence: 5, stage: 'draining' }), createRecord('e1', { sequence: 4 })], stage: 'draining', sequence: 5 },
+  { name: 'ready again by a newer update', updates: [createRecord('e1', { sequence: 5, stage: 'draining' }), createRecord('e1', { sequence: 6 })], stage: 'ready', sequence: 6 },
+  { name: 'gone is final', updates: [createRecord('e1', { sequence: 5 }), createRecord('e1', { sequence: 0, stage: 'gone' }), createRecord('e1', { sequence: 9 })], stage: 'gone', sequence: 5 },
+  { name: 'gone as the first update', updates: [createRecord('e1', { sequence: 0, stage: 'gone' }), createRecord('e1', { sequence: 9 })], stage: 'gone', sequence: 0 },
+  { name: 'lost, then a newer update', updates: [createRecord('e1', { sequence: 5 }), createRecord('e1', { sequence: 5, stage: 'lost' }), createRecord('e1', { sequence: 6 })], stage: 'ready', sequence: 6 },
+  { name: 'a reused address', updates: [createRecord('e1', { port: 7 }), createRecord('e2', { port: 7, service: brandId<ServiceName>('other') })], stage: 'lost', sequence: 1 },
+  { name: 'a new incarnation whose sequence restarts', updates: [createRecord('e1', { born: 10, sequence: 5000 }), createRecord('e1', { born: 20, sequence: 1 })], stage: 'ready', sequence: 1 },
+  { name: 'a new incarnation at another address', updates: [createRecord('e1', { born: 10, sequence: 5000 }), createRecord('e1', { born: 20, sequence: 1, host: '10.0.0.9' })], stage: 'ready', sequence: 1 },
+  { name: 'a new incarnation after draining', updates: [createRecord('e1', { born: 10, sequence: 5, stage: 'draining' }), createRecord('e1', { born: 20, sequence: 1 })], stage: 'ready', sequence: 1 },
+  { name: 'a new incarnation after gone', updates: [createRecord('e1', { born: 10, sequence: 5 }), createRecord('e1', { sequence: 0, stage: 'gone' }), createRecord('e1', { born: 20, sequence: 1 })], stage: 'ready', sequence: 1 },
+  { name: 'a new incarnation after lost', updates: [createRecord('e1', { born: 10, sequence: 5 }), createRecord('e1', { born: 10, sequence: 5, stage: 'lost' }), createRecord('e1', { born: 20, sequence: 1 })], stage: 'ready', sequence: 1 },
+  { name: 'a late update of the earlier incarnation', updates: [createRecord('e1', { born: 20, sequence: 1 }), createRecord('e1', { born: 10, sequence: 5001, stage: 'draining' })], stage: 'ready', sequence: 1 },
+  { name: 'a late lost update of the earlier incarnation', updates: [createRecord('e1', { born: 20, sequence: 1 }), createRecord('e1', { born: 10, sequence: 5000, stage: 'lost' })], stage: 'ready', sequence: 1 },
+  { name: 'a late gone update of the earlier incarnation, from another registry', updates: [createRecord('e1', { born: 20, sequence: 1 }), createRecord('e1', { born: 10, sequence: 5000, stage: 'gone' })], stage: 'ready', sequence: 1 },
+  { name: 'an incarnation with an earlier start time, after the known one was lost', updates: [createRecord('e1', { born: 20, sequence: 5 }), createRecord('e1', { born: 20, sequence: 5, stage: 'lost' }), createRecord('e1', { born: 10, sequence: 1 })], stage: 'ready', sequence: 1 },
+  { name: 'gone, then a late update of the same incarnation', updates: [createRecord('e1', { born: 10, sequence: 5 }), createRecord('e1', { sequence: 0, stage: 'gone' }), createRecord('e1', { born: 10, sequence: 9 })], stage: 'gone', sequence: 5 },
+  { name: 'gone as the first update, then its incarnation, then a new one', updates: [createRecord('e1', { sequence: 0, stage: 'gone' }), createRecord('e1', { born: 10, sequence: 9, stage: 'gone' }), createRecord('e1', { born: 20, sequence: 1 })], stage: 'ready', sequence: 1 },
+  { name: 'an update without a start time', updates: [createRecord('e1', { born: 10, sequence: 5 }), createRecord('e1', { sequence: 6, stage: 'draining' })], stage: 'draining', sequence: 6 }
 ]
 
-for (const { name, words: told, stage, sequence } of words) {
+for (const { name, updates, stage, sequence } of directoryCases) {
   test(`the directory: ${name}`, () => {
     const directory = new EndpointDirectory()
-    for (const word of told) directory.merge(word)
+    for (const update of updates) directory.merge(update)
     const { stage: found, sequence: newest } = directory.find(brandId('e1')) as EndpointRecord
     assert.deepEqual([found, newest], [stage, sequence])
   })
@@ -37,11 +37,11 @@
 
 test('directories that receive the same updates, reordered and duplicated, agree', () => {
   const stages: EndpointStage[] = ['ready', 'draining', 'gone']
-  const word = fc.record({ sequence: fc.integer({ min: 1, max: 20 }), stage: fc.constantFrom(...stages), born: fc.integer({ min: 1, max: 3 }) })
-  fc.assert(fc.property(fc.uniqueArray(word, { selector: one => `${one.born} ${one.sequence}`, minLength: 1, maxLength: 8 }), fc.infiniteStream(fc.nat()), (told, order) => {
+  const update = fc.record({ sequence: fc.integer({ min: 1, max: 20 }), stage: fc.constantFrom(...stages), born: fc.integer({ min: 1, max: 3 }) })
+  fc.assert(fc.property(fc.uniqueArray(update, { selector: one => `${one.born} ${one.sequence}`, minLength: 1, maxLength: 8 }), fc.infiniteStream(fc.nat()), (updates, order) => {
     const first = new EndpointDirectory()
     const second = new EndpointDirectory()
-    const records = told.map(one => createRecord('e1', one))
+    const records = updates.map(one => createRecord('e1', one))
     for (const record of records) first.merge(record)
     const shuffled = [...records, ...records].map(record => ({ record, key: order.next().value as number })).sort((a, b) => a.key - b.key)
     for (const { record } of shuffled) second.merge(record)
@@ -51,29 +51,29 @@
 })
 
 test('an endpoint that refuses connections is ejected until one succeeds, with growing probe intervals', () => {
-  const trust = new EndpointHealth()
-  trust.noteUnreachable(0)
-  assert.deepEqual([trust.look(10), trust.look(260)], ['out', 'probing'])
-  trust.noteUnreachable(260)
-  assert.deepEqual([trust.look(700), trust.look(770)], ['out', 'probing'])
-  trust.noteReachable(770)
-  assert.equal(trust.look(771), 'good')
+  const health = new EndpointHealth()
+  health.noteUnreachable(0)
+  assert.deepEqual([health.look(10), health.look(260)], ['out', 'probing'])
+  health.noteUnreachable(260)
+  assert.deepEqual([health.look(700), health.look(770)], ['out', 'probing'])
+  health.noteReachable(770)
+  assert.equal(health.look(771), 'good')
 })
 
 test('one broken answer makes an endpoint doubtful, two in a row eject it', () => {
-  const trust = new EndpointHealth()
-  trust.noteBroken(0)
-  assert.equal(trust.look(1), 'doubtful')
-  assert.equal(trust.look(800), 'good')
-  trust.noteBroken(800)
-  assert.equal(trust.look(801), 'out')
+  const health = new EndpointHealth()
+  health.noteBroken(0)
+  assert.equal(health.look(1), 'doubtful')
+  assert.equal(health.look(800), 'good')
+  health.noteBroken(800)
+  assert.equal(health.look(801), 'out')
 })
 
 test('a zone is unreachable once its messages stop, the own zone never', () => {
-  const watch = new ZoneMonitor(brandId('zone-a'), 500)
-  assert.equal(watch.isCut(brandId('zone-b'), 10_000), false)
-  watch.noteHeard(brandId('zone-b'), 10_000)
-  assert.equal(watch.isCut(brandId('zone-b'), 10_400), false)
-  assert.equal(watch.isCut(brandId('zone-b'), 10_600), true)
-  assert.equal(watch.isCut(brandId('zone-a'), 99_000), false)
+  const monitor = new ZoneMonitor(brandId('zone-a'), 500)
+  assert.equal(monitor.isCut(brandId('zone-b'), 10_000), false)
+  monitor.noteHeard(brandId('zone-b'), 10_000)
+  assert.equal(monitor.isCut(brandId('zone-b'), 10_400), false)
+  assert.equal(monitor.isCut(brandId('zone-b'), 10_600), true)
+  assert.equal(monitor.isCut(brandId('zone-a'), 99_000), false)
 })
--- a/test/engines-apart.test.ts
+++ b/test/engines-apart.test.ts
@@ -5,7 +5,7 @@
 import { createFleet, createLoad, createRecord, createWork, desk, engineService, movingService, nameZone } from './support/fleet-builder.js'
 
 const demand: ReadingDemand = { rates: Array<number>(10).fill(40_000), tolerantRate: 0, sensitiveRate: 0, waiting: 0, tolerantEngines: 0, sensitiveEngines: 0 }
-const shares: readonly { name: string, demand: Partial<ReadingDemand>, count: number }[] = [
+const countCases: readonly { name: string, demand: Partial<ReadingDemand>, count: number }[] = [
   { name: 'no demand', demand: {}, count: 1 },
   { name: 'reading for three engines, with planned utilization below one', demand: { tolerantRate: 100_000 }, count: 4 },
   { name: 'a burst of long prompts leaves a fifth of the engines to other requests', demand: { tolerantRate: 900_000 }, count: 8 },
@@ -16,18 +16,18 @@
   { name: 'a single engine serves all requests', demand: { rates: [40_000], tolerantRate: 100_000 }, count: 1 }
 ]
 
-for (const { name, demand: more, count } of shares) {
+for (const { name, demand: more, count } of countCases) {
   test(`dedicated engines: ${name}`, () => assert.equal(computeDedicatedCount({ ...demand, ...more }), count))
 }
 
 test('the count of dedicated engines grows immediately and shrinks slowly, never below its base', () => {
-  const share = new DedicatedCountController()
-  assert.deepEqual(share.update(0, demand), { count: 4, base: 4 })
-  assert.equal(share.update(10, { ...demand, tolerantRate: 250_000 }).count, 8)
-  assert.equal(share.update(1000, demand).count, 8)
-  assert.equal(share.update(2600, demand).count, 7)
-  for (let at = 4200; at < 30_000; at += 1600) share.update(at, { ...demand, tolerantRate: 100_000 })
-  assert.deepEqual(share.counts, { count: 4, base: 4 })
+  const controller = new DedicatedCountController()
+  assert.deepEqual(controller.update(0, demand), { count: 4, base: 4 })
+  assert.equal(controller.update(10, { ...demand, tolerantRate: 250_000 }).count, 8)
+  assert.equal(controller.update(1000, demand).count, 8)
+  assert.equal(controller.update(2600, demand).count, 7)
+  for (let at = 4200; at < 30_000; at += 1600) controller.update(at, { ...demand, tolerantRate: 100_000 })
+  assert.deepEqual(controller.counts, { count: 4, base: 4 })
 })
 
 test('engines needed by pause-sensitive requests are released immediately', () => {
@@ -40,22 +40,22 @@
 test('a pause-sensitive request uses a dedicated engine only if no other engine has a free slot', () => {
   const records = Array.from({ length: 5 }, (_, i) => createRecord(`e${i + 1}`))
   const fleet = createFleet(records, engineService)
-  const quick = createWork({ pauseMs: 50, cost: { promptTokens: 100, mostTokens: 10, parts: [] } })
-  const used = new Set<string>()
+  const sensitive = createWork({ pauseMs: 50, cost: { promptTokens: 100, mostTokens: 10, parts: [] } })
+  const chosen = new Set<string>()
   for (let i = 0; i < 40; i++) {
-    const choice = fleet.choose(quick, [], i / 10, 0)
+    const choice = fleet.choose(sensitive, [], i / 10, 0)
     assert.ok(typeof choice !== 'string')
-    if (i < 24) used.add(choice.view.id)
-    choice.view.place(quick, choice.plan, i / 10)
+    if (i < 24) chosen.add(choice.view.id)
+    choice.view.place(sensitive, choice.plan, i / 10)
   }
-  assert.equal(used.size, 3)
+  assert.equal(chosen.size, 3)
   assert.equal([...fleet.views].filter(view => view.running > 0).length, 5)
 })
 
 test('pause-tolerant and pause-sensitive requests don\'t share engines, and boxes agree on the division', () => {
   const records = Array.from({ length: 8 }, (_, i) => createRecord(`e${i + 1}`, { zone: nameZone(`zone-${i % 2}`) }))
   const boxes = [createFleet(records, engineService), createFleet([...records].reverse(), engineService)]
-  const sides = boxes.map(fleet => {
+  const enginesByBox = boxes.map(fleet => {
     const tolerantEngines = new Set<string>()
     const sensitiveEngines = new Set<string>()
     for (let i = 0; i < 60; i++) {
@@ -65,40 +65,40 @@
       if (typeof tolerant !== 'string') tolerantEngines.add(tolerant.view.id)
       if (typeof sensitive !== 'string') sensitiveEngines.add(sensitive.view.id)
     }
-    return { patient: tolerantEngines, brisk: sensitiveEngines }
+    return { tolerantEngines, sensitiveEngines }
   })
-  for (const { patient, brisk } of sides) assert.deepEqual([...patient].filter(id => brisk.has(id)), [])
-  assert.deepEqual([...sides[0].patient].filter(id => sides[1].brisk.has(id)), [])
-  assert.deepEqual([...sides[1].patient].filter(id => sides[0].brisk.has(id)), [])
+  for (const { tolerantEngines: tolerant, sensitiveEngines: sensitive } of enginesByBox) assert.deepEqual([...tolerant].filter(id => sensitive.has(id)), [])
+  assert.deepEqual([...enginesByBox[0].tolerantEngines].filter(id => enginesByBox[1].sensitiveEngines.has(id)), [])
+  assert.deepEqual([...enginesByBox[1].tolerantEngines].filter(id => enginesByBox[0].sensitiveEngines.has(id)), [])
 })
 
 test('which requests are pause-tolerant is learned from the longest measured reading pauses', () => {
-  const slow = createWork({ pauseMs: 300, cost: { promptTokens: 100, mostTokens: 10, parts: [] } })
-  const sensitive = createWork({ ...slow, pauseMs: 185 })
+  const tolerant = createWork({ pauseMs: 300, cost: { promptTokens: 100, mostTokens: 10, parts: [] } })
+  const sensitive = createWork({ ...tolerant, pauseMs: 185 })
   const pause = new ReadingPause()
   assert.equal(pause.find(0), null)
   for (let i = 0; i < 240; i++) pause.add(i % 40 === 0 ? 180 : 60, 1, i)
   for (let i = 240; i < 600; i++) pause.add(60, 1, i)
   assert.deepEqual([pause.find(600), pause.find(70_000)], [180, null])
-  assert.deepEqual([slow, sensitive].map(work => isPauseTolerant(work, computeMinTolerantPause(pause.find(600) ?? 0, null))), [true, false])
+  assert.deepEqual([tolerant, sensitive].map(work => isPauseTolerant(work, computeMinTolerantPause(pause.find(600) ?? 0, null))), [true, false])
 })
 
 test('a box that has measured no reading pause uses the reported median', () => {
   const fleet = createFleet(Array.from({ length: 5 }, (_, i) => createRecord(`e${i + 1}`)), engineService)
   const work = createWork({ pauseMs: 200, cost: { promptTokens: 100, mostTokens: 10, parts: [] } })
-  const tell = (readingPauseMs: number): void => {
-    const book = new LoadBook()
-    for (const [i, seen] of [readingPauseMs, readingPauseMs, 9000].entries()) book.note(brandId(`box-${i}`), nameZone('zone-a'), createLoad(0, { loads: [], demands: [{ service: desk, patient: 1, brisk: 1, apart: 2, base: 1, readingPauseMs: seen, held: [] }] }), 0)
-    fleet.noteOthers(book.sumOwn(0), 0)
+  const report = (readingPauseMs: number): void => {
+    const table = new LoadBook()
+    for (const [i, seen] of [readingPauseMs, readingPauseMs, 9000].entries()) table.note(brandId(`box-${i}`), nameZone('zone-a'), createLoad(0, { loads: [], demands: [{ service: desk, patient: 1, brisk: 1, apart: 2, base: 1, readingPauseMs: seen, held: [] }] }), 0)
+    fleet.noteOthers(table.sumOwn(0), 0)
   }
   const countCandidates = (at: number): number => {
     const choice = fleet.choose(work, [], at, 0)
     return typeof choice === 'string' ? 0 : choice.candidates
   }
-  tell(100)
-  const beside = countCandidates(100)
-  tell(260)
-  assert.notEqual(countCandidates(200), beside)
+  report(100)
+  const before = countCandidates(100)
+  report(260)
+  assert.notEqual(countCandidates(200), before)
 })
 
 test('a newly dedicated engine gets no long prompt while pause-sensitive streams run there', () => {
@@ -114,19 +114,19 @@
   assert.notEqual(pick(), first)
 })
 
-const patience: readonly { name: string, besideMs: number, pauses: readonly number[], patient: readonly number[] }[] = [
-  { name: 'all allow the reading pause', besideMs: 100, pauses: [200, 300], patient: [200, 300] },
-  { name: 'some allow it', besideMs: 200, pauses: [120, 250, 500], patient: [250, 500] },
-  { name: 'none allows it: those that allow the longest are tolerant', besideMs: 400, pauses: [120, 200, 300], patient: [300] },
-  { name: 'none allows it, and all are alike: none is tolerant', besideMs: 400, pauses: [300], patient: [] }
+const toleranceCases: readonly { name: string, besideMs: number, pauses: readonly number[], tolerant: readonly number[] }[] = [
+  { name: 'all allow the reading pause', besideMs: 100, pauses: [200, 300], tolerant: [200, 300] },
+  { name: 'some allow it', besideMs: 200, pauses: [120, 250, 500], tolerant: [250, 500] },
+  { name: 'none allows it: those that allow the longest are tolerant', besideMs: 400, pauses: [120, 200, 300], tolerant: [300] },
+  { name: 'none allows it, and all are alike: none is tolerant', besideMs: 400, pauses: [300], tolerant: [] }
 ]
 
-for (const { name, besideMs, pauses, patient } of patience) {
+for (const { name, besideMs, pauses, tolerant } of toleranceCases) {
   test(`pause-tolerant requests: ${name}`, () => {
     const range = new PauseRange()
     pauses.forEach((pauseMs, i) => range.note(i, pauseMs))
     const found = pauses.filter(pauseMs => isPauseTolerant(createWork({ pauseMs }), computeMinTolerantPause(besideMs, range.findLongest(10))))
-    assert.deepEqual(found, patient)
+    assert.deepEqual(found, tolerant)
     assert.equal(range.findLongest(100_000), null)
   })
 }
--- a/test/loads.test.ts
+++ b/test/loads.test.ts
@@ -5,14 +5,14 @@
 import type { BoxLoad } from '../src/core/index.js'
 import { createFleet, createLoad, createRecord, createWork, desk, engineService, nameZone } from './support/fleet-builder.js'
 
-const holders: readonly { readonly name: string, readonly held: readonly (readonly [number, number])[], readonly priority: number, readonly count: number }[] = [
+const holderCases: readonly { readonly name: string, readonly held: readonly (readonly [number, number])[], readonly priority: number, readonly count: number }[] = [
   { name: 'the others hold less urgent ones', held: [[2, 900]], priority: 1, count: 1 },
   { name: 'the others hold equally urgent ones', held: [[2, 900]], priority: 2, count: 4 },
   { name: 'the others hold equally and less urgent ones', held: [[1, 100], [2, 900]], priority: 1, count: 4 },
   { name: 'the others hold nothing', held: [], priority: 2, count: 1 }
 ]
 
-for (const { name, held, priority, count } of holders) {
+for (const { name, held, priority, count } of holderCases) {
   test(`counts the boxes that hold requests at least as urgent: ${name}`, () => {
     const fleet = createFleet([createRecord('e1')], engineService)
     fleet.noteHeld(createWork({ priority, pauseMs: 600, cost: { promptTokens: 900, mostTokens: 10, parts: [] } }), true)
@@ -43,22 +43,22 @@
 // Guards against counting the backlog of boxes that no longer report: after the registries' leader lost power, its gateways reported to another
 // hub, but their last reports to the old one counted for 1.5 s more, and 60 tags were refused. Likewise, the 18,214 unread tokens of a stopped
 // gateway kept requests away from an engine with room for 1.4 s.
-const unheard: readonly { readonly name: string, readonly tell: (book: LoadBook, load: BoxLoad) => void }[] = [
-  { name: 'a box', tell: (book, load) => book.note(brandId('a'), nameZone('zone-a'), load, 0) },
+const staleReportCases: readonly { readonly name: string, readonly report: (book: LoadBook, load: BoxLoad) => void }[] = [
+  { name: 'a box', report: (table, load) => table.note(brandId('a'), nameZone('zone-a'), load, 0) },
   {
     name: 'a hub',
-    tell: (book, load) => {
-      const there = new LoadBook()
-      there.note(brandId('a'), nameZone('zone-a'), load, 0)
-      book.noteSum(brandId('hub-b'), { ...there.sumOwn(0), isWhole: true, gone: [] }, 0)
+    report: (table, load) => {
+      const otherTable = new LoadBook()
+      otherTable.note(brandId('a'), nameZone('zone-a'), load, 0)
+      table.noteSum(brandId('hub-b'), { ...otherTable.sumOwn(0), isWhole: true, gone: [] }, 0)
     }
   }
 ]
 
-for (const { name, tell } of unheard) {
+for (const { name, report } of staleReportCases) {
   test(`the backlog of ${name} is dropped after two missed reports; running requests count until the report expires`, () => {
     const table = new LoadBook()
-    tell(table, createLoad(2, { demands: [{ service: desk, patient: 20, brisk: 2, apart: 1, base: 1, readingPauseMs: null, held: [[2, 900]] }] }))
+    report(table, createLoad(2, { demands: [{ service: desk, patient: 20, brisk: 2, apart: 1, base: 1, readingPauseMs: null, held: [[2, 900]] }] }))
     const read = (at: number): unknown[] => {
       const { loads: [load], demands: [demand] } = table.sumAll(table.sumOwn(at), at)
       return [load.running, load.waiting, load.largest, demand.held, demand.holders, demand.patient]
@@ -82,28 +82,28 @@
 
 test('a hub\'s totals minus a box\'s own report equal the sum of the other reports', () => {
   const load = fc.record({ running: fc.integer({ min: 1, max: 9 }), held: fc.integer({ min: 0, max: 900 }), apart: fc.integer({ min: 1, max: 5 }) })
-  fc.assert(fc.property(fc.array(load, { minLength: 2, maxLength: 9 }), told => {
-    const words = told.map(({ running, held, apart }) => createLoad(running, {
+  fc.assert(fc.property(fc.array(load, { minLength: 2, maxLength: 9 }), samples => {
+    const reports = samples.map(({ running, held, apart }) => createLoad(running, {
       demands: [{ service: desk, patient: 10 * running, brisk: running, apart, base: 1, readingPauseMs: running, held: held === 0 ? [] : [[2, held]] }],
       gaps: [[brandId('e1'), running]]
     }))
     const sumOf = (some: readonly BoxLoad[]) => {
       const table = new LoadBook()
-      some.forEach((word, i) => table.note(brandId(`box-${i}`), nameZone('zone-a'), word, 0))
+      some.forEach((report, i) => table.note(brandId(`box-${i}`), nameZone('zone-a'), report, 0))
       return table.sumOwn(0)
     }
-    const left = subtractOwn(sumOf(words), words[0])
-    const others = sumOf(words.slice(1))
-    assert.deepEqual([left.loads[0].running, left.loads[0].memory, left.loads[0].waiting], [others.loads[0].running, others.loads[0].memory, others.loads[0].waiting])
-    const [mine, theirs] = [left.demands[0], others.demands[0]]
+    const remaining = subtractOwn(sumOf(reports), reports[0])
+    const others = sumOf(reports.slice(1))
+    assert.deepEqual([remaining.loads[0].running, remaining.loads[0].memory, remaining.loads[0].waiting], [others.loads[0].running, others.loads[0].memory, others.loads[0].waiting])
+    const [mine, theirs] = [remaining.demands[0], others.demands[0]]
     assert.deepEqual([mine.patient, mine.brisk, mine.held, mine.holders], [theirs.patient, theirs.brisk, theirs.held, theirs.holders])
     assert.ok(mine.apart >= theirs.apart)
   }))
 })
 
 test('finds the maximum within the window, not older values', () => {
-  const most = new RecentMost(100)
-  assert.equal(most.find(0, 7), 7)
-  for (const [at, value] of [[0, 9], [50, 4], [60, 5]] as const) most.note(at, value)
-  assert.deepEqual([most.find(90, 1), most.find(120, 1), most.find(161, 1)], [9, 5, 1])
+  const max = new RecentMost(100)
+  assert.equal(max.find(0, 7), 7)
+  for (const [at, value] of [[0, 9], [50, 4], [60, 5]] as const) max.note(at, value)
+  assert.deepEqual([max.find(90, 1), max.find(120, 1), max.find(161, 1)], [9, 5, 1])
 })
--- a/test/prompts.test.ts
+++ b/test/prompts.test.ts
@@ -16,7 +16,7 @@
   assert.equal(memory.countHeld([{ id: 'd', tokens: 600 }]), 600)
 })
 
-const fetches: readonly { name: string, service?: RoutedService, prompts?: LoadTotals['prompts'], disturb?: (fleet: Fleet) => void, tried?: string[], fetch: string | null, read: number | null }[] = [
+const fetchCases: readonly { name: string, service?: RoutedService, prompts?: LoadTotals['prompts'], disturb?: (fleet: Fleet) => void, tried?: string[], fetch: string | null, read: number | null }[] = [
   { name: 'no engine has it cached: all of it is read', prompts: [], fetch: null, read: 8000 },
   { name: 'the engine that has it cached reads the rest', tried: ['e2', 'e3'], fetch: null, read: 2000 },
   { name: 'another engine fetches it from there', tried: ['e1'], fetch: 'e1', read: 2000 },
@@ -25,7 +25,7 @@
   { name: 'nothing is fetched over a slow link', service: { ...movingService, engine: { ...movingService.engine!, transfer: { tokenBytes: 100_000, bytesPerMs: 1_000_000 } } }, tried: ['e1'], fetch: null, read: 8000 }
 ]
 
-for (const { name, service = movingService, prompts = readShared, disturb, tried = [], fetch, read } of fetches) {
+for (const { name, service = movingService, prompts = readShared, disturb, tried = [], fetch, read } of fetchCases) {
   test(`a shared prompt: ${name}`, () => {
     const fleet = createFleet([createRecord('e1'), createRecord('e2'), createRecord('e3')], service)
     fleet.noteOthers({ ...noTotals, prompts }, 0)
@@ -52,13 +52,13 @@
   assert.equal(there.findView(choice.view.id)?.prompts.countHeld(long.cost!.parts), 6000)
 })
 
-const orders: readonly { name: string, prepare: (fleet: Fleet) => void }[] = [
+const arrivalOrders: readonly { name: string, prepare: (fleet: Fleet) => void }[] = [
   { name: 'before its service', prepare: fleet => { fleet.applyRecords([createRecord('e1')]); fleet.configure([movingService]) } },
   { name: 'after its service', prepare: fleet => { fleet.configure([movingService]); fleet.applyRecords([createRecord('e1')]) } },
   { name: 'before its service, which then changes', prepare: fleet => { fleet.applyRecords([createRecord('e1')]); fleet.configure([movingService]); fleet.configure([{ ...movingService, mostConnections: 7 }]) } }
 ]
 
-for (const { name, prepare } of orders) {
+for (const { name, prepare } of arrivalOrders) {
   test(`cached prompts are applied to an engine whose record arrived ${name}`, () => {
     const fleet = new Fleet(brandId('zone-a'))
     prepare(fleet)
@@ -109,29 +109,29 @@
   assert.deepEqual(new Set(index.prompts), new Set(all))
 })
 
-const batches: readonly { name: string, held: Readonly<Record<string, number>>, sizes: readonly number[] }[] = [
+const batchCases: readonly { name: string, held: Readonly<Record<string, number>>, sizes: readonly number[] }[] = [
   { name: 'nothing', held: {}, sizes: [] },
   { name: 'a few engines with little each', held: { a: 100, b: 100, c: 200 }, sizes: [400] },
   { name: 'one engine with much', held: { a: 900 }, sizes: [900] },
   { name: 'engines that fill a batch together', held: { a: 300, b: 300, c: 50 }, sizes: [300, 350] }
 ]
 
-for (const { name, held, sizes } of batches) {
+for (const { name, held, sizes } of batchCases) {
   test(`cached prompts are sent in batches that don't split an engine: ${name}`, () => {
     const prompts = Object.entries(held).flatMap(([id, count]) => Array.from({ length: count }, (_, i): LoadTotals['prompts'][number] => [brandId(id), [[`part-${i}`, 1]], true]))
     // In the order of arrival, not by engine.
-    const told = listBatches(prompts.sort(([, a], [, b]) => a[0][0].localeCompare(b[0][0])))
-    assert.deepEqual(told.map(batch => batch.length), sizes)
-    const owners = told.map(batch => new Set(batch.map(([id]) => id)))
+    const batches = listBatches(prompts.sort(([, a], [, b]) => a[0][0].localeCompare(b[0][0])))
+    assert.deepEqual(batches.map(batch => batch.length), sizes)
+    const owners = batches.map(batch => new Set(batch.map(([id]) => id)))
     assert.equal(owners.reduce((sum, ids) => sum + ids.size, 0), Object.keys(held).length)
   })
 }
 
 test('prompts reported by registries are applied in any order of record, service and prompt', () => {
-  const told: readonly ((fleet: Fleet) => void)[] = [fleet => fleet.notePrompts(readShared), fleet => fleet.applyRecords([createRecord('e1')]), fleet => fleet.configure([movingService])]
+  const steps: readonly ((fleet: Fleet) => void)[] = [fleet => fleet.notePrompts(readShared), fleet => fleet.applyRecords([createRecord('e1')]), fleet => fleet.configure([movingService])]
   for (const order of [[0, 1, 2], [0, 2, 1], [1, 0, 2], [1, 2, 0], [2, 0, 1], [2, 1, 0]]) {
     const fleet = new Fleet(brandId('zone-a'))
-    for (const i of order) told[i](fleet)
+    for (const i of order) steps[i](fleet)
     assert.equal(fleet.findView(brandId('e1'))?.kept.countHeld(long.cost!.parts), 6000, order.join(''))
   }
 })
--- a/test/sum-news.test.ts
+++ b/test/sum-news.test.ts
@@ -14,16 +14,16 @@
 // Updates between hubs are datagrams and may be lost; after two lost in a row, the next complete update restores the totals.
 test('totals reconstructed from partial updates are correct unless two updates in a row are lost', () => {
   fc.assert(fc.property(steps, all => {
-    const [teller, reader] = [new SumTeller(), new SumReader()]
+    const [encoder, reader] = [new SumTeller(), new SumReader()]
     const running: Record<string, number> = {}
     let wasLost = false
-    reader.take(teller.compose(composeSum(running), true))
+    reader.take(encoder.compose(composeSum(running), true))
     for (const { endpoint, running: count, isWhole, isLost } of all) {
       running[endpoint] = count
-      const news = teller.compose(composeSum(running), isWhole)
+      const update = encoder.compose(composeSum(running), isWhole)
       // The changes in a lost complete update are also in the updates around it.
       wasLost = isLost && !wasLost
-      if (!wasLost) assert.equal(describe(reader.take(news)), describe(composeSum(running)))
+      if (!wasLost) assert.equal(describe(reader.take(update)), describe(composeSum(running)))
     }
   }), { seed: 8, numRuns: 300 })
 })
@@ -53,6 +53,6 @@
   const [encoder, reader] = [new SumTeller(), new SumReader()]
   const sum = { ...composeSum({ a: 1 }), gaps: [[brandId<EndpointId>('a'), 9.3] as const] }
   const whole = encoder.compose(sum, true)
-  const told = [{ ...whole, gaps: null }, whole, { ...whole, gaps: null }].map(news => reader.take(news)?.gaps)
-  assert.deepEqual(told, [[], sum.gaps, sum.gaps])
+  const gaps = [{ ...whole, gaps: null }, whole, { ...whole, gaps: null }].map(update => reader.take(update)?.gaps)
+  assert.deepEqual(gaps, [[], sum.gaps, sum.gaps])
 })
