--- a/src/core/balance/admission.ts
+++ b/src/core/balance/admission.ts
@@ -32,7 +32,7 @@
   readonly ownMs: number
   /** Longest wait with which the request is admitted. */
   readonly allowedMs: number
-  /** Time since a less urgent request last started; Infinity if none did. */
+  /** Time since a less urgent request was last sent to or waiting at an engine; Infinity if none was. */
   readonly sinceLessMs: number
   /** Fraction of its kind's requests that is admitted; 1 if the kind is not limited. */
   readonly share: number
@@ -47,7 +47,7 @@
   /** Time that an engine takes for the request alone, not adjusted for lateness, ms. */
   readonly readingMs: number
   readonly targetMs: number
-  /** Time since a less urgent request last started, ms. */
+  /** Time since a less urgent request was last sent to or waiting at an engine, ms. */
   readonly sinceLessMs: number
   /** Arrival rate of more urgent kinds at the same engines, tokens/ms. Engines read these first, including later arrivals. */
   readonly urgentRate: number
@@ -70,9 +70,9 @@
 const minRetryAfterMs = 300
 const maxRetryAfterMs = 5000
 /**
- * If a less urgent request started within this time, ms, a more urgent one may wait as long as that one's target:
- * the engines' time given to the less urgent request could have served the more urgent one, so refusing it would
- * invert the priorities. At worst it is late.
+ * If a less urgent request was sent to an engine within this time, ms, a more urgent one may wait as long as the
+ * less urgent kinds' longest target: the engine time given to the less urgent request could have served the more
+ * urgent one. At worst, the more urgent one is late.
  */
 const lessUrgentWindowMs = 5000
 /** Upper bound on that wait, as a multiple of the request's own target: callers give up after about four. */
@@ -150,10 +150,10 @@
   let lessTokens = 0
   let rate = 0
   for (const view of engines) {
-    const before = view.countBefore(priority, at)
+    const before = view.countBacklog(priority, at)
     ownTokens += before.own
     otherTokens += before.others
-    lessTokens += lowest === priority ? before.lessUrgent : view.countBefore(lowest, at).lessUrgent
+    lessTokens += lowest === priority ? before.lessUrgent : view.countBacklog(lowest, at).lessUrgent
     rate += 1 / view.readMsPerToken
   }
   return { ownTokens, otherTokens, heldTokens, lessTokens, engines: engines.length, rate }
--- a/src/core/balance/choice.ts
+++ b/src/core/balance/choice.ts
@@ -40,8 +40,8 @@
 /** Picks the endpoint with the lowest cost; `draw`, from 0 up to 1, breaks ties. `views` must not be empty. */
 export function pickLowestCost ({ views, estimateMs, plan, dedicatedCount, affinityEngine }: PickInput, draw: number): Choice {
   const costs = views.map(view => ({ view, ms: estimateMs(view) }))
-  const least = costs.reduce((ms, one) => Math.min(ms, one.ms), Infinity)
-  const ties = costs.filter(one => one.ms <= least + tieMs)
+  const minMs = costs.reduce((ms, one) => Math.min(ms, one.ms), Infinity)
+  const ties = costs.filter(one => one.ms <= minMs + tieMs)
   const { view, ms } = ties[Math.floor(draw * ties.length)]
   return { view, expectedMs: ms, plan: plan(view), isHome: view.id === affinityEngine, candidates: views.length, share: dedicatedCount }
 }
--- a/src/core/balance/dedicated-count.ts
+++ b/src/core/balance/dedicated-count.ts
@@ -66,13 +66,13 @@
     const engines = demand.rates.length
     const wanted = computeDedicatedCount(demand)
     const maxDedicated = countMaxDedicated(demand)
-    this.#moveBase(at, engines, wanted, maxDedicated)
-    this.#moveCount(at, Math.max(this.#base, wanted), Math.max(this.#base, maxDedicated))
+    this.#updateBase(at, engines, wanted, maxDedicated)
+    this.#updateCount(at, Math.max(this.#base, wanted), Math.max(this.#base, maxDedicated))
     this.#count = Math.min(this.#count, Math.max(1, engines - 1))
     return this.counts
   }
 
-  #moveBase (at: number, engines: number, wanted: number, maxDedicated: number): void {
+  #updateBase (at: number, engines: number, wanted: number, maxDedicated: number): void {
     const initialBase = Math.ceil(engines * initialShare)
     const isDrifting = wanted > initialBase + this.#baseOffset || wanted < initialBase + this.#baseOffset
     if (!isDrifting) this.#baseDriftSince = null
@@ -85,7 +85,7 @@
   }
 
   // Engines that pause-sensitive requests need are released immediately, engines that are merely unused only slowly.
-  #moveCount (at: number, wanted: number, maxDedicated: number): void {
+  #updateCount (at: number, wanted: number, maxDedicated: number): void {
     this.#count = Math.min(this.#count, maxDedicated)
     if (wanted >= this.#count) {
       this.#count = wanted
--- a/src/core/balance/endpoint-costs.ts
+++ b/src/core/balance/endpoint-costs.ts
@@ -16,10 +16,10 @@
 const doubtfulPenaltyMs = 400
 /** Delay that each stream causes to the others, ms. */
 const perStreamMs = 0.4
-/** Wait for each request beyond the slots, ms: the mean time until a slot is released. */
+/** Wait for each request beyond the slots, ms: about the interval at which slots are released. */
 export const queueMs = 60
 /** Wait of a request for an engine whose memory is exhausted, ms. */
-const memoryMs = 1500
+const memoryExhaustedMs = 1500
 /**
  * Penalty for each stream whose pause limit may be violated by reading a prompt beside it, ms: half the cost of a
  * lost request, as a single prompt rarely violates it.
@@ -88,7 +88,7 @@
   const busyMs = readingMs + running * perStreamMs + (fetch?.ms ?? 0)
   const rereadMs = computeRereadShare(readTokens, cost) * Math.max(0, work.targetMs * holderWaitShare - waitedMs)
   const queuedMs = Math.max(0, running + 1 - engine.slots) * queueMs
-  const memoryWaitMs = view.memoryInUse + cost.promptTokens > engine.memoryTokens * maxMemoryShare ? memoryMs : 0
+  const memoryWaitMs = view.memoryInUse + cost.promptTokens > engine.memoryTokens * maxMemoryShare ? memoryExhaustedMs : 0
   const pauseBreakMs = isPauseTolerant ? view.countPauseSensitive(minTolerantPauseMs) * pauseBreakPenaltyMs * estimatePauseBreakRisk(readingMs, minTolerantPauseMs) : 0
   return busyMs + rereadMs + queuedMs + memoryWaitMs + pauseBreakMs
 }
--- a/src/core/balance/endpoint-filter.ts
+++ b/src/core/balance/endpoint-filter.ts
@@ -18,8 +18,8 @@
   if (filter === null) return views
   const allowed = views.filter(({ record }) => filter.mayUse(record))
   const notAvoided = allowed.filter(({ id }) => !filter.avoids.has(id))
-  const left = notAvoided.length > 0 ? notAvoided : allowed
-  if (filter.key === null) return left
-  const chosen = chooseByHash(filter.key, left.map(({ id }) => id))
-  return left.filter(({ id }) => id === chosen)
+  const candidates = notAvoided.length > 0 ? notAvoided : allowed
+  if (filter.key === null) return candidates
+  const chosen = chooseByHash(filter.key, candidates.map(({ id }) => id))
+  return candidates.filter(({ id }) => id === chosen)
 }
--- a/src/core/balance/endpoint-view.ts
+++ b/src/core/balance/endpoint-view.ts
@@ -147,7 +147,7 @@
    * Prompt tokens that wait here: of requests that are not less urgent than `priority`, from this box and from the
    * others, and of less urgent ones.
    */
-  countBefore (priority: number, at: number): { readonly own: number, readonly others: number, readonly lessUrgent: number } {
+  countBacklog (priority: number, at: number): { readonly own: number, readonly others: number, readonly lessUrgent: number } {
     return this.#countWaiting(priority, at)
   }
 
@@ -158,7 +158,7 @@
     let largest = 0
     for (const placed of this.#placed) {
       if (placed.firstAt !== null) continue
-      const left = this.#countLeft(placed, at)
+      const left = this.#countUnreadTokens(placed, at)
       if (placed.work.priority <= priority) own += left
       else lessUrgent += left
       largest = Math.max(largest, left)
@@ -173,10 +173,10 @@
 
   // Estimates the unread tokens of a prompt from the expected read rate. An overdue first event indicates that the prompt is queued
   // behind prompts unknown to this box, so the delay is converted to tokens and counted, up to the size of the prompt.
-  #countLeft (placed: Placed, at: number): number {
+  #countUnreadTokens (placed: Placed, at: number): number {
     const waitedMs = at - placed.sentAt
     const expectedLeft = placed.readTokens - Math.max(0, waitedMs - placed.aheadTokens * this.readMsPerToken) / this.readMsPerToken
-    const overdueTokens = (waitedMs - this.expectAnswer(placed)) / this.readMsPerToken
+    const overdueTokens = (waitedMs - this.estimateAnswerMs(placed)) / this.readMsPerToken
     return Math.max(0, expectedLeft, Math.min(placed.readTokens, overdueTokens))
   }
 
@@ -190,7 +190,7 @@
         started += 1
         lastEventAt = Math.max(lastEventAt, placed.heardAt)
       } else if (placed.firstAt === null) {
-        overdue = Math.max(overdue, at - placed.sentAt - overdueRatio * this.expectAnswer(placed) - overdueMarginMs)
+        overdue = Math.max(overdue, at - placed.sentAt - overdueRatio * this.estimateAnswerMs(placed) - overdueMarginMs)
       }
     }
     if (started > 1) overdue = Math.max(overdue, at - lastEventAt - streamSilenceMs)
@@ -198,7 +198,7 @@
   }
 
   /** Expected time from sending a request to its answer or first event, ms. */
-  expectAnswer (placed: Placed): number {
+  estimateAnswerMs (placed: Placed): number {
     if (placed.work.cost === null) return this.answerMs.value
     return (placed.readTokens + placed.aheadTokens) * this.readMsPerToken + placed.fetchMs + overheadMs
   }
@@ -221,7 +221,7 @@
     if (cost === null) return this.answerMs.add(tookMs)
     this.#reportPrompt(cost, true, at)
     this.#stats.readMeter.add(at, countExpectedTokens(cost))
-    this.#stats.lateness.add(placed.work.level, tookMs / this.expectAnswer(placed))
+    this.#stats.lateness.add(placed.work.level, tookMs / this.estimateAnswerMs(placed))
     const tokens = placed.readTokens + placed.aheadTokens
     if (tokens >= minLearningTokens) this.#stats.readMsPerToken.add(Math.max(0, tookMs - overheadMs - placed.fetchMs) / tokens / this.slowness)
   }
@@ -272,8 +272,8 @@
   remove (placed: Placed, at: number): void {
     this.#placed.delete(placed)
     // A request that was cancelled before its first event after longer than expected is late too.
-    const waitedTimes = (at - placed.sentAt) / this.expectAnswer(placed)
-    if (placed.firstAt === null && placed.work.cost !== null && waitedTimes > 1) this.#stats.lateness.add(placed.work.level, waitedTimes)
+    const waitedRatio = (at - placed.sentAt) / this.estimateAnswerMs(placed)
+    if (placed.firstAt === null && placed.work.cost !== null && waitedRatio > 1) this.#stats.lateness.add(placed.work.level, waitedRatio)
   }
 
   /** Sets the load of the other boxes; null for none. */
@@ -289,7 +289,7 @@
     for (const placed of this.#placed) {
       memory += placed.memory
       if (placed.firstAt !== null) continue
-      const left = Math.round(this.#countLeft(placed, at))
+      const left = Math.round(this.#countUnreadTokens(placed, at))
       largest = Math.max(largest, left)
       if (left > 0) waiting.set(placed.work.priority, (waiting.get(placed.work.priority) ?? 0) + left)
     }
--- a/src/core/balance/fleet.ts
+++ b/src/core/balance/fleet.ts
@@ -103,7 +103,7 @@
     }
   }
 
-  /** Applies notices of endpoints. */
+  /** Applies notices of endpoints. For an endpoint that becomes known later, its gate looks up the notice. */
   applyNotices (notices: readonly EndpointNotice[]): void {
     for (const notice of notices) {
       const view = this.#views.get(notice.endpoint)
@@ -208,7 +208,7 @@
   }
 
   /** Notes that a request was sent to an engine. */
-  noteBegun (work: Work, at: number): void { this.#services.get(work.service)?.kinds.noteBegun(work.level, at) }
+  noteBegun (work: Work, at: number): void { this.#services.get(work.service)?.kinds.noteStarted(work.level, at) }
 
   /** Notes that a request starts or stops waiting in this box. */
   noteHeld (work: Work, isHeld: boolean): void {
--- a/src/core/balance/kind-tracker.ts
+++ b/src/core/balance/kind-tracker.ts
@@ -33,7 +33,7 @@
   }
 
   /** Notes that a request of a level was sent to an engine. */
-  noteBegun (level: number, at: number): void { this.#lastStartAt.set(level, at) }
+  noteStarted (level: number, at: number): void { this.#lastStartAt.set(level, at) }
 
   /** Arrival rate of each kind, tokens/s; rates that round to zero are omitted. */
   measureRates (at: number): KindRates {
--- a/src/core/balance/prompt-plan.ts
+++ b/src/core/balance/prompt-plan.ts
@@ -63,8 +63,8 @@
 function pickHolder (view: PromptEngine, holders: readonly PromptHolder[]): PromptHolder | null {
   const others = holders.filter(holder => holder.view !== view)
   if (others.length === 0) return null
-  const best = others.filter(holder => holder.tokens === others[0].tokens)
-  return best.find(holder => holder.view.record.zone === view.record.zone) ?? best[0]
+  const longest = others.filter(holder => holder.tokens === others[0].tokens)
+  return longest.find(holder => holder.view.record.zone === view.record.zone) ?? longest[0]
 }
 
 function estimateTransferMs (tokens: number, crossesZones: boolean, { tokenBytes, bytesPerMs }: PromptTransfer): number {
--- a/src/core/balance/prompt-relay.ts
+++ b/src/core/balance/prompt-relay.ts
@@ -41,8 +41,8 @@
 
   // The map iterates in the order in which reports were first received.
   #forgetOld (at: number): void {
-    for (const [key, { receivedAt: heardAt }] of this.#known) {
-      if (at - heardAt <= retentionMs) return
+    for (const [key, { receivedAt }] of this.#known) {
+      if (at - receivedAt <= retentionMs) return
       this.#known.delete(key)
     }
   }
--- a/src/core/balance/service-admission.ts
+++ b/src/core/balance/service-admission.ts
@@ -47,7 +47,7 @@
   const { state, snapshot: { dedicationOrder, counts } } = context
   const dedicated = dedicationOrder.slice(0, Math.max(1, counts.count))
   const backlog = measureBacklogFor(context, work, at)
-  if (backlog.lessTokens > 0) state.kinds.noteBegun(work.level + 1, at)
+  if (backlog.lessTokens > 0) state.kinds.noteStarted(work.level + 1, at)
   const admission = decideAdmission({
     backlog,
     lateness: state.lateness.find(work.level),
--- a/src/core/balance/usable-endpoints.ts
+++ b/src/core/balance/usable-endpoints.ts
@@ -28,29 +28,29 @@
 
 /** Engines from which prompts may be fetched: a degraded holder would delay the fetching engine, and one with a rate limit is spared. */
 export function listTransferSources (usable: readonly EndpointView[], zones: ZoneMonitor, at: number): EndpointView[] {
-  const isSound = (view: EndpointView): boolean => view.trust.look(at) === 'good' && !zones.isCut(view.record.zone, at) && view.measureOverdue(at) <= 0
-  return usable.filter(view => view.gate.limit === null && !view.gate.isBackedOff(at) && isSound(view))
+  const isHealthy = (view: EndpointView): boolean => view.trust.look(at) === 'good' && !zones.isCut(view.record.zone, at) && view.measureOverdue(at) <= 0
+  return usable.filter(view => view.gate.limit === null && !view.gate.isBackedOff(at) && isHealthy(view))
 }
 
 /** Engines for pause-sensitive requests: all but the first `count`, which are dedicated; all engines if none of the others has a free slot. */
 export function listSensitiveEngines (dedicationOrder: readonly EndpointView[], count: number, { slots }: EngineProfile): readonly EndpointView[] {
-  const side = dedicationOrder.slice(count)
-  return side.some(view => view.running < slots) ? side : dedicationOrder
+  const sensitiveEngines = dedicationOrder.slice(count)
+  return sensitiveEngines.some(view => view.running < slots) ? sensitiveEngines : dedicationOrder
 }
 
 /** Engines expected to begin with a new prompt within `maxWaitMs`; if there are none, those with the shortest wait. */
 export function listWithinWait (views: readonly EndpointView[], slots: number, maxWaitMs: number, at: number): EndpointView[] {
   const limitMs = Math.max(maxWaitMs, findShortestWait(views, slots, at))
-  return views.filter(view => expectEngineWait(view, slots, at) <= limitMs)
+  return views.filter(view => estimateEngineWaitMs(view, slots, at) <= limitMs)
 }
 
 /** Shortest expected time until any of the engines begins with a new prompt, ms; Infinity if there are none. */
 export function findShortestWait (views: readonly EndpointView[], slots: number, at: number): number {
-  return views.reduce((least, view) => Math.min(least, expectEngineWait(view, slots, at)), Infinity)
+  return views.reduce((least, view) => Math.min(least, estimateEngineWaitMs(view, slots, at)), Infinity)
 }
 
 // Engines read in order of arrival, so prompts of any priority count.
-function expectEngineWait (view: EndpointView, slots: number, at: number): number {
+function estimateEngineWaitMs (view: EndpointView, slots: number, at: number): number {
   return view.countTokensAhead(Infinity, at) * view.readMsPerToken + Math.max(0, view.running + 1 - slots) * queueMs
 }
 
--- a/test/admission.test.ts
+++ b/test/admission.test.ts
@@ -50,7 +50,7 @@
     const choice = fleet.choose(work, [], 1000 * i, 0)
     assert.ok(typeof choice !== 'string')
     const placed = choice.view.place(work, choice.plan, 1000 * i)
-    const tookMs = choice.view.expectAnswer(placed) * (work === quote ? 5 : 1)
+    const tookMs = choice.view.estimateAnswerMs(placed) * (work === quote ? 5 : 1)
     choice.view.noteFirst(placed, 1000 * i + tookMs)
     choice.view.remove(placed, 1000 * i + tookMs)
   }
--- a/test/unread-prompts.test.ts
+++ b/test/unread-prompts.test.ts
@@ -18,7 +18,7 @@
     const view = createFleet([createRecord('e1')], engineService).findView(brandId('e1'))
     assert.ok(view !== undefined)
     const placed = view.place(prompt, { readTokens: 2000, fetch: null }, 0)
-    const at = elapsedRatio * view.expectAnswer(placed)
+    const at = elapsedRatio * view.estimateAnswerMs(placed)
     if (hasFirstEvent) view.noteFirst(placed, at)
     assert.ok(Math.abs(view.countTokensAhead(Infinity, at) - expectedTokens) < 100, `${view.countTokensAhead(Infinity, at)} tokens`)
   })
