--- a/src/core/balance/fleet.ts
+++ b/src/core/balance/fleet.ts
@@ -281,8 +281,8 @@
 
   // All boxes use the same reported pause if there is one, because they must classify requests alike.
   #findReadingPause (state: ServiceState, at: number): number {
-    const { service, readMsPerToken: pace, readingPause } = state
-    return this.#others.find(state.service.name)?.readingPauseMs ?? readingPause.find(at) ?? estimateInitialPause(service.engine?.tokensPerEvent ?? 1, pace.value)
+    const { service, readMsPerToken, readingPause } = state
+    return this.#others.find(state.service.name)?.readingPauseMs ?? readingPause.find(at) ?? estimateInitialPause(service.engine?.tokensPerEvent ?? 1, readMsPerToken.value)
   }
 
   #regroup (): void {
--- a/src/core/balance/service-admission.ts
+++ b/src/core/balance/service-admission.ts
@@ -1,8 +1,7 @@
 /**
- * Admission of requests to a service's engines, and the check that holds back
- * less urgent requests while more urgent ones are late. Pause-tolerant requests, which
- * tolerate the pauses of prompt reading, are held in the box until an engine has
- * room; all others are sent immediately or refused, whichever engine they go to.
+ * Admission of requests to a service's engines, and the check that holds back less urgent requests while more
+ * urgent ones are late. Pause-tolerant requests are held in the box until an engine has room; all others are sent
+ * immediately or refused, whichever engine they go to.
  */
 import { decideAdmission, decideImmediateAdmission, isOverloaded, limitAdmission, measureBacklog } from './admission.js'
 import type { Admission, Backlog } from './admission.js'
