--- a/test/admission.test.ts
+++ b/test/admission.test.ts
@@ -40,7 +40,8 @@
 })
 
 // Guards against one lateness averaged over all kinds: quotes, which wait for one another and partly took six times as long as expected, raised
-// it to 2.43, so that a tag with 239 ms of wait and reading was refused at a target of 400 ms, although half of all tags were on time.
+// it to 2.43. A tag whose wait and reading took 239 ms of its target of 400 ms was refused with an expected wait of 241 ms, of 200 allowed,
+// although half of all tags were on time.
 test('late first events of one kind do not increase the lateness of another', () => {
   const fleet = createFleet([createRecord('e1'), createRecord('e2')], engineService)
   const quote = createWork({ priority: 2, pauseMs: 600, targetMs: 2000, cost: { promptTokens: 8000, mostTokens: 10, parts: [] } })
--- a/test/loads.test.ts
+++ b/test/loads.test.ts
@@ -41,8 +41,8 @@
 })
 
 // Guards against counting the backlog of boxes that no longer report: after the registries' leader lost power, its gateways reported to another
-// hub, but their last reports to the old one counted for 1.5 s more, and 60 tags were refused. Likewise, the 18,214 unread tokens of a stopped
-// gateway kept requests away from an engine with room for 1.4 s.
+// hub, but their last reports to the old one counted for 1.5 s more. All boxes assumed 9,580 held tokens for 600 ms and refused 60 tags.
+// Likewise, the 18,214 unread tokens of a stopped gateway kept requests away from an engine with room for 1.4 s.
 const staleReportCases: readonly { readonly name: string, readonly report: (book: LoadBook, load: BoxLoad) => void }[] = [
   { name: 'a box', report: (table, load) => table.note(brandId('a'), nameZone('zone-a'), load, 0) },
   {
