--- /dev/null
+++ b/src/core/balance/dedicated-count.ts
@@ -0,0 +1,135 @@
+/**
+ * Computes how many engines of a service are dedicated to long prompts. An engine reads prompts in chunks between
+ * decoding steps, so that a long prompt lengthens the pauses of all its streams. Pause-tolerant requests go to the
+ * dedicated engines, pause-sensitive ones to the others.
+ *
+ * A part of the dedicated engines, the base, changes slowly: affinity engines are selected from it, and shared
+ * prompts must be read again when their affinity engine changes. Capacity for a burst beyond the base is added and
+ * removed with the burst.
+ */
+
+/** Inputs of the count; tokens are prompt tokens still to be read. */
+export interface ReadingDemand {
+  /** Read rate of each engine, tokens/s, in the order in which engines are dedicated. */
+  readonly rates: readonly number[]
+  /** Arrival rate of pause-tolerant requests, tokens/s. */
+  readonly tolerantRate: number
+  /** Arrival rate of pause-sensitive requests, tokens/s. */
+  readonly sensitiveRate: number
+  /** Tokens of pause-tolerant requests in the backlog. */
+  readonly waiting: number
+  /** Memory that pause-tolerant requests in flight take, as a number of engines. */
+  readonly tolerantEngines: number
+  /** Slots that pause-sensitive requests in flight take, as a number of engines. */
+  readonly sensitiveEngines: number
+}
+
+/** Number of dedicated engines, and how many of them are candidates for affinity engines. */
+export interface DedicatedCount {
+  readonly count: number
+  readonly base: number
+}
+
+/**
+ * Planned utilization of dedicated engines by reading. An engine that reads continuously emits one token per chunk
+ * for each stream, five times slower than without reading: at 0.85, streams took up all slots under recorded user
+ * load.
+ */
+const tolerantLoad = 0.65
+/** Planned utilization of the other engines by reading: their prompts are short, and there must be capacity for bursts. */
+const sensitiveLoad = 0.6
+/** Time within which the backlog should be read, s. */
+const backlogTargetS = 2
+/** Fraction of the engines that is never dedicated, so that short requests are served in any burst. */
+const minSensitiveShare = 0.2
+/** Fraction of the engines that pause-tolerant requests keep in a burst of the others, so that they still make progress. */
+const minTolerantShare = 0.3
+/** Fraction of the engines that is dedicated initially: what long prompts required under recorded low load. */
+const initialShare = 0.38
+/** The count decreases by one after it has exceeded the demand for this long, ms. */
+const shrinkAfterMs = 1500
+/** The base changes by one after it has differed from the demand for this long, ms. */
+const baseAfterMs = 10_000
+
+export class DedicatedCountController {
+  #count = 0
+  #base = 0
+  /** Difference of the base from its initial value. */
+  #baseOffset = 0
+  #excessSince: number | null = null
+  #baseDriftSince: number | null = null
+
+  /** The current count, as computed by this box alone. */
+  get counts (): DedicatedCount { return { count: this.#count, base: this.#base } }
+
+  update (at: number, demand: ReadingDemand): DedicatedCount {
+    const engines = demand.rates.length
+    const wanted = computeDedicatedCount(demand)
+    const maxDedicated = countMaxDedicated(demand)
+    this.#updateBase(at, engines, wanted, maxDedicated)
+    this.#updateCount(at, Math.max(this.#base, wanted), Math.max(this.#base, maxDedicated))
+    this.#count = Math.min(this.#count, Math.max(1, engines - 1))
+    return this.counts
+  }
+
+  #updateBase (at: number, engines: number, wanted: number, maxDedicated: number): void {
+    const initialBase = Math.ceil(engines * initialShare)
+    const isDrifting = wanted > initialBase + this.#baseOffset || wanted < initialBase + this.#baseOffset
+    if (!isDrifting) this.#baseDriftSince = null
+    else this.#baseDriftSince ??= at
+    if (this.#baseDriftSince !== null && at - this.#baseDriftSince >= baseAfterMs) {
+      this.#baseOffset += wanted > initialBase + this.#baseOffset ? 1 : -1
+      this.#baseDriftSince = at
+    }
+    this.#base = Math.max(1, Math.min(engines - 1, maxDedicated, initialBase + this.#baseOffset))
+  }
+
+  // Engines that pause-sensitive requests need are released immediately, engines that are merely unused only slowly.
+  #updateCount (at: number, wanted: number, maxDedicated: number): void {
+    this.#count = Math.min(this.#count, maxDedicated)
+    if (wanted >= this.#count) {
+      this.#count = wanted
+      this.#excessSince = null
+      return
+    }
+    this.#excessSince ??= at
+    if (at - this.#excessSince < shrinkAfterMs) return
+    this.#count -= 1
+    this.#excessSince = at
+  }
+}
+
+/**
+ * Computes the number of engines to dedicate; with two or more engines, at least one for each class of requests.
+ * If demand exceeds capacity, pause-sensitive requests take precedence.
+ */
+export function computeDedicatedCount (demand: ReadingDemand): number {
+  const { rates } = demand
+  const engines = rates.length
+  if (engines <= 1) return engines
+  const needed = demand.tolerantRate / tolerantLoad + demand.waiting / backlogTargetS
+  const tolerant = Math.max(countEngines(rates, needed), Math.ceil(demand.tolerantEngines))
+  return Math.min(engines - 1, Math.max(1, Math.min(tolerant, countMaxDedicated(demand))))
+}
+
+// Maximum number of engines that pause-sensitive requests leave to long prompts.
+function countMaxDedicated (demand: ReadingDemand): number {
+  const engines = demand.rates.length
+  return Math.max(1, engines - countSensitiveEngines(demand), Math.ceil(engines * minTolerantShare))
+}
+
+// Number of engines that pause-sensitive requests need.
+function countSensitiveEngines ({ rates, sensitiveRate: briskRate, sensitiveEngines: briskEngines }: ReadingDemand): number {
+  const rate = rates[rates.length - 1]
+  return Math.ceil(Math.max(briskRate / rate / sensitiveLoad, briskEngines, rates.length * minSensitiveShare, 1))
+}
+
+// Number of engines, from the first, whose total read rate reaches `needed`; one more than there are if all do not suffice.
+function countEngines (rates: readonly number[], needed: number): number {
+  let left = needed
+  for (let i = 0; i < rates.length; i++) {
+    if (left <= 0) return i
+    left -= rates[i]
+  }
+  return left <= 0 ? rates.length : rates.length + 1
+}
--- a/src/core/balance/others-load.ts
+++ b/src/core/balance/others-load.ts
@@ -1,10 +1,10 @@
-/** What the other boxes have: the hub's totals less this box's own part of them. */
-import { addWaiting } from './load-sum.js'
+/** The load of the other boxes: the hub's totals minus this box's own contribution. */
+import { addAmounts } from './load-sum.js'
 import type { BoxLoad, EndpointLoad, LoadTotals, ServiceDemand, ServiceTotal } from './load-word.js'
 
 /**
- * Takes a box's own word off totals that hold it. Where `own` is null the totals
- * are taken as they are: the box then counts its own work twice for a moment.
+ * Subtracts a box's own report from totals that include it. If `own` is null, the totals are returned unchanged,
+ * and the box briefly counts its own load twice.
  */
 export function subtractOwn (totals: LoadTotals, own: BoxLoad | null): LoadTotals {
   if (own === null) return totals
@@ -24,20 +24,20 @@
     running: sum.running - own.running,
     brisk: Math.max(0, sum.brisk - own.brisk),
     memory: Math.max(0, sum.memory - own.memory),
-    waiting: addWaiting(sum.waiting, own.waiting, -1),
+    waiting: addAmounts(sum.waiting, own.waiting, -1),
     backedOff: Math.max(0, sum.backedOff - own.backedOff)
   }
 }
 
-// The largest share stays: it may be this box's own, which it agrees to anyway.
+// The counts of dedicated engines stay, as they are maxima: if the maximum is this box's own, it agrees to it anyway.
 function subtractDemand (sum: ServiceTotal, own: ServiceDemand | undefined): ServiceTotal {
   if (own === undefined) return sum
   return {
     ...sum,
     patient: Math.max(0, sum.patient - own.patient),
     brisk: Math.max(0, sum.brisk - own.brisk),
-    held: addWaiting(sum.held, own.held, -1),
-    rates: addWaiting(sum.rates ?? [], own.rates ?? [], -1),
+    held: addAmounts(sum.held, own.held, -1),
+    rates: addAmounts(sum.rates ?? [], own.rates ?? [], -1),
     read: Math.max(0, (sum.read ?? 0) - (own.read ?? 0)),
     holders: sum.holders - (own.held.length > 0 ? 1 : 0)
   }
--- a/src/core/balance/prompt-relay.ts
+++ b/src/core/balance/prompt-relay.ts
@@ -1,48 +1,48 @@
 import type { ReadPrompt } from './load-word.js'
 
-/** How often a prompt is passed on: a datagram may be lost, two in a row seldom are. */
-const passTimes = 2
-/** A prompt that is heard of for longer than this was read once more, ms: boxes tell each for 200 ms, and words are late. */
-const knownMs = 600
+/** How often a prompt report is sent: a datagram may be lost, but rarely two in a row. */
+const relayCount = 2
+/** A prompt that is still reported after this time was read again, ms: boxes repeat each report for 200 ms, and messages may be delayed. */
+const retentionMs = 600
 
-interface Passed {
+interface RelayedPrompt {
   readonly prompt: ReadPrompt
-  readonly heardAt: number
-  left: number
+  readonly receivedAt: number
+  sendsLeft: number
 }
 
-/** Passes on word of prompts, each a few times, however often it is told. */
+/** Relays prompt reports, each a fixed number of times, however often it is received. */
 export class PromptRelay {
-  #known = new Map<string, Passed>()
+  #known = new Map<string, RelayedPrompt>()
 
-  /** Takes in prompts that were told; returns those that are new. */
-  take (prompts: readonly ReadPrompt[], at: number): ReadPrompt[] {
-    this.#forgetOld(at)
-    const fresh: ReadPrompt[] = []
+  /** Adds reported prompts; returns those that are new. */
+  take (prompts: readonly ReadPrompt[], receivedAt: number): ReadPrompt[] {
+    this.#forgetOld(receivedAt)
+    const added: ReadPrompt[] = []
     for (const prompt of prompts) {
       const key = JSON.stringify(prompt)
       if (this.#known.has(key)) continue
-      this.#known.set(key, { prompt, heardAt: at, left: passTimes })
-      fresh.push(prompt)
+      this.#known.set(key, { prompt, receivedAt, sendsLeft: relayCount })
+      added.push(prompt)
     }
-    return fresh
+    return added
   }
 
-  /** The prompts to pass on now. */
+  /** The prompts to send now; counts as one sending of each. */
   draw (): ReadPrompt[] {
-    const drawn: ReadPrompt[] = []
-    for (const passed of this.#known.values()) {
-      if (passed.left === 0) continue
-      passed.left -= 1
-      drawn.push(passed.prompt)
+    const pending: ReadPrompt[] = []
+    for (const relayed of this.#known.values()) {
+      if (relayed.sendsLeft === 0) continue
+      relayed.sendsLeft -= 1
+      pending.push(relayed.prompt)
     }
-    return drawn
+    return pending
   }
 
-  // The map keeps the order in which they were first heard of.
+  // The map iterates in the order in which reports were first received.
   #forgetOld (at: number): void {
-    for (const [key, { heardAt }] of this.#known) {
-      if (at - heardAt <= knownMs) return
+    for (const [key, { receivedAt }] of this.#known) {
+      if (at - receivedAt <= retentionMs) return
       this.#known.delete(key)
     }
   }
--- a/src/core/balance/service-state.ts
+++ b/src/core/balance/service-state.ts
@@ -1,37 +1,37 @@
-/** What a box knows of one service: its share, its demand, what is learned of its engines, and what waits in the box. */
+/** The state of one service on a box: dedicated engines, demand, measurements of its engines, and held requests. */
 import type { RoutedService } from '../routes/index.js'
 import { AdmissionCredits } from './admission-credits.js'
 import { CongestionTracker } from './congestion-tracker.js'
 import { DemandMeter } from './demand-meter.js'
-import { createLearning } from './engine-learning.js'
-import type { EngineLearning } from './engine-learning.js'
-import { KindWatch } from './kind-watch.js'
+import { createEngineStats } from './engine-stats.js'
+import type { EngineStats } from './engine-stats.js'
+import { KindTracker } from './kind-tracker.js'
 import type { ServiceDemand } from './load-word.js'
 import { PauseRange } from './pause-range.js'
-import { ReadingShare } from './reading-share.js'
+import { DedicatedCountController } from './dedicated-count.js'
 
-export interface ServiceState extends EngineLearning {
+export interface ServiceState extends EngineStats {
   readonly service: RoutedService
-  readonly share: ReadingShare
-  /** Pauses that requests bear. */
+  readonly dedicatedCount: DedicatedCountController
+  /** Pauses that requests tolerate. */
   readonly pauses: PauseRange
-  readonly kinds: KindWatch
-  /** Prompt tokens of requests that bear long pauses, and of the others. */
-  readonly patient: DemandMeter
-  readonly brisk: DemandMeter
-  /** Tokens of requests that wait in this box, by priority. */
+  readonly kinds: KindTracker
+  /** Arriving prompt tokens of pause-tolerant requests, and of pause-sensitive ones. */
+  readonly tolerantDemand: DemandMeter
+  readonly sensitiveDemand: DemandMeter
+  /** Tokens of requests held in this box, by priority. */
   readonly held: Map<number, number>
   readonly credits: AdmissionCredits
   readonly congestion: CongestionTracker
 }
 
-/** A service of which nothing has been learned. */
-export function createState (service: RoutedService): ServiceState {
-  return { ...createLearning(), service, share: new ReadingShare(), pauses: new PauseRange(), kinds: new KindWatch(), patient: new DemandMeter(), brisk: new DemandMeter(), held: new Map(), credits: new AdmissionCredits(), congestion: new CongestionTracker() }
+/** The initial state of a service. */
+export function createServiceState (service: RoutedService): ServiceState {
+  return { ...createEngineStats(), service, dedicatedCount: new DedicatedCountController(), pauses: new PauseRange(), kinds: new KindTracker(), tolerantDemand: new DemandMeter(), sensitiveDemand: new DemandMeter(), held: new Map(), credits: new AdmissionCredits(), congestion: new CongestionTracker() }
 }
 
-/** What a box tells its hub of a service. */
-export function composeDemand ({ service, patient, brisk, share, held, kinds, readMeter, readingPause }: ServiceState, at: number): ServiceDemand {
-  const { count, base } = share.counts
-  return { service: service.name, patient: Math.round(patient.rate(at)), brisk: Math.round(brisk.rate(at)), apart: count, base, readingPauseMs: readingPause.find(at), held: [...held], rates: kinds.measureRates(at), read: Math.round(readMeter.rate(at)) }
+/** The demand for a service that a box reports to its hub. */
+export function composeDemand ({ service, tolerantDemand, sensitiveDemand, dedicatedCount, held, kinds, readMeter, readingPause }: ServiceState, at: number): ServiceDemand {
+  const { count, base } = dedicatedCount.counts
+  return { service: service.name, patient: Math.round(tolerantDemand.rate(at)), brisk: Math.round(sensitiveDemand.rate(at)), apart: count, base, readingPauseMs: readingPause.find(at), held: [...held], rates: kinds.measureRates(at), read: Math.round(readMeter.rate(at)) }
 }
--- a/src/core/balance/sum-news.ts
+++ b/src/core/balance/sum-news.ts
@@ -1,72 +1,72 @@
 /**
- * A hub's sum as it is told. To other hubs: whole now and then, and in between
- * only what changed, as such words cross between zones, where bytes are dear, and
- * each of six hubs tells five others up to a hundred times a second. To gateways:
- * whole, as most of it changes between two words; the speeds of engines now and then.
+ * Encodes a hub's load totals as updates. Other hubs receive complete totals periodically and only changes in
+ * between, because traffic between zones is billed and each of six hubs sends to five others up to a hundred times
+ * a second. Gateways receive complete totals, as most of them change between two updates, with the speeds of
+ * engines only now and then.
  */
 import type { EndpointId } from '../ids.js'
 import type { EndpointLoad, EngineGap, LoadTotals } from './load-word.js'
 
-/** What a hub tells of its sum. */
+/** An update of a hub's load totals. */
 export interface SumNews extends Omit<LoadTotals, 'gaps'> {
-  /** True where `loads` are all that there is; else they are those that changed of late. */
+  /** True if `loads` is complete; otherwise it contains recent changes only. */
   readonly isWhole: boolean
-  /** Endpoints at which nothing is left; none in a whole word. */
+  /** Endpoints without any load left; empty in a complete update. */
   readonly gone: readonly EndpointId[]
-  /** Null where they are as told before: the speeds of engines change slowly. */
+  /** Null if unchanged since the last update that had them: the speeds of engines change slowly. */
   readonly gaps: readonly EngineGap[] | null
 }
 
-/** A change is told in so many words, as one of them may be lost. */
-const tellTimes = 2
+/** Number of updates in which a change is repeated, as one of them may be lost. */
+const sendCount = 2
 
-interface ToldLoad {
-  /** Its text; empty once nothing is left. */
+interface SentLoad {
+  /** Serialized load; empty once there is none. */
   readonly text: string
-  /** The number of the word in which it was first told. */
-  readonly word: number
+  /** Sequence number of the first update that contained it. */
+  readonly sequence: number
 }
 
-/** Composes the news of a sum, for all other hubs alike. */
+/** Encodes a hub's totals; all other hubs receive the same updates. */
 export class SumTeller {
-  #told = new Map<EndpointId, ToldLoad>()
-  #word = 0
+  #sent = new Map<EndpointId, SentLoad>()
+  #sequence = 0
 
-  /** The next news. Where it isn't `isWhole`, it helps those alone who had all words of late but one. */
+  /** Composes the next update. A partial one (not `isWhole`) is sufficient only for receivers that missed at most one of the latest updates. */
   compose (sum: LoadTotals, isWhole: boolean): SumNews {
-    this.#note(sum.loads)
+    this.#update(sum.loads)
     if (isWhole) return { ...sum, isWhole, gone: [] }
-    const isNews = (id: EndpointId): boolean => (this.#told.get(id)?.word ?? 0) > this.#word - tellTimes
-    const gone = [...this.#told].filter(([id, { text }]) => text === '' && isNews(id)).map(([id]) => id)
-    return { ...sum, isWhole, loads: sum.loads.filter(({ endpoint }) => isNews(endpoint)), gone, gaps: null }
+    const isRecent = (id: EndpointId): boolean => (this.#sent.get(id)?.sequence ?? 0) > this.#sequence - sendCount
+    const gone = [...this.#sent].filter(([id, { text }]) => text === '' && isRecent(id)).map(([id]) => id)
+    return { ...sum, isWhole, loads: sum.loads.filter(({ endpoint }) => isRecent(endpoint)), gone, gaps: null }
   }
 
-  #note (loads: readonly EndpointLoad[]): void {
-    this.#word += 1
+  #update (loads: readonly EndpointLoad[]): void {
+    this.#sequence += 1
     const texts = new Map(loads.map(load => [load.endpoint, JSON.stringify(load)]))
-    for (const [id, text] of texts) if (this.#told.get(id)?.text !== text) this.#told.set(id, { text, word: this.#word })
-    for (const [id, { text, word }] of this.#told) {
+    for (const [id, text] of texts) if (this.#sent.get(id)?.text !== text) this.#sent.set(id, { text, sequence: this.#sequence })
+    for (const [id, { text, sequence }] of this.#sent) {
       if (texts.has(id)) continue
-      if (text !== '') this.#told.set(id, { text: '', word: this.#word })
-      else if (word <= this.#word - tellTimes) this.#told.delete(id)
+      if (text !== '') this.#sent.set(id, { text: '', sequence: this.#sequence })
+      else if (sequence <= this.#sequence - sendCount) this.#sent.delete(id)
     }
   }
 }
 
-/** Puts a hub's sum together again from its news. */
+/** Reconstructs a hub's totals from its updates. */
 export class SumReader {
   #loads = new Map<EndpointId, EndpointLoad>()
   #gaps: readonly EngineGap[] = []
   #hasWhole = false
 
-  /** The sum with the news in it; null before the first whole one. */
-  take ({ isWhole, gone, ...news }: SumNews): LoadTotals | null {
+  /** Applies an update; returns the totals, or null before the first complete update. */
+  take ({ isWhole, gone, ...update }: SumNews): LoadTotals | null {
     if (isWhole) this.#loads.clear()
     this.#hasWhole ||= isWhole
-    this.#gaps = news.gaps ?? this.#gaps
+    this.#gaps = update.gaps ?? this.#gaps
     if (!this.#hasWhole) return null
-    for (const load of news.loads) this.#loads.set(load.endpoint, load)
+    for (const load of update.loads) this.#loads.set(load.endpoint, load)
     for (const id of gone) this.#loads.delete(id)
-    return { ...news, loads: [...this.#loads.values()], gaps: this.#gaps }
+    return { ...update, loads: [...this.#loads.values()], gaps: this.#gaps }
   }
 }
--- a/src/core/balance/usable-endpoints.ts
+++ b/src/core/balance/usable-endpoints.ts
@@ -1,60 +1,57 @@
-/** Which endpoints of a service may be used at all, and for what. */
+/** Selects the endpoints of a service that may be used, and for what. */
 import type { ServiceName } from '../ids.js'
 import type { EngineProfile } from '../routes/index.js'
 import type { EndpointView } from './endpoint-view.js'
-import { queueMs } from './endpoint-weights.js'
+import { queueMs } from './endpoint-costs.js'
 import type { Work } from './work.js'
-import type { ZoneWatch } from './zone-watch.js'
+import type { ZoneMonitor } from './zone-monitor.js'
 
-/** At least this part of a service's endpoints is used, however often their answers break. */
-const leastUsed = 0.6
+/** At least this fraction of a service's endpoints is used, however often their answers break. */
+const minUsableShare = 0.6
 /** Engines are congested for requests whose expected wait there exceeds this fraction of their target. */
 export const congestedWaitShare = 0.3
 
 /**
- * Endpoints that aren't out. Where most are out for broken answers, the fault is
- * of the service rather than of some of them: those are used all the same.
+ * Endpoints that aren't ejected. If most are ejected for broken answers, the fault lies in the service rather than
+ * in single endpoints, and all reachable ones are used.
  */
 export function listUsable (ready: readonly EndpointView[], at: number): EndpointView[] {
   const reachable = ready.filter(view => view.trust.isReachable)
   const good = reachable.filter(view => view.trust.look(at) !== 'out')
-  return good.length >= ready.length * leastUsed ? good : reachable
+  return good.length >= ready.length * minUsableShare ? good : reachable
 }
 
-/** True where an endpoint takes a request of this priority now, or may be asked for a permit. */
+/** True if an endpoint accepts a request of this priority now, or a permit for it may be requested. */
 export function isOpen ({ gate }: EndpointView, { priority }: Pick<Work, 'priority'>, at: number): boolean {
-  return gate.findOpening(priority, at) <= at
+  return gate.findOpenTime(priority, at) <= at
 }
 
-/** Engines from which a prompt may be taken: a holder in trouble would hold up the taker, and one that limits what it gets is spared. */
-export function listSources (usable: readonly EndpointView[], zones: ZoneWatch, at: number): EndpointView[] {
-  const isSound = (view: EndpointView): boolean => view.trust.look(at) === 'good' && !zones.isCut(view.record.zone, at) && view.measureOverdue(at) <= 0
-  return usable.filter(view => view.gate.limit === null && !view.gate.isBackedOff(at) && isSound(view))
+/** Engines from which prompts may be fetched: a degraded holder would delay the fetching engine, and one with a rate limit is spared. */
+export function listTransferSources (usable: readonly EndpointView[], zones: ZoneMonitor, at: number): EndpointView[] {
+  const isHealthy = (view: EndpointView): boolean => view.trust.look(at) === 'good' && !zones.isCut(view.record.zone, at) && view.measureOverdue(at) <= 0
+  return usable.filter(view => view.gate.limit === null && !view.gate.isBackedOff(at) && isHealthy(view))
 }
 
-/**
- * Engines for requests whose pauses must stay short, where the first `count` are set apart; all engines if none of the others has a
- * free slot.
- */
-export function listBrisk (apart: readonly EndpointView[], count: number, { slots }: EngineProfile): readonly EndpointView[] {
-  const side = apart.slice(count)
-  return side.some(view => view.running < slots) ? side : apart
+/** Engines for pause-sensitive requests: all but the first `count`, which are dedicated; all engines if none of the others has a free slot. */
+export function listSensitiveEngines (dedicationOrder: readonly EndpointView[], count: number, { slots }: EngineProfile): readonly EndpointView[] {
+  const sensitiveEngines = dedicationOrder.slice(count)
+  return sensitiveEngines.some(view => view.running < slots) ? sensitiveEngines : dedicationOrder
 }
 
 /** Engines expected to begin with a new prompt within `maxWaitMs`; if there are none, those with the shortest wait. */
 export function listWithinWait (views: readonly EndpointView[], slots: number, maxWaitMs: number, at: number): EndpointView[] {
   const limitMs = Math.max(maxWaitMs, findShortestWait(views, slots, at))
-  return views.filter(view => expectEngineWait(view, slots, at) <= limitMs)
+  return views.filter(view => estimateEngineWaitMs(view, slots, at) <= limitMs)
 }
 
 /** Shortest expected time until any of the engines begins with a new prompt, ms; Infinity if there are none. */
 export function findShortestWait (views: readonly EndpointView[], slots: number, at: number): number {
-  return views.reduce((least, view) => Math.min(least, expectEngineWait(view, slots, at)), Infinity)
+  return views.reduce((least, view) => Math.min(least, estimateEngineWaitMs(view, slots, at)), Infinity)
 }
 
 // Engines read in order of arrival, so prompts of any priority count.
-function expectEngineWait (view: EndpointView, slots: number, at: number): number {
-  return view.countAhead(Infinity, at) * view.paceMs + Math.max(0, view.running + 1 - slots) * queueMs
+function estimateEngineWaitMs (view: EndpointView, slots: number, at: number): number {
+  return view.countTokensAhead(Infinity, at) * view.readMsPerToken + Math.max(0, view.running + 1 - slots) * queueMs
 }
 
 /** Endpoints by their service. */
