--- a/src/config/check-table.ts
+++ b/src/config/check-table.ts
@@ -2,19 +2,20 @@
 import { findLine } from './key-lines.js'
 import type { Mistake } from './mistake.js'
 
-/** A value and every mistake that was found in it. */
-export interface Checked {
+/** A table with defaults filled in, and all mistakes that were found in it. */
+export interface CheckResult {
   readonly value: Readonly<Record<string, unknown>>
   readonly mistakes: readonly Mistake[]
 }
 
-const farthestKey = 3
+/** Greatest edit distance at which a known key is suggested for an unknown one. */
+const maxSuggestionDistance = 3
 
 /**
- * Checks a parsed table against its description: fills in defaults, and gathers
- * all mistakes rather than the first alone.
+ * Validates a parsed table against its field descriptions: fills in defaults and
+ * collects all mistakes instead of stopping at the first.
  */
-export function checkTable (table: Readonly<Record<string, unknown>>, fields: FieldTable, lines: ReadonlyMap<string, number>, path = ''): Checked {
+export function checkTable (table: Readonly<Record<string, unknown>>, fields: FieldTable, lines: ReadonlyMap<string, number>, path = ''): CheckResult {
   const checker = new TableChecker(lines)
   const value = checker.checkFields(table, fields, path)
   return { value, mistakes: checker.mistakes }
@@ -43,15 +44,15 @@
     return value
   }
 
-  #check (found: unknown, field: Field, path: string): unknown {
+  #check (value: unknown, field: Field, path: string): unknown {
     switch (field.type) {
-      case 'text': return this.#expect(typeof found === 'string' && (field.pattern?.test(found) ?? true), found, field, path)
-      case 'number': return this.#expect(isWithin(found, field), found, field, path)
-      case 'switch': return this.#expect(typeof found === 'boolean', found, field, path)
-      case 'choice': return this.#expect(typeof found === 'string' && field.of.includes(found), found, field, path)
-      case 'list': return this.#checkList(found, field, path)
-      case 'table': return isTable(found) ? this.checkFields(found, field.fields, path) : this.#expect(false, found, field, path)
-      case 'named': return this.#checkNamed(found, field, path)
+      case 'text': return this.#expect(typeof value === 'string' && (field.pattern?.test(value) ?? true), value, field, path)
+      case 'number': return this.#expect(isWithin(value, field), value, field, path)
+      case 'switch': return this.#expect(typeof value === 'boolean', value, field, path)
+      case 'choice': return this.#expect(typeof value === 'string' && field.of.includes(value), value, field, path)
+      case 'list': return this.#checkList(value, field, path)
+      case 'table': return isTable(value) ? this.checkFields(value, field.fields, path) : this.#expect(false, value, field, path)
+      case 'named': return this.#checkNamed(value, field, path)
     }
   }
 
@@ -76,8 +77,8 @@
   }
 
   #addUnknown (key: string, fields: FieldTable, path: string): void {
-    const nearest = findNearest(key, Object.keys(fields))
-    const hint = nearest === null ? `one of ${Object.keys(fields).join(', ')}` : `did you mean "${nearest}"?`
+    const suggestion = findNearest(key, Object.keys(fields))
+    const hint = suggestion === null ? `one of ${Object.keys(fields).join(', ')}` : `did you mean "${suggestion}"?`
     this.#add(join(path, key), 'an unknown key', hint)
   }
 
@@ -86,7 +87,7 @@
   }
 }
 
-/** What a field allows, in words. */
+/** Describes the values that a field allows, for error messages and documentation. */
 export function describe (field: Field): string {
   switch (field.type) {
     case 'text': return field.allowed ?? 'text'
@@ -115,18 +116,18 @@
 
 function findNearest (key: string, known: readonly string[]): string | null {
   let best: string | null = null
-  let least = farthestKey + 1
+  let bestDistance = maxSuggestionDistance + 1
   for (const one of known) {
     const distance = measureDistance(key.toLowerCase(), one.toLowerCase())
-    if (distance < least) {
-      least = distance
+    if (distance < bestDistance) {
+      bestDistance = distance
       best = one
     }
   }
   return best
 }
 
-// Levenshtein's distance, one row at a time.
+// Levenshtein distance, computed row by row.
 function measureDistance (a: string, b: string): number {
   let row = Array.from({ length: b.length + 1 }, (_, j) => j)
   for (let i = 1; i <= a.length; i++) {
--- a/src/config/configuration.ts
+++ b/src/config/configuration.ts
@@ -2,7 +2,7 @@
 import { brandId, defaultTuning } from '../core/index.js'
 import type { ClassName, EngineId, EngineSpec, ModelName, PoolName, RequestClass, SchedulerConfig, ServiceName, WorkspaceName, ZoneName } from '../core/index.js'
 
-/** A workspace as the entry boxes use it. */
+/** A workspace as entry boxes use it. */
 export interface Workspace {
   readonly name: WorkspaceName
   readonly keys: readonly string[]
@@ -12,7 +12,7 @@
   readonly streams: number
 }
 
-/** A pool of like engines. */
+/** A pool of identical engines. */
 export interface Pool {
   readonly name: PoolName
   readonly models: readonly ModelName[]
@@ -22,7 +22,7 @@
   readonly protocol: 'openai' | 'wrenlane'
 }
 
-/** An engine with its address. */
+/** A configured engine. */
 export interface EngineEntry {
   readonly id: EngineId
   readonly pool: PoolName
@@ -33,14 +33,14 @@
   readonly leaving: boolean
 }
 
-/** An endpoint of a plain service. */
+/** An endpoint of a service that isn't an engine. */
 export interface ServiceEndpoint {
   readonly host: string
   readonly port: number
   readonly zone: ZoneName
 }
 
-/** A plain service. */
+/** A service that isn't an engine: its calls are forwarded without scheduling. */
 export interface Service {
   readonly name: ServiceName
   readonly endpoints: readonly ServiceEndpoint[]
@@ -49,11 +49,11 @@
   readonly timeoutMs: number
 }
 
-/** The configuration in force, read from the ledger's document. */
+/** The configuration in force, decoded from the document in the ledger. */
 export interface Configuration {
   readonly revision: number
   readonly workspaces: ReadonlyMap<WorkspaceName, Workspace>
-  /** The workspace that each key's digest opens. */
+  /** Workspaces by the SHA-256 digest of an API key. */
   readonly keys: ReadonlyMap<string, Workspace>
   readonly classes: ReadonlyMap<ClassName, RequestClass>
   readonly pools: ReadonlyMap<PoolName, Pool>
@@ -61,7 +61,7 @@
   readonly services: ReadonlyMap<ServiceName, Service>
 }
 
-/** Reads a checked document. */
+/** Decodes a document that has passed validation. */
 export function readConfiguration (document: Document, revision: number): Configuration {
   const workspaces = readSection<WorkspaceName, Workspace>(document, 'workspaces', 'name')
   const keys = new Map<string, Workspace>()
@@ -79,7 +79,7 @@
   }
 }
 
-/** What the scheduler of the engines that `isOwn` takes needs to know. */
+/** The configuration of a scheduler for the engines that `isOwn` selects. */
 export function readSchedulerConfig (configuration: Configuration, isOwn: (engine: EngineEntry) => boolean): SchedulerConfig {
   const engines: EngineSpec[] = []
   for (const engine of configuration.engines.values()) {
@@ -91,9 +91,9 @@
   return { ...defaultTuning, classes: [...configuration.classes.values()], engines }
 }
 
-// Sections without a change are the same objects from revision to revision, so
-// that a change costs what it touches, not the whole configuration.
-const sectionsRead = new WeakMap<object, Map<string, unknown>>()
+// Decoded sections by their document object. An unchanged section is the same object
+// in each revision, so only changed sections are decoded again.
+const sectionCache = new WeakMap<object, Map<string, unknown>>()
 
 function readClasses (document: Document): Map<ClassName, RequestClass> {
   const classes = readSection<ClassName, RequestClass>(document, 'classes', 'name')
@@ -102,12 +102,12 @@
 
 function readSection<Name extends string, Item> (document: Document, section: string, idKey: string): Map<Name, Item> {
   const found = document[section] ?? {}
-  const known = sectionsRead.get(found)
-  if (known !== undefined) return known as unknown as Map<Name, Item>
+  const cached = sectionCache.get(found)
+  if (cached !== undefined) return cached as unknown as Map<Name, Item>
   const items = new Map<Name, Item>()
   for (const [name, item] of Object.entries(found)) {
     items.set(brandId<Name>(name), { [idKey]: name, ...(item as object) } as Item)
   }
-  sectionsRead.set(found, items)
+  sectionCache.set(found, items)
   return items
 }
--- a/src/config/field.ts
+++ b/src/config/field.ts
@@ -1,16 +1,16 @@
 /**
- * Descriptions of what a TOML file may hold. One description checks a file,
- * fills in defaults, and is printed as `docs/CONFIG.md`.
+ * Schema of TOML files. The same field descriptions are used to validate a file,
+ * to fill in defaults, and to generate `docs/CONFIG.md`.
  */
 
 interface FieldBase {
-  /** What the key is for, in one sentence. */
+  /** Purpose of the key, in one sentence. */
   readonly about: string
-  /** Present where the key may be left out. */
+  /** Default value; undefined for a required key. */
   readonly fallback?: unknown
 }
 
-/** A value of one key. */
+/** Schema of the value of one key. */
 export type Field =
   | (FieldBase & { readonly type: 'text', readonly pattern?: RegExp, readonly allowed?: string })
   | (FieldBase & { readonly type: 'number', readonly least: number, readonly most: number, readonly whole: boolean, readonly unit: string })
@@ -20,13 +20,13 @@
   | (FieldBase & { readonly type: 'table', readonly fields: FieldTable })
   | (FieldBase & { readonly type: 'named', readonly fields: FieldTable })
 
-/** The keys of a table. */
+/** Schema of a table, by key. */
 export type FieldTable = Readonly<Record<string, Field>>
 
 const namePattern = /^[a-z0-9][a-z0-9.-]{0,62}$/
-const nameAllowed = 'a name of a-z, 0-9, "-" and ".", at most 63 long'
+const nameAllowed = 'a name of a-z, 0-9, "-" and ".", at most 63 characters'
 
-/** A name, as boxes, zones, classes and the like have. */
+/** A name of a box, zone, class or similar. */
 export function describeName (about: string, fallback?: string): Field {
   return { type: 'text', about, pattern: namePattern, allowed: nameAllowed, ...withFallback(fallback) }
 }
@@ -36,9 +36,9 @@
   return { type: 'text', about, ...withFallback(fallback) }
 }
 
-/** A host by its IP number. */
+/** A host by its IP address. */
 export function describeHost (about: string, fallback?: string): Field {
-  return { type: 'text', about, pattern: /^(\d{1,3}\.){3}\d{1,3}$|^[0-9a-f:]+$/, allowed: 'an IP number', ...withFallback(fallback) }
+  return { type: 'text', about, pattern: /^(\d{1,3}\.){3}\d{1,3}$|^[0-9a-f:]+$/, allowed: 'an IP address', ...withFallback(fallback) }
 }
 
 /** A TCP or UDP port. */
@@ -46,12 +46,12 @@
   return { type: 'number', about, least: 0, most: 65_535, whole: true, unit: 'port', ...withFallback(fallback) }
 }
 
-/** A whole number with its unit and bounds. */
-export function describeWhole (about: string, unit: string, least: number, most: number, fallback?: number): Field {
+/** An integer with its unit and inclusive bounds. */
+export function describeInteger (about: string, unit: string, least: number, most: number, fallback?: number): Field {
   return { type: 'number', about, least, most, whole: true, unit, ...withFallback(fallback) }
 }
 
-/** A number with its unit and bounds. */
+/** A number with its unit and inclusive bounds. */
 export function describeNumber (about: string, unit: string, least: number, most: number, fallback?: number): Field {
   return { type: 'number', about, least, most, whole: false, unit, ...withFallback(fallback) }
 }
--- a/src/config/index.ts
+++ b/src/config/index.ts
@@ -1,4 +1,4 @@
-/** Settings and intents: what TOML files may hold, checked. */
+/** Settings and intents: schema and validation of TOML files, and the configuration that they define. */
 export * from './field.js'
 export * from './mistake.js'
 export { checkTable, describe } from './check-table.js'
--- a/src/config/intent.ts
+++ b/src/config/intent.ts
@@ -7,18 +7,18 @@
 import { findKeyLines } from './key-lines.js'
 import type { Mistake } from './mistake.js'
 
-/** What an operator's intent states: items to hold, and items to remove. */
+/** An operator's declaration of configuration items to create or replace, and items to remove. */
 export interface Intent {
   readonly items: Document
   readonly remove: readonly string[]
 }
 
-/** A parsed file, or the mistakes in it. */
+/** A parsed value, or the mistakes in its text. */
 export type Parsed<T> =
   | { readonly ok: true, readonly value: T }
   | { readonly ok: false, readonly mistakes: readonly Mistake[] }
 
-/** Parses a TOML text against a description, with all its mistakes. */
+/** Parses a TOML text and validates it; reports all mistakes, or only the first where the syntax is invalid. */
 export function parseToml (text: string, fields: FieldTable): Parsed<Readonly<Record<string, unknown>>> {
   let table
   try {
@@ -32,7 +32,6 @@
   return mistakes.length === 0 ? { ok: true, value } : { ok: false, mistakes }
 }
 
-/** Parses an intent. */
 export function parseIntent (text: string): Parsed<Intent> {
   const parsed = parseToml(text, intentFields)
   if (!parsed.ok) return parsed
@@ -40,7 +39,7 @@
   return { ok: true, value: { items: items as Document, remove: remove as string[] } }
 }
 
-/** The changes that an intent makes to a document. */
+/** Computes the changes that an intent makes to a document. */
 export function planIntent (intent: Intent, document: Document): Change[] {
   const removals: Change[] = intent.remove.map(path => {
     const dot = path.indexOf('.')
@@ -53,7 +52,7 @@
   return diffDocuments(document, applyChanges(document, [...additions, ...removals]))
 }
 
-/** Mistakes that only show in the whole: names that lead nowhere. */
+/** Finds mistakes across items: dangling references, keys of several workspaces, inconsistent priorities. */
 export function checkDocument (document: Document): Mistake[] {
   const mistakes: Mistake[] = []
   const expect = (path: string, section: string, name: unknown): void => {
@@ -78,7 +77,7 @@
     for (const key of (item as { keys: string[] }).keys) {
       const owner = owners.get(key)
       if (owner !== undefined && owner !== name) {
-        mistakes.push({ key: `workspaces.${name}.keys`, line: null, found: `a key of workspace ${owner}`, allowed: 'a key that opens one workspace' })
+        mistakes.push({ key: `workspaces.${name}.keys`, line: null, found: `a key of workspace ${owner}`, allowed: 'a key that belongs to only one workspace' })
       }
       owners.set(key, name)
     }
@@ -86,15 +85,15 @@
   return mistakes
 }
 
-// A class that may wait must stand below every class that may not.
+// Classes that may wait must have a lower priority (a larger number) than all others.
 function checkClasses (document: Document): Mistake[] {
   const classes = Object.entries(document.classes ?? {}) as [string, { priority: number, mayWait: boolean }][]
-  const quick = classes.filter(([, one]) => !one.mayWait).map(([, one]) => one.priority)
-  const lowestQuick = Math.max(-1, ...quick)
+  const nonWaitingPriorities = classes.filter(([, one]) => !one.mayWait).map(([, one]) => one.priority)
+  const lowestNonWaiting = Math.max(-1, ...nonWaitingPriorities)
   const mistakes: Mistake[] = []
   for (const [name, one] of classes) {
-    if (!one.mayWait || one.priority > lowestQuick) continue
-    mistakes.push({ key: `classes.${name}.priority`, line: null, found: String(one.priority), allowed: `a number over ${lowestQuick}, as the class may wait and others may not` })
+    if (!one.mayWait || one.priority > lowestNonWaiting) continue
+    mistakes.push({ key: `classes.${name}.priority`, line: null, found: String(one.priority), allowed: `a number over ${lowestNonWaiting}, the lowest priority of the classes that may not wait` })
   }
   return mistakes
 }
--- a/src/config/key-lines.ts
+++ b/src/config/key-lines.ts
@@ -1,7 +1,7 @@
 const headerPattern = /^\s*\[(\[)?\s*([^\]]+?)\s*\]/
 const keyPattern = /^\s*("[^"]*"|'[^']*'|[A-Za-z0-9_.-]+)\s*=/
 
-/** Finds the line on which each key of a TOML text stands, by dotted path. */
+/** Maps the dotted path of each key and table of a TOML text to its line, from 1. */
 export function findKeyLines (text: string): ReadonlyMap<string, number> {
   const lines = new Map<string, number>()
   const counts = new Map<string, number>()
@@ -10,19 +10,19 @@
     const header = headerPattern.exec(line)
     if (header !== null) {
       table = joinParts(header[2])
-      noteTable(lines, table, i + 1)
+      recordTable(lines, table, i + 1)
       if (header[1] === undefined) return
-      table = countTable(table, counts)
-      noteLine(lines, table, i + 1)
+      table = addArrayItem(table, counts)
+      recordLine(lines, table, i + 1)
       return
     }
     const key = keyPattern.exec(line)
-    if (key !== null) noteLine(lines, table === '' ? joinParts(key[1]) : `${table}.${joinParts(key[1])}`, i + 1)
+    if (key !== null) recordLine(lines, table === '' ? joinParts(key[1]) : `${table}.${joinParts(key[1])}`, i + 1)
   })
   return lines
 }
 
-/** The line of a path, or of the nearest table around it. */
+/** The line of a path, or of its nearest enclosing table; null where neither is known. */
 export function findLine (lines: ReadonlyMap<string, number>, path: string): number | null {
   let at = path
   while (at !== '') {
@@ -37,17 +37,17 @@
   return text.replace(/["']/g, '').replace(/\s*\.\s*/g, '.')
 }
 
-function countTable (table: string, counts: Map<string, number>): string {
+function addArrayItem (table: string, counts: Map<string, number>): string {
   const count = counts.get(table) ?? 0
   counts.set(table, count + 1)
   return `${table}.${count}`
 }
 
-// A header begins the tables around its own too, where none of them has a line yet.
-function noteTable (lines: Map<string, number>, path: string, line: number): void {
-  for (let at = path; at !== ''; at = at.slice(0, Math.max(0, at.lastIndexOf('.')))) noteLine(lines, at, line)
+// A header also defines its enclosing tables, unless an earlier line did.
+function recordTable (lines: Map<string, number>, path: string, line: number): void {
+  for (let at = path; at !== ''; at = at.slice(0, Math.max(0, at.lastIndexOf('.')))) recordLine(lines, at, line)
 }
 
-function noteLine (lines: Map<string, number>, path: string, line: number): void {
+function recordLine (lines: Map<string, number>, path: string, line: number): void {
   if (!lines.has(path)) lines.set(path, line)
 }
--- a/src/config/mistake.ts
+++ b/src/config/mistake.ts
@@ -1,14 +1,14 @@
-/** One mistake in a file: where it is, what was found, what is allowed. */
+/** A validation error of a file: its location, the value found, and the values allowed. */
 export interface Mistake {
   /** Dotted path of the key. */
   readonly key: string
-  /** Line of the file from 1, or null where it isn't known. */
+  /** Line of the file, from 1; null if unknown. */
   readonly line: number | null
   readonly found: string
   readonly allowed: string
 }
 
-/** A mistake as one line for people. */
+/** Formats a mistake as one line for operators. */
 export function formatMistake (file: string, mistake: Mistake): string {
   const place = mistake.line === null ? file : `${file}:${mistake.line}`
   const key = mistake.key === '' ? '' : ` ${mistake.key}:`
--- a/src/protocol/box-message.ts
+++ b/src/protocol/box-message.ts
@@ -1,24 +1,24 @@
-/** Everything that boxes and operators' shells say to each other over links. */
+/** Messages that entry boxes, keepers and operators' clients exchange over links. */
 import type { Change, CommandId, Document, KeeperCommand, KeeperResult, Members, RaftMessage, ReplicaId, Revision } from '../coordination/index.js'
 import type { RequestId, ShardAnswer, ShardId, ShardWord, WorkspaceName } from '../core/index.js'
 import type { PackedLoad } from './packed-load.js'
 import type { BoxStatus, KeeperStatus } from './status.js'
 
-/** What a keeper is asked. */
+/** A request to a keeper. */
 export type KeeperCall =
   | { readonly type: 'command', readonly command: KeeperCommand }
-  /** Plans an intent: the leader works out the changes against what is in force. */
+  /** Plans an intent: the leader computes the changes against the configuration in force. */
   | { readonly type: 'plan', readonly id: CommandId, readonly intent: string }
   | { readonly type: 'repair', readonly replace: string, readonly id: CommandId }
   | { readonly type: 'document' }
   | { readonly type: 'status' }
 
-/** What a keeper answers. */
+/** A keeper's response to a `KeeperCall`. */
 export type KeeperReply =
   | { readonly type: 'result', readonly result: KeeperResult }
-  /** Ask there; null where no leader is known. */
+  /** The request must go to `leader`; null where no leader is known. */
   | { readonly type: 'redirect', readonly leader: string | null }
-  /** Whether the command was carried out is not known; resend it. */
+  /** It is unknown whether the command was applied; it should be sent again. */
   | { readonly type: 'lost' }
   | { readonly type: 'mistakes', readonly mistakes: readonly string[] }
   | { readonly type: 'document', readonly document: Document, readonly revision: number }
@@ -33,7 +33,7 @@
   | { readonly type: 'form', readonly members: Members }
   | { readonly type: 'call', readonly call: number, readonly body: KeeperCall }
   | { readonly type: 'reply', readonly call: number, readonly body: KeeperReply }
-  /** A box has `revision` and wants what comes after; its whole status goes to one keeper now and then. */
+  /** Subscribes to the revisions after `revision`. `status` is set only in the periodic message to one of the keepers. */
   | { readonly type: 'watch', readonly revision: number, readonly status: BoxStatus | null }
   | { readonly type: 'revisions', readonly revisions: readonly Revision[] }
   | { readonly type: 'whole', readonly document: Document, readonly revision: number }
@@ -41,7 +41,7 @@
   | { readonly type: 'shard-word', readonly shard: ShardId, readonly word: ShardWord }
   | { readonly type: 'shard-answer', readonly shard: ShardId, readonly answer: ShardAnswer }
   | { readonly type: 'not-owner', readonly shard: ShardId, readonly request: RequestId, readonly attempt: number }
-  /** The shards that a box owns, told often; and the demand of its active workspaces, told now and then, else null. */
+  /** Loads of the shards that a box owns, sent often. `demands` of its active workspaces come less often; null in between. */
   | { readonly type: 'loads', readonly loads: readonly PackedLoad[], readonly demands: readonly (readonly [WorkspaceName, number])[] | null }
 
 export type { Change }
--- a/src/protocol/chat.ts
+++ b/src/protocol/chat.ts
@@ -1,13 +1,12 @@
-/** The published chat protocol, as far as a router reads it. */
+/** The part of the public chat-completions protocol that a router reads. */
 import { createHash } from 'node:crypto'
 
-/** A message of a chat. */
 export interface ChatMessage {
   readonly role: string
   readonly content?: unknown
 }
 
-/** A chat request; further keys are passed on as they came. */
+/** A chat request. Other keys are passed through unchanged. */
 export interface ChatRequest {
   readonly model: string
   readonly messages: readonly ChatMessage[]
@@ -25,20 +24,20 @@
 }
 
 const bytesPerToken = 4
-const prefixBytes = 1024
+const prefixChars = 1024
 
-/** Reads a body; a `BadChat` says what is wrong with it. */
+/** Parses and validates a request body. Returns a `BadChat` on the first mistake. */
 export function parseChat (body: Buffer): ChatRequest | BadChat {
   let value: unknown
   try {
     value = JSON.parse(body.toString('utf8'))
   } catch {
-    return { param: null, text: 'the body is not JSON' }
+    return { param: null, text: 'the body is not valid JSON' }
   }
-  if (typeof value !== 'object' || value === null || Array.isArray(value)) return { param: null, text: 'the body is not an object' }
+  if (typeof value !== 'object' || value === null || Array.isArray(value)) return { param: null, text: 'the body is not a JSON object' }
   const chat = value as Record<string, unknown>
-  if (typeof chat.model !== 'string' || chat.model === '') return { param: 'model', text: '"model" must be a text' }
-  if (!Array.isArray(chat.messages) || chat.messages.length === 0) return { param: 'messages', text: '"messages" must be a list with at least one message' }
+  if (typeof chat.model !== 'string' || chat.model === '') return { param: 'model', text: '"model" must be a string' }
+  if (!Array.isArray(chat.messages) || chat.messages.length === 0) return { param: 'messages', text: '"messages" must be a non-empty array' }
   for (const message of chat.messages as unknown[]) {
     if (typeof message !== 'object' || message === null || typeof (message as ChatMessage).role !== 'string') {
       return { param: 'messages', text: 'each message must have a "role"' }
@@ -48,30 +47,30 @@
   for (const key of ['max_tokens', 'max_completion_tokens']) {
     const found = chat[key]
     if (found !== undefined && found !== null && !(Number.isInteger(found) && (found as number) > 0)) {
-      return { param: key, text: `"${key}" must be a whole number over 0` }
+      return { param: key, text: `"${key}" must be a positive integer` }
     }
   }
   return chat as unknown as ChatRequest
 }
 
-/** True where `parseChat` found a mistake. */
+/** True where `parseChat` rejected the body. */
 export function isBadChat (parsed: ChatRequest | BadChat): parsed is BadChat {
   return 'text' in parsed && 'param' in parsed && !('messages' in parsed)
 }
 
-/** About how many tokens the prompt has. */
+/** Estimates the prompt's tokens from the size of the body. */
 export function estimatePrompt (body: Buffer): number {
   return Math.ceil(body.length / bytesPerToken)
 }
 
-/** A digest of the prompt's beginning within its workspace, or null where it's short. */
+/** A digest of the prompt's first 1,024 characters, separate for each workspace; null for shorter prompts. */
 export function digestPrefix (workspace: string, chat: ChatRequest): string | null {
   const text = JSON.stringify([chat.model, chat.messages])
-  if (text.length < prefixBytes) return null
-  return createHash('sha256').update(workspace).update(text.slice(0, prefixBytes)).digest('base64url').slice(0, 16)
+  if (text.length < prefixChars) return null
+  return createHash('sha256').update(workspace).update(text.slice(0, prefixChars)).digest('base64url').slice(0, 16)
 }
 
-/** The text that a streamed event adds to the answer; null where it adds none. */
+/** The text that a streamed event adds to the answer; null where it has none or can't be parsed. */
 export function readDelta (data: string): string | null {
   try {
     const chunk = JSON.parse(data) as { choices?: { delta?: { content?: string | null } }[] }
--- a/src/protocol/dialect.ts
+++ b/src/protocol/dialect.ts
@@ -1,73 +1,73 @@
 /**
- * A dialect is how callers, endpoints and operators speak: names of headers,
- * forms of bodies, paths of calls. Everything behind it deals in the types
- * below alone. The product's own is `native-dialect.ts`; an adapter to another
- * platform brings its own.
+ * A dialect maps the HTTP interface of callers, endpoints and operators (header
+ * names, body formats, paths) to the types below; the rest of the code uses only
+ * these types. The native dialect is `native-dialect.ts`; an adapter to another
+ * platform defines its own.
  */
 import type { EndpointRecord, EndpointStage, PromptCost, RoutingDocument } from '../core/index.js'
-import type { DutyCall, DutyWords, OutsideCall } from './duty-call.js'
+import type { DutyCall, DutyLease, OutsideCall } from './duty-call.js'
 import type { EndpointNotices } from './endpoint-notices.js'
 import type { HeaderMap } from './header-map.js'
 
-/** What a caller's headers say of a request, beside route and body. */
+/** Values read from the headers of a caller's request. */
 export interface CallerWords {
-  /** The caller's own id of the request; empty where there is none. */
+  /** The caller's id for the request; empty if missing. */
   readonly requestId: string
-  /** How long the caller will wait, ms; null where it doesn't say. */
+  /** How long the caller waits for the answer, ms; null if not given. */
   readonly deadlineMs: number | null
-  /** The key that opens a workspace; null for none. */
+  /** The API key of a workspace; null for none. */
   readonly key: string | null
   readonly cost: PromptCost | null
-  /** The last event that the caller has of a broken stream; null for none. */
+  /** Id of the last event received from a broken stream; null for none. */
   readonly lastEvent: string | null
 }
 
-/** What the product adds to a request on its way to an endpoint. */
-export interface EndpointWords {
+/** Values that the gateway adds as headers to a request to an endpoint. */
+export interface EndpointHeaders {
   readonly requestId: string
-  /** What is left of the caller's time, ms. */
+  /** Time left until the caller's deadline, ms. */
   readonly deadlineMs: number
-  /** The endpoint that is meant: another one at its address must refuse. */
+  /** Id of the addressed endpoint: a different endpoint at the same address must refuse the request. */
   readonly endpoint: string
   readonly workspace: string | null
-  /** 0 goes first; null where the endpoint has no use for it. */
+  /** Scheduling priority, 0 is served first; null where the endpoint does not use it. */
   readonly priority: number | null
-  /** "HOST:PORT" of another endpoint from which this one takes what it keeps of the prompt; null to read it all. */
+  /** "HOST:PORT" of another endpoint to fetch the cached part of the prompt from; null to compute all of it. */
   readonly fetchFrom: string | null
-  /** The last event of a stream that is continued; null for a whole one. */
+  /** Id of the event after which a stream is resumed; null for a new stream. */
   readonly lastEvent: string | null
 }
 
-/** What the head of an endpoint's answer says. */
+/** Values read from the status and headers of an endpoint's answer. */
 export interface AnswerWords {
-  /** The id of the request that is answered; empty where the endpoint names none. */
+  /** Id of the answered request; empty if missing. */
   readonly requestId: string
-  /** True where the endpoint says that it did not run the request and won't. */
+  /** True where the endpoint states that it neither ran the request nor will run it. */
   readonly isNotRun: boolean
-  /** True where another endpoint answers at that address. */
+  /** True where a different endpoint than the addressed one answered. */
   readonly isOtherEndpoint: boolean
-  /** True where the answer bears the endpoint's mark, which a whole answer must have. */
+  /** True where the answer has the header that every complete answer of an endpoint carries, or where the dialect defines none. */
   readonly isMarked: boolean
   readonly notices: EndpointNotices
 }
 
-/** A call at a registry. */
+/** A call to the HTTP API of a registry. */
 export type RegistryCall =
   | { readonly type: 'put-document' }
   | { readonly type: 'read-document' }
   | { readonly type: 'register', readonly endpoint: string }
   | { readonly type: 'deregister', readonly endpoint: string }
-  /** Asks for the requests that are not sent, as endpoints ended under them. */
+  /** Lists the requests that are no longer sent because endpoints crashed while running them. */
   | { readonly type: 'list-quarantine' }
-  /** Has one of them sent again. */
+  /** Allows one of them to be sent again. */
   | { readonly type: 'lift-quarantine', readonly fingerprint: string }
-  /** Asks for what ran in the newest windows, by workspace. */
+  /** Lists the request counts of the latest usage windows by workspace. */
   | { readonly type: 'list-usage' }
-  /** Asks what endpoints say of themselves on their answers, as far as this registry knows. */
+  /** Lists the endpoint notices that this registry knows. */
   | { readonly type: 'list-notices' }
   | { readonly type: 'unknown' }
 
-/** A document that can't be read, or must not be put in force. */
+/** Thrown for a document that can't be parsed or is invalid; carries all mistakes. */
 export class DocumentError extends Error {
   readonly mistakes: readonly string[]
 
@@ -77,49 +77,49 @@
   }
 }
 
-/** One manner of speaking. Every function is pure. */
+/** Translates between HTTP and the types of this module. All functions are pure. */
 export interface Dialect {
-  /** The path at which a gateway is asked whether it is ready. */
+  /** Path of a gateway's readiness check. */
   readonly readyPath: string
   readCaller (headers: HeaderMap): CallerWords
-  /** The headers for the endpoint: the caller's, in their order and letters, less what concerns one connection or the product alone, and the product's. */
-  composeRequest (rawHeaders: readonly string[], words: EndpointWords): string[]
-  /** `wallMs`: Unix time at which the answer came. */
+  /** Raw headers for the endpoint: the caller's, in their order and case, without hop-by-hop and reserved headers, followed by those for `values`. */
+  composeRequest (rawHeaders: readonly string[], values: EndpointHeaders): string[]
+  /** `wallMs`: Unix time at which the answer arrived. */
   readAnswer (status: number, headers: HeaderMap, wallMs: number): AnswerWords
   /** The value of Retry-After, in seconds. */
   formatRetryAfter (ms: number): string
   readRegistryCall (method: string, path: string): RegistryCall
-  /** Throws `DocumentError` where the text can't be read in full. */
+  /** Throws `DocumentError` for an invalid document. */
   decodeDocument (text: string): RoutingDocument
-  /** Throws `DocumentError` where a registration can't be read. */
+  /** Throws `DocumentError` for an invalid registration. */
   decodeRegistration (endpoint: string, text: string): EndpointRecord
-  composeDuty (call: DutyCall, words: DutyWords): OutsideCall
-  /** The record for an endpoint that says that it is gone. */
+  composeDuty (call: DutyCall, lease: DutyLease): OutsideCall
+  /** The record for an endpoint that deregisters itself. */
   composeGone (endpoint: string, stage: EndpointStage): EndpointRecord
 }
 
-/** Headers that concern one connection only (RFC 9110, section 7.6.1). */
-export const connectionHeaders: ReadonlySet<string> = new Set([
+/** Headers that apply to a single connection and must not be forwarded (RFC 9110, section 7.6.1). */
+export const hopByHopHeaders: ReadonlySet<string> = new Set([
   'connection', 'keep-alive', 'proxy-authenticate', 'proxy-authorization', 'proxy-connection', 'te', 'trailer', 'transfer-encoding', 'upgrade'
 ])
 
-/** The headers that a message's Connection header names beside the usual ones, in lower case. */
-export function listNamedByConnection (rawHeaders: readonly string[]): Set<string> {
-  const named = new Set<string>()
+/** Names listed in a message's Connection header, in lower case. */
+export function listConnectionOptions (rawHeaders: readonly string[]): Set<string> {
+  const options = new Set<string>()
   for (let i = 0; i < rawHeaders.length; i += 2) {
     if (rawHeaders[i].toLowerCase() !== 'connection') continue
-    for (const name of rawHeaders[i + 1].split(',')) named.add(name.trim().toLowerCase())
+    for (const name of rawHeaders[i + 1].split(',')) options.add(name.trim().toLowerCase())
   }
-  return named
+  return options
 }
 
-/** Copies raw headers but for those of one connection and those that `isDropped` names. */
+/** Copies raw headers except for hop-by-hop headers and those for which `isDropped` is true; `name` is in lower case. */
 export function copyHeaders (rawHeaders: readonly string[], isDropped: (name: string) => boolean): string[] {
-  const named = listNamedByConnection(rawHeaders)
+  const connectionOptions = listConnectionOptions(rawHeaders)
   const copied: string[] = []
   for (let i = 0; i < rawHeaders.length; i += 2) {
     const name = rawHeaders[i].toLowerCase()
-    if (connectionHeaders.has(name) || named.has(name) || isDropped(name)) continue
+    if (hopByHopHeaders.has(name) || connectionOptions.has(name) || isDropped(name)) continue
     copied.push(rawHeaders[i], rawHeaders[i + 1])
   }
   return copied
--- a/src/protocol/document-reader.ts
+++ b/src/protocol/document-reader.ts
@@ -1,12 +1,12 @@
 import { DocumentError } from './dialect.js'
 
-/** Ports of TCP are 16 bits wide. */
+/** Highest TCP port. */
 export const mostPort = 65_535
 
 /**
- * Reads a decoded document field by field and gathers every mistake, so that an
- * operator sees all of them at once. Unknown fields are passed over: a newer
- * document may hold them.
+ * Reads a decoded document field by field and collects all mistakes, so that an
+ * operator sees them at once. Unknown fields are ignored for forward
+ * compatibility: newer documents may have them.
  */
 export class DocumentReader {
   #table: Readonly<Record<string, unknown>>
@@ -22,12 +22,12 @@
 
   has (key: string): boolean { return this.#table[key] !== undefined && this.#table[key] !== null }
 
-  /** A text that isn't empty; a missing one is a mistake unless there is a fallback. */
+  /** A non-empty string; a missing one is a mistake unless there is a fallback. */
   readText (key: string, fallback?: string): string {
     const found = this.#table[key]
     if (typeof found === 'string' && found !== '') return found
     if (fallback !== undefined && !this.has(key)) return fallback
-    this.#add(key, 'is not a text')
+    this.#add(key, 'is not a text string, or is empty')
     return ''
   }
 
@@ -39,16 +39,16 @@
     return 0
   }
 
-  /** A whole number from `least` on that is held exactly. */
+  /** A safe integer that is at least `least`. */
   readWhole (key: string, least = 0, fallback?: number): number {
     const found = this.#table[key]
     if (fallback !== undefined && !this.has(key)) return fallback
     if (Number.isSafeInteger(found) && (found as number) >= least) return found as number
-    this.#add(key, `is not a whole number from ${least} on`)
+    this.#add(key, `is not an integer of at least ${least}`)
     return least
   }
 
-  /** Every field that is a number, by its key. */
+  /** All fields as [key, number] pairs; a field that isn't a number is a mistake. */
   readNumbers (): [string, number][] {
     return Object.keys(this.#table).map(key => [key, this.readNumber(key)])
   }
@@ -60,7 +60,7 @@
     return fallback
   }
 
-  /** One of the keys of `choices`, as the value that stands there. */
+  /** Maps a key of `choices` to its value. */
   readChoice<T> (key: string, choices: Readonly<Record<string, T>>): T {
     const found = this.#table[key]
     if (typeof found === 'string' && Object.hasOwn(choices, found)) return choices[found]
@@ -79,7 +79,7 @@
   readTexts (key: string): string[] {
     const found = this.#table[key]
     if (Array.isArray(found) && found.every(one => typeof one === 'string')) return found
-    this.#add(key, 'is not a list of texts')
+    this.#add(key, 'is not a list of strings')
     return []
   }
 
@@ -87,13 +87,13 @@
     return read(new DocumentReader(this.#table[key], this.#join(key), this.#mistakes))
   }
 
-  /** Notes a mistake that only the caller can see; gives what stands in for the value. */
+  /** Records a mistake that the caller found; returns `instead` as the field's value. */
   refuse<T> (key: string, what: string, instead: T): T {
     this.#add(key, what)
     return instead
   }
 
-  /** Throws `DocumentError` where anything was amiss. */
+  /** Throws `DocumentError` if there were any mistakes. */
   finish (): void {
     if (this.#mistakes.length > 0) throw new DocumentError(this.#mistakes)
   }
@@ -107,7 +107,7 @@
   }
 }
 
-/** Parses JSON; throws `DocumentError` where it is not whole. */
+/** Parses JSON; throws `DocumentError` on a syntax error. */
 export function parseJson (text: string): unknown {
   try {
     return JSON.parse(text)
--- a/src/protocol/duty-call.ts
+++ b/src/protocol/duty-call.ts
@@ -1,21 +1,23 @@
-/** Calls that one box makes for all of them at a time, to whoever runs the platform below. */
+/**
+ * Calls to the operator of the underlying platform. Each duty is carried out by
+ * one box at a time, under a lease with a fencing number.
+ */
 import type { UsageCounts, UsageWindow } from '../coordination/index.js'
 import type { ServiceName, ZoneName } from '../core/index.js'
 
-/** One call of a duty. */
 export type DutyCall =
-  /** What began in a window, by workspace. */
+  /** Reports the requests that began in a window, by workspace. */
   | { readonly type: 'report-usage', readonly window: UsageWindow, readonly counts: UsageCounts }
-  /** How many endpoints of a service there should be in a zone; those that may be taken back are counted apart. */
+  /** Sets how many endpoints of a service should run in a zone; preemptible (spot) endpoints are ordered separately. */
   | { readonly type: 'order-endpoints', readonly service: ServiceName, readonly zone: ZoneName, readonly isSpot: boolean, readonly count: number }
 
-/** Who calls, and under which number. */
-export interface DutyWords {
+/** The lease under which a call is made: the holder's name and its fencing number. */
+export interface DutyLease {
   readonly holder: string
   readonly fence: number
 }
 
-/** A call as it goes out. */
+/** A call as an HTTP request. */
 export interface OutsideCall {
   readonly method: string
   readonly path: string
@@ -23,9 +25,9 @@
   readonly body: string
 }
 
-/** The names in which a dialect speaks of duties. */
+/** A dialect's header names, paths and body formats for duties. */
 export interface DutyNames {
-  /** Headers. */
+  /** Header names. */
   readonly holder: string
   readonly fence: string
   /** Paths. */
@@ -35,8 +37,8 @@
   composeOrder (order: Extract<DutyCall, { type: 'order-endpoints' }>): object
 }
 
-/** Writes a call out in a dialect's names. */
-export function composeDuty (names: DutyNames, call: DutyCall, { holder, fence }: DutyWords): OutsideCall {
+/** Formats a call in a dialect's names. */
+export function composeDuty (names: DutyNames, call: DutyCall, { holder, fence }: DutyLease): OutsideCall {
   const headers = { 'content-type': 'application/json', [names.holder]: holder, [names.fence]: String(fence) }
   switch (call.type) {
     case 'report-usage': return { method: 'POST', path: names.usage, headers, body: JSON.stringify(names.composeUsage(call.window, call.counts)) }
--- a/src/protocol/endpoint-notices.ts
+++ b/src/protocol/endpoint-notices.ts
@@ -1,66 +1,66 @@
 /**
- * What an endpoint says of itself on its answers: a rate limit, that it leaves,
- * and how long it wants nothing from this box. The values come from outside: one
- * that can't be read is reported and replaced by a bound, never trusted.
+ * Notices that an endpoint sends in the headers of its answers: a rate limit,
+ * that it is shutting down, and a back-off period for this box. The values are
+ * untrusted: malformed or extreme ones are reported and replaced by a bound.
  */
 import type { HeaderMap } from './header-map.js'
 
-/** The names of the headers, in lower case. */
+/** Header names in lower case. */
 export interface NoticeNames {
-  /** Requests a second, from all boxes together. */
+  /** Maximum requests/s from all boxes together. */
   readonly limit: string
-  /** "1" on every answer of an endpoint that leaves. */
+  /** "1" on every answer of an endpoint that is shutting down. */
   readonly leaving: string
 }
 
-/** A header that could not be taken as it was. */
+/** A header with a malformed or out-of-range value. */
 export interface FaultyHeader {
   readonly name: string
   readonly value: string
 }
 
-/** What the headers of one answer say of its endpoint. */
+/** The notices in the headers of one answer. */
 export interface EndpointNotices {
-  /** Requests a second that the endpoint takes from all boxes together; null where it names no limit, undefined where what it names can't be read. */
+  /** Maximum requests/s from all boxes together; null where the endpoint sets no limit, undefined where its value can't be parsed. */
   readonly limit: number | null | undefined
   readonly isLeaving: boolean
-  /** How long the endpoint wants nothing from this box, ms; null where it doesn't say. */
+  /** How long this box must not send to the endpoint, ms; null where it did not ask to back off. */
   readonly backoffMs: number | null
   readonly faulty: readonly FaultyHeader[]
 }
 
-/** The limits that are believed, requests a second. */
-const leastLimit = 0.1
-const mostLimit = 1_000_000
-/** The longest back-off that is believed, ms. */
-const mostBackoffMs = 30_000
-/** The back-off of an endpoint that asked for one in words that can't be read, ms. */
+/** Limits are clamped to this range, requests/s. */
+const minLimit = 0.1
+const maxLimit = 1_000_000
+/** Longer back-offs are cut to this, ms. */
+const maxBackoffMs = 30_000
+/** Back-off where Retry-After can't be parsed, ms. */
 const unreadableBackoffMs = 1000
-/** Statuses with which an endpoint turns a request away. */
-const turnedAway = new Set([429, 503])
-/** Only so much of a faulty value is reported, characters. */
-const reportedLength = 40
+/** Statuses with which an endpoint refuses a request for lack of capacity. */
+const refusalStatuses = new Set([429, 503])
+/** Faulty values are reported up to this many characters. */
+const maxReportedChars = 40
 
-/** Reads the notices of one answer. `wallMs`: Unix time, for a back-off until a date where the answer bears no date of its own. */
+/** Reads the notices of one answer. `wallMs`: Unix time, the base of a Retry-After date where the answer has no Date header. */
 export function readNotices (status: number, headers: HeaderMap, names: NoticeNames, wallMs: number): EndpointNotices {
   const faulty: FaultyHeader[] = []
-  const report = (name: string, value: string): void => { faulty.push({ name, value: value.slice(0, reportedLength) }) }
+  const report = (name: string, value: string): void => { faulty.push({ name, value: value.slice(0, maxReportedChars) }) }
   return {
     limit: readLimit(headers, names.limit, report),
     isLeaving: readLeaving(headers, names.leaving, report),
-    backoffMs: turnedAway.has(status) ? readBackoff(headers, wallMs, report) : null,
+    backoffMs: refusalStatuses.has(status) ? readBackoff(headers, wallMs, report) : null,
     faulty
   }
 }
 
-/** For how long an answer asks to back off, ms; null where it doesn't. */
+/** The back-off that an answer asks for, ms; null for none. */
 export function readBackoffMs (status: number, headers: HeaderMap, wallMs: number): number | null {
-  return turnedAway.has(status) ? readBackoff(headers, wallMs, () => {}) : null
+  return refusalStatuses.has(status) ? readBackoff(headers, wallMs, () => {}) : null
 }
 
 type Report = (name: string, value: string) => void
 
-// Of several values the lowest holds.
+// The lowest of several values applies.
 function readLimit (headers: HeaderMap, name: string, report: Report): number | null | undefined {
   const text = joinValues(headers[name])
   if (text === null) return null
@@ -70,9 +70,9 @@
     return undefined
   }
   const limit = Math.min(...limits)
-  const believed = Math.min(mostLimit, Math.max(leastLimit, limit))
-  if (believed !== limit || text.includes(',')) report(name, text)
-  return believed
+  const clamped = Math.min(maxLimit, Math.max(minLimit, limit))
+  if (clamped !== limit || text.includes(',')) report(name, text)
+  return clamped
 }
 
 function readLeaving (headers: HeaderMap, name: string, report: Report): boolean {
@@ -81,7 +81,7 @@
   return text === '1'
 }
 
-// Of several values the longest holds. A date is one value, though it has a comma in it.
+// The longest of several values applies. An HTTP date contains a comma but is a single value.
 function readBackoff (headers: HeaderMap, wallMs: number, report: Report): number | null {
   const text = joinValues(headers['retry-after'])
   if (text === null) return null
@@ -92,11 +92,10 @@
     report('retry-after', text)
     return unreadableBackoffMs
   }
-  if (backoffMs < 0 || backoffMs > mostBackoffMs || seconds.length > 1) report('retry-after', text)
-  return Math.min(mostBackoffMs, Math.max(0, backoffMs))
+  if (backoffMs < 0 || backoffMs > maxBackoffMs || seconds.length > 1) report('retry-after', text)
+  return Math.min(maxBackoffMs, Math.max(0, backoffMs))
 }
 
-// Null for a text that is no number.
 function parseNumber (text: string): number | null {
   const value = text.trim() === '' ? NaN : Number(text)
   return Number.isNaN(value) ? null : value
--- a/src/protocol/frame-body.ts
+++ b/src/protocol/frame-body.ts
@@ -1,21 +1,21 @@
-/** The body of a link's frame: its time, and the messages of one turn. */
+/** The body of a link's frame: the sender's hybrid time and a batch of messages. */
 import type { HybridTime } from '../runtime/index.js'
 import { decodeForeign, encodeValue } from './value-codec.js'
 
-/** A message to hundreds of links is encoded once: what it came to is kept as long as the message itself. */
-const encoded = new WeakMap<object, Buffer>()
+/** Encoded messages, so that a message to hundreds of links is encoded once. Entries live as long as the message object. */
+const encodedMessages = new WeakMap<object, Buffer>()
 
-/** CBOR's first byte of a list of three, and of lists whose length follows in one, two or four bytes. */
-const listOfThree = Buffer.from([0x83])
-const shortList = 0x80
-const [byteList, wordList, longList] = [0x98, 0x99, 0x9a]
+/** CBOR initial bytes: an array of three, arrays of up to 23 items, and arrays with an 8, 16 or 32-bit length. */
+const arrayOfThree = Buffer.from([0x83])
+const shortArray = 0x80
+const [array8, array16, array32] = [0x98, 0x99, 0x9a]
 
-/** Encodes the body of a frame. Messages must not be changed once they were sent. */
+/** Encodes the body of a frame. Message objects must not be modified afterwards, as their encoding is cached. */
 export function encodeBody ({ ms, count }: HybridTime, messages: readonly unknown[]): Buffer {
-  return Buffer.concat([listOfThree, encodeValue(ms), encodeValue(count), encodeListHead(messages.length), ...messages.map(encodeOnce)])
+  return Buffer.concat([arrayOfThree, encodeValue(ms), encodeValue(count), encodeArrayHeader(messages.length), ...messages.map(encodeOnce)])
 }
 
-/** Decodes the body of a frame; undefined for bytes that are none. */
+/** Decodes the body of a frame; undefined for invalid bytes. */
 export function decodeBody (bytes: Uint8Array): { readonly time: HybridTime, readonly messages: readonly unknown[] } | undefined {
   const decoded = decodeForeign(bytes)
   if (!Array.isArray(decoded) || !Array.isArray(decoded[2])) return undefined
@@ -25,16 +25,16 @@
 
 function encodeOnce (message: unknown): Buffer {
   if (typeof message !== 'object' || message === null) return encodeValue(message)
-  let bytes = encoded.get(message)
-  if (bytes === undefined) encoded.set(message, bytes = encodeValue(message))
+  let bytes = encodedMessages.get(message)
+  if (bytes === undefined) encodedMessages.set(message, bytes = encodeValue(message))
   return bytes
 }
 
-function encodeListHead (length: number): Buffer {
-  if (length < 24) return Buffer.from([shortList | length])
-  if (length < 2 ** 8) return Buffer.from([byteList, length])
-  if (length < 2 ** 16) return Buffer.from([wordList, length >> 8, length & 0xff])
-  const head = Buffer.alloc(5, longList)
+function encodeArrayHeader (length: number): Buffer {
+  if (length < 24) return Buffer.from([shortArray | length])
+  if (length < 2 ** 8) return Buffer.from([array8, length])
+  if (length < 2 ** 16) return Buffer.from([array16, length >> 8, length & 0xff])
+  const head = Buffer.alloc(5, array32)
   head.writeUInt32BE(length, 1)
   return head
 }
--- a/src/protocol/frame-splitter.ts
+++ b/src/protocol/frame-splitter.ts
@@ -1,17 +1,17 @@
 const lengthBytes = 4
 
-/** Cuts a stream of bytes into frames that each begin with their length. */
+/** Splits a byte stream into length-prefixed frames. */
 export class FrameSplitter {
   #chunks: Buffer[] = []
-  #size = 0
-  #largest: number
+  #bufferedBytes = 0
+  #maxFrameBytes: number
 
-  /** `largest`: bytes of a frame beyond which `next` throws. */
-  constructor (largest: number) {
-    this.#largest = largest
+  /** `next` throws a RangeError for frames of more than `maxFrameBytes`. */
+  constructor (maxFrameBytes: number) {
+    this.#maxFrameBytes = maxFrameBytes
   }
 
-  /** Takes in bytes and returns the frames that are whole. */
+  /** Adds bytes and returns the complete frames. */
   push (chunk: Buffer): Buffer[] {
     this.add(chunk)
     const frames: Buffer[] = []
@@ -19,22 +19,21 @@
     return frames
   }
 
-  /** Takes in bytes. */
   add (chunk: Buffer): void {
     this.#chunks.push(chunk)
-    this.#size += chunk.length
+    this.#bufferedBytes += chunk.length
   }
 
-  /** The next frame that is whole; null where there is none yet. */
+  /** Removes and returns the next complete frame; null if there is none yet. */
   next (): Buffer | null {
-    if (this.#size < lengthBytes) return null
+    if (this.#bufferedBytes < lengthBytes) return null
     const length = this.#peekLength()
-    if (length > this.#largest) throw new RangeError(`frame of ${length} bytes; at most ${this.#largest} are allowed`)
-    return this.#size < lengthBytes + length ? null : this.#take(lengthBytes + length).subarray(lengthBytes)
+    if (length > this.#maxFrameBytes) throw new RangeError(`frame of ${length} bytes; at most ${this.#maxFrameBytes} are allowed`)
+    return this.#bufferedBytes < lengthBytes + length ? null : this.#take(lengthBytes + length).subarray(lengthBytes)
   }
 
-  /** Allows larger frames from the next one on. */
-  widen (largest: number): void { this.#largest = largest }
+  /** Applies from the next call of `next`. */
+  setMaxFrameBytes (maxFrameBytes: number): void { this.#maxFrameBytes = maxFrameBytes }
 
   #peekLength (): number {
     if (this.#chunks[0].length < lengthBytes) this.#join()
@@ -47,7 +46,7 @@
     const taken = first.subarray(0, size)
     if (first.length === size) this.#chunks.shift()
     else this.#chunks[0] = first.subarray(size)
-    this.#size -= size
+    this.#bufferedBytes -= size
     return taken
   }
 
@@ -56,7 +55,7 @@
   }
 }
 
-/** A body with its length before it. */
+/** Concatenates `parts` into one frame with its length prefix. */
 export function frameBytes (parts: readonly Uint8Array[]): Buffer {
   let size = 0
   for (const part of parts) size += part.length
--- a/src/protocol/header-dialect.ts
+++ b/src/protocol/header-dialect.ts
@@ -1,76 +1,74 @@
 /**
- * Dialects that differ in names alone: the headers carry what a request costs,
- * whose it is and how long it may take, under names from a table.
+ * Dialects that differ only in names: headers carry a request's cost, workspace
+ * and deadline, under names from a table.
  */
 import { brandId } from '../core/index.js'
 import type { EndpointRecord, EndpointStage, PromptCost, PromptPart, RoutingDocument } from '../core/index.js'
 import { composeDuty } from './duty-call.js'
-import type { DutyCall, DutyNames, DutyWords, OutsideCall } from './duty-call.js'
+import type { DutyCall, DutyNames, DutyLease, OutsideCall } from './duty-call.js'
 import { copyHeaders } from './dialect.js'
 import { readNotices } from './endpoint-notices.js'
 import type { HeaderMap } from './header-map.js'
-import type { AnswerWords, CallerWords, Dialect, EndpointWords, RegistryCall } from './dialect.js'
+import type { AnswerWords, CallerWords, Dialect, EndpointHeaders, RegistryCall } from './dialect.js'
 
-/** The names of a dialect's headers; all are looked up without regard to case. */
+/** The header names of a dialect; lookups ignore case. */
 export interface HeaderNames {
   readonly requestId: string
-  /** What is left of the caller's time, ms. */
+  /** Time left until the caller's deadline, ms. */
   readonly deadline: string
   readonly lastEvent: string
-  /** "PROMPT,MOST": tokens of the prompt and the most that may be generated. */
+  /** "PROMPT,MAX": tokens of the prompt and the maximum to generate. */
   readonly tokens: string
   /** "ID:TOKENS,ID:TOKENS": the prompt's parts in order. */
   readonly parts: string
   readonly expectedEndpoint: string
   readonly workspace: string
   readonly priority: string
-  /** "HOST:PORT" of the endpoint that hands over what it keeps of the prompt. */
+  /** "HOST:PORT" of the endpoint to fetch the cached part of the prompt from. */
   readonly fetchFrom: string
-  /** In an answer: the endpoint did not run the request. */
+  /** In an answer: present where the endpoint did not run the request. */
   readonly notRun: string
-  /** In an answer: the endpoint's mark; empty where endpoints set none. */
+  /** In an answer: present on every complete answer of an endpoint; empty where the dialect has no such header. */
   readonly mark: string
-  /** In an answer: requests a second that the endpoint takes from all boxes together. */
+  /** In an answer: maximum requests/s from all boxes together. */
   readonly limit: string
-  /** In an answer: "1" where the endpoint leaves. */
+  /** In an answer: "1" where the endpoint is shutting down. */
   readonly leaving: string
-  /** The word before the key in Authorization. */
+  /** Authentication scheme of the Authorization header. */
   readonly keyScheme: string
-  /** More headers that callers may not set, as the product speaks to endpoints in them. */
+  /** Further headers to strip from callers' requests, as only gateways may send them to endpoints. */
   readonly reserved: readonly string[]
 }
 
-/** The paths of a dialect's calls. */
 export interface CallPaths {
   readonly ready: string
   readonly document: string
-  /** Begins the path of an endpoint's registration; its id follows. */
+  /** Prefix of the registration paths; followed by the endpoint's id. */
   readonly endpoints: string
 }
 
-/** A dialect's own part: its names and how it reads documents. */
+/** What defines a dialect: its names and how it decodes documents. */
 export interface DialectParts {
   readonly headers: HeaderNames
   readonly paths: CallPaths
   readonly duties: DutyNames
-  /** Whether callers read fractions of a second in Retry-After, beyond the standard. */
+  /** Whether Retry-After has fractions of a second, an extension of the standard. */
   readonly fractionalRetryAfter: boolean
   decodeDocument (text: string): RoutingDocument
   decodeRegistration (endpoint: string, text: string): EndpointRecord
 }
 
-/** Where operators find requests in quarantine, in every dialect; the fingerprint of one follows. */
+/** Operators' path of quarantined requests in every dialect; a fingerprint may follow. */
 const quarantinePath = '/v1/quarantine'
-/** Where operators find what ran, in every dialect. */
+/** Operators' path of request counts in every dialect. */
 const usagePath = '/v1/usage'
-/** Where operators find what endpoints say of themselves, in every dialect. */
+/** Operators' path of endpoint notices in every dialect. */
 const noticesPath = '/v1/notices'
-/** "Misdirected": the endpoint at that address is another one, and did not run the request. */
-const otherEndpointStatus = 421
-/** Headers of a message's framing: it is framed anew. */
+/** Misdirected Request: a different endpoint has this address and did not run the request. */
+const misdirectedStatus = 421
+/** Message-framing headers, set anew for the forwarded request. */
 const framingHeaders = ['content-length', 'expect']
 
-/** Makes a dialect from its names. */
 export function createDialect (parts: DialectParts): Dialect {
   return new HeaderDialect(parts)
 }
@@ -80,60 +78,60 @@
   readonly decodeDocument: (text: string) => RoutingDocument
   readonly decodeRegistration: (endpoint: string, text: string) => EndpointRecord
   #names: HeaderNames
-  #lower: HeaderNames
+  #lowerNames: HeaderNames
   #paths: CallPaths
-  #dropped: Set<string>
+  #strippedHeaders: Set<string>
   #duties: DutyNames
-  #fractional: boolean
+  #hasFractionalRetryAfter: boolean
 
   constructor (parts: DialectParts) {
     this.readyPath = parts.paths.ready
     this.decodeDocument = parts.decodeDocument
     this.decodeRegistration = parts.decodeRegistration
     this.#names = parts.headers
-    this.#lower = lowerNames(parts.headers)
+    this.#lowerNames = lowerNames(parts.headers)
     this.#paths = parts.paths
     this.#duties = parts.duties
-    this.#fractional = parts.fractionalRetryAfter
-    const { deadline, expectedEndpoint, workspace, priority, fetchFrom, lastEvent, reserved } = this.#lower
-    this.#dropped = new Set([...framingHeaders, 'authorization', deadline, expectedEndpoint, workspace, priority, fetchFrom, lastEvent, ...reserved])
+    this.#hasFractionalRetryAfter = parts.fractionalRetryAfter
+    const { deadline, expectedEndpoint, workspace, priority, fetchFrom, lastEvent, reserved } = this.#lowerNames
+    this.#strippedHeaders = new Set([...framingHeaders, 'authorization', deadline, expectedEndpoint, workspace, priority, fetchFrom, lastEvent, ...reserved])
   }
 
   readCaller (headers: HeaderMap): CallerWords {
     return {
-      requestId: readText(headers, this.#lower.requestId) ?? '',
-      deadlineMs: readMs(headers, this.#lower.deadline),
+      requestId: readText(headers, this.#lowerNames.requestId) ?? '',
+      deadlineMs: readMs(headers, this.#lowerNames.deadline),
       key: readKey(readText(headers, 'authorization'), this.#names.keyScheme),
-      cost: readCost(readText(headers, this.#lower.tokens), readText(headers, this.#lower.parts)),
-      lastEvent: readText(headers, this.#lower.lastEvent)
+      cost: readCost(readText(headers, this.#lowerNames.tokens), readText(headers, this.#lowerNames.parts)),
+      lastEvent: readText(headers, this.#lowerNames.lastEvent)
     }
   }
 
-  composeRequest (rawHeaders: readonly string[], words: EndpointWords): string[] {
+  composeRequest (rawHeaders: readonly string[], values: EndpointHeaders): string[] {
     const names = this.#names
-    const headers = copyHeaders(rawHeaders, name => this.#dropped.has(name))
-    headers.push(names.deadline, String(Math.max(1, Math.floor(words.deadlineMs))), names.expectedEndpoint, words.endpoint)
-    if (words.workspace !== null) headers.push(names.workspace, words.workspace)
-    if (words.priority !== null) headers.push(names.priority, String(words.priority))
-    if (words.fetchFrom !== null) headers.push(names.fetchFrom, words.fetchFrom)
-    if (words.lastEvent !== null) headers.push(names.lastEvent, words.lastEvent)
+    const headers = copyHeaders(rawHeaders, name => this.#strippedHeaders.has(name))
+    headers.push(names.deadline, String(Math.max(1, Math.floor(values.deadlineMs))), names.expectedEndpoint, values.endpoint)
+    if (values.workspace !== null) headers.push(names.workspace, values.workspace)
+    if (values.priority !== null) headers.push(names.priority, String(values.priority))
+    if (values.fetchFrom !== null) headers.push(names.fetchFrom, values.fetchFrom)
+    if (values.lastEvent !== null) headers.push(names.lastEvent, values.lastEvent)
     return headers
   }
 
   readAnswer (status: number, headers: HeaderMap, wallMs: number): AnswerWords {
-    const { requestId, notRun, mark } = this.#lower
-    const isOtherEndpoint = status === otherEndpointStatus
+    const { requestId, notRun, mark } = this.#lowerNames
+    const isOtherEndpoint = status === misdirectedStatus
     return {
       requestId: readText(headers, requestId) ?? '',
       isNotRun: isOtherEndpoint || headers[notRun] !== undefined,
       isOtherEndpoint,
       isMarked: mark === '' || headers[mark] !== undefined,
-      notices: readNotices(status, headers, this.#lower, wallMs)
+      notices: readNotices(status, headers, this.#lowerNames, wallMs)
     }
   }
 
   formatRetryAfter (ms: number): string {
-    return this.#fractional ? (ms / 1000).toFixed(3) : String(Math.max(1, Math.ceil(ms / 1000)))
+    return this.#hasFractionalRetryAfter ? (ms / 1000).toFixed(3) : String(Math.max(1, Math.ceil(ms / 1000)))
   }
 
   readRegistryCall (method: string, path: string): RegistryCall {
@@ -141,17 +139,17 @@
     if (bare === this.#paths.document && method === 'PUT') return { type: 'put-document' }
     if (bare === this.#paths.document && method === 'GET') return { type: 'read-document' }
     if (bare === quarantinePath && method === 'GET') return { type: 'list-quarantine' }
-    if (bare.startsWith(`${quarantinePath}/`) && method === 'DELETE') return { type: 'lift-quarantine', fingerprint: decodePart(bare.slice(quarantinePath.length + 1)) }
+    if (bare.startsWith(`${quarantinePath}/`) && method === 'DELETE') return { type: 'lift-quarantine', fingerprint: decodeSegment(bare.slice(quarantinePath.length + 1)) }
     if (bare === usagePath && method === 'GET') return { type: 'list-usage' }
     if (bare === noticesPath && method === 'GET') return { type: 'list-notices' }
-    const endpoint = bare.startsWith(this.#paths.endpoints) ? decodePart(bare.slice(this.#paths.endpoints.length)) : ''
+    const endpoint = bare.startsWith(this.#paths.endpoints) ? decodeSegment(bare.slice(this.#paths.endpoints.length)) : ''
     if (endpoint === '' || endpoint.includes('/')) return { type: 'unknown' }
     if (method === 'PUT') return { type: 'register', endpoint }
     if (method === 'DELETE') return { type: 'deregister', endpoint }
     return { type: 'unknown' }
   }
 
-  composeDuty (call: DutyCall, words: DutyWords): OutsideCall { return composeDuty(this.#duties, call, words) }
+  composeDuty (call: DutyCall, lease: DutyLease): OutsideCall { return composeDuty(this.#duties, call, lease) }
 
   composeGone (endpoint: string, stage: EndpointStage): EndpointRecord {
     return { id: brandId(endpoint), service: brandId(''), host: '', port: 0, zone: brandId(''), slots: 0, born: 0, software: '', sequence: 0, stage }
@@ -181,7 +179,7 @@
   return authorization.slice(space + 1).trim()
 }
 
-// A description that can't be read is none: the request is served all the same.
+// A malformed cost is ignored, and the request is served without an estimate.
 function readCost (tokens: string | null, parts: string | null): PromptCost | null {
   if (tokens === null) return null
   const [promptTokens, mostTokens] = tokens.split(',').map(Number)
@@ -199,7 +197,7 @@
   return parts
 }
 
-function decodePart (text: string): string {
+function decodeSegment (text: string): string {
   try {
     return decodeURIComponent(text)
   } catch {
--- a/src/protocol/header-map.ts
+++ b/src/protocol/header-map.ts
@@ -1,2 +1,2 @@
-/** Header names in lower case, as Node gives them. */
+/** Header values by name in lower case, as parsed by Node. */
 export type HeaderMap = Readonly<Record<string, string | string[] | undefined>>
--- a/src/protocol/index.ts
+++ b/src/protocol/index.ts
@@ -1,4 +1,4 @@
-/** Wire formats: frames and links between boxes, server-sent events, chats. */
+/** Wire formats: frames and links between boxes, datagrams, HTTP dialects, server-sent events, chats. */
 export * from './box-message.js'
 export * from './status.js'
 export { packLoad, unpackLoad } from './packed-load.js'
@@ -6,10 +6,10 @@
 export { Link } from './link.js'
 export { decodeForeign, decodeValue, encodeValue } from './value-codec.js'
 export { decodeBody, encodeBody } from './frame-body.js'
-export type { LinkFault, LinkHost, LinkPulse } from './link.js'
+export type { LinkFault, LinkHost, LinkHeartbeat } from './link.js'
 export { LinkPool } from './link-pool.js'
 export type { DialTiming } from './link-pool.js'
-export { FrameSeal, deriveKeys, openCode } from './frame-cipher.js'
+export { HmacAuthenticator, deriveKeys, noAuthentication } from './frame-authentication.js'
 export { resetSocket } from './reset-socket.js'
 export * from './route-message.js'
 export { packDocument, unpackDocument } from './packed-document.js'
--- a/src/protocol/link-pool.ts
+++ b/src/protocol/link-pool.ts
@@ -1,40 +1,40 @@
-/** The links of one box: those it accepts and those it opens and keeps open. */
+/** The links of one box: those it accepts, and those it dials and reconnects. */
 import { createServer, connect } from 'node:net'
 import type { Server, Socket } from 'node:net'
 import { listen } from '../runtime/index.js'
 import { Link } from './link.js'
 import type { LinkHost } from './link.js'
 
-const firstRetryMs = 50
+const minRetryMs = 50
 
-/** How links are opened, ms. */
+/** Timing of outgoing connections, ms. */
 export interface DialTiming {
-  /** The longest that a connection may take to come about. */
+  /** Time-out of a connection attempt. */
   readonly connectMs: number
-  /** The longest pause between tries; it doubles up to this. */
+  /** Upper bound of the pause between attempts, which doubles with each failure. */
   readonly longestRetryMs: number
 }
 
 const defaultTiming: DialTiming = { connectMs: 3000, longestRetryMs: 2000 }
 
-interface Dialed<Message> {
+interface DialedPeer<Message> {
   readonly host: string
   readonly port: number
   link: Link<Message> | null
   retryMs: number
   timer: NodeJS.Timeout | null
-  wanted: boolean
+  isWanted: boolean
 }
 
 export class LinkPool<Message> {
   #host: LinkHost<Message>
   #server: Server | null = null
   #sockets = new Set<Socket>()
-  #dialed = new Map<string, Dialed<Message>>()
+  #dialed = new Map<string, DialedPeer<Message>>()
   #bytesIn = 0
   #bytesOut = 0
   #links = new Set<Link<Message>>()
-  #closed = false
+  #isClosed = false
   #timing: DialTiming
 
   constructor (host: LinkHost<Message>, timing = defaultTiming) {
@@ -46,7 +46,7 @@
       clock: host.clock,
       receive: (link, message) => host.receive(link, message),
       noteOpen: link => {
-        this.#callBack(link.peerHost)
+        this.#retryNow(link.peerHost)
         host.noteOpen(link)
       },
       noteFault: (fault, peer) => host.noteFault(fault, peer),
@@ -57,7 +57,7 @@
     }
   }
 
-  /** Bytes over all links so far, in and out. */
+  /** Total bytes over all links, open and closed. */
   get traffic (): { readonly bytesIn: number, readonly bytesOut: number } {
     let { bytesIn, bytesOut } = { bytesIn: this.#bytesIn, bytesOut: this.#bytesOut }
     for (const link of this.#links) {
@@ -67,34 +67,34 @@
     return { bytesIn, bytesOut }
   }
 
-  /** Starts to accept links; resolves with the port. */
+  /** Starts accepting links; resolves with the port. */
   listen (host: string, port: number): Promise<number> {
     const server = createServer(socket => this.#accept(socket, 'listener'))
     this.#server = server
     return listen(server, { host, port })
   }
 
-  /** Opens a link and opens it again whenever it breaks, until `hangUp`. */
+  /** Opens a link and reconnects it whenever it closes, until `hangUp`. */
   dial (host: string, port: number): void {
     const key = `${host}:${port}`
-    if (this.#dialed.has(key) || this.#closed) return
-    const dialed: Dialed<Message> = { host, port, link: null, retryMs: firstRetryMs, timer: null, wanted: true }
+    if (this.#dialed.has(key) || this.#isClosed) return
+    const dialed: DialedPeer<Message> = { host, port, link: null, retryMs: minRetryMs, timer: null, isWanted: true }
     this.#dialed.set(key, dialed)
     this.#connect(dialed)
   }
 
-  /** The link to an address that was dialed, where it is open. */
+  /** The open link to a dialed address, if any. */
   find (host: string, port: number): Link<Message> | undefined {
     const link = this.#dialed.get(`${host}:${port}`)?.link
     return link?.isOpen === true ? link : undefined
   }
 
-  /** The links that were dialed and are open. */
+  /** All open links to dialed addresses. */
   get dialed (): Link<Message>[] {
     return [...this.#dialed.values()].flatMap(({ link }) => link?.isOpen === true ? [link] : [])
   }
 
-  /** Hosts that were dialed, with their links that are open and were heard on since a time on the process's rising clock, ms. */
+  /** Dialed hosts with an open link on which data was received since `since`, a time as of `performance.now()`. */
   listHeard (since: number): { readonly host: string, readonly link: Link<Message> }[] {
     return [...this.#dialed.values()].flatMap(({ host, link }) => link?.isOpen === true && link.heardAt >= since ? [{ host, link }] : [])
   }
@@ -104,39 +104,39 @@
     const dialed = this.#dialed.get(key)
     if (dialed === undefined) return
     this.#dialed.delete(key)
-    dialed.wanted = false
+    dialed.isWanted = false
     if (dialed.timer !== null) clearTimeout(dialed.timer)
     dialed.link?.close()
   }
 
   close (): void {
-    this.#closed = true
+    this.#isClosed = true
     this.#server?.close()
     for (const { host, port } of [...this.#dialed.values()]) this.hangUp(host, port)
     for (const socket of this.#sockets) socket.destroy()
   }
 
-  #connect (dialed: Dialed<Message>): void {
+  #connect (dialed: DialedPeer<Message>): void {
     dialed.timer = null
     const socket = connect({ host: dialed.host, port: dialed.port })
     const timer = setTimeout(() => socket.destroy(), this.#timing.connectMs)
     socket.once('connect', () => {
       clearTimeout(timer)
-      dialed.retryMs = firstRetryMs
+      dialed.retryMs = minRetryMs
       dialed.link = this.#accept(socket, 'caller')
     })
     socket.on('error', () => {})
     socket.once('close', () => {
       clearTimeout(timer)
       dialed.link = null
-      if (!dialed.wanted || this.#closed) return
+      if (!dialed.isWanted || this.#isClosed) return
       dialed.timer = setTimeout(() => this.#connect(dialed), dialed.retryMs)
       dialed.retryMs = Math.min(this.#timing.longestRetryMs, dialed.retryMs * 2)
     })
   }
 
-  // Who calls us has started: the next try to call them need not wait.
-  #callBack (host: string): void {
+  // A host that connects to this box is up, so a pending retry to it need not wait for its timer.
+  #retryNow (host: string): void {
     for (const dialed of this.#dialed.values()) {
       if (dialed.host !== host || dialed.timer === null) continue
       clearTimeout(dialed.timer)
--- a/src/protocol/link.ts
+++ b/src/protocol/link.ts
@@ -1,24 +1,25 @@
 /**
- * A connection between two boxes. Both sides send a hello with a nonce; where
- * the boxes share a secret, every later frame carries a code over its number and
- * body. Messages of one turn share a frame. A peer behind a cut says nothing, so
- * a link may be given heartbeats, and ends when it hears none.
+ * A connection between two boxes. Both sides send a hello with a nonce. Where
+ * the boxes share a secret, every later frame carries an HMAC over its sequence
+ * number and body. Messages sent in one turn of the event loop share a frame.
+ * TCP does not report a network partition in time, so a link can have heartbeats
+ * and closes when none arrives.
  */
 import { randomBytes } from 'node:crypto'
 import type { Socket } from 'node:net'
 import type { HybridClock } from '../runtime/index.js'
 import { decodeBody, encodeBody } from './frame-body.js'
-import { FrameSeal, deriveKeys, openCode } from './frame-cipher.js'
-import type { FrameCode, FrameSide } from './frame-cipher.js'
+import { HmacAuthenticator, deriveKeys, noAuthentication } from './frame-authentication.js'
+import type { FrameAuthenticator, FrameSide } from './frame-authentication.js'
 import { FrameSplitter, frameBytes } from './frame-splitter.js'
 import { decodeForeign, encodeValue } from './value-codec.js'
 
-const largestFrame = 64 * 2 ** 20
-const largestHello = 1024
-const mostUnsent = 64 * 2 ** 20
+const maxFrameBytes = 64 * 2 ** 20
+const maxHelloBytes = 1024
+const maxUnsentBytes = 64 * 2 ** 20
 const nonceBytes = 16
-const version = 1
-const helloMs = 5000
+const protocolVersion = 1
+const helloTimeoutMs = 5000
 
 interface Hello {
   readonly v: number
@@ -26,24 +27,24 @@
   readonly nonce: Uint8Array
 }
 
-/** Why a link was closed by this side. */
+/** Why this side closed a link. */
 export type LinkFault = 'bad-frame' | 'bad-code' | 'bad-hello' | 'too-large' | 'too-slow' | 'silent'
 
-/** Heartbeats of a link, ms. */
-export interface LinkPulse {
-  /** A frame is sent at least this often. */
+/** Heartbeat timing of a link, ms. */
+export interface LinkHeartbeat {
+  /** The longest time between two sent frames. */
   readonly everyMs: number
-  /** A link that heard nothing for so long is closed. */
+  /** A link that receives nothing for this long is closed. */
   readonly silentMs: number
 }
 
-/** Who this side is, and what it makes of the other's words. */
+/** Identity of this side and handlers of the link's events. */
 export interface LinkHost<Message> {
   readonly id: string
-  /** Null where the boxes share none: frames are then not authenticated. */
+  /** The shared secret; null disables the authentication of frames. */
   readonly secret: string | null
-  /** Left out where links have no heartbeats. */
-  readonly pulse?: LinkPulse
+  /** Undefined for links without heartbeats. */
+  readonly pulse?: LinkHeartbeat
   readonly clock: HybridClock
   receive (link: Link<Message>, message: Message): void
   noteOpen (link: Link<Message>): void
@@ -56,18 +57,18 @@
   #side: FrameSide
   #host: LinkHost<Message>
   #nonce = randomBytes(nonceBytes)
-  #splitter = new FrameSplitter(largestHello)
-  #out: FrameCode | null = null
-  #in: FrameCode | null = null
+  #splitter = new FrameSplitter(maxHelloBytes)
+  #outgoing: FrameAuthenticator | null = null
+  #incoming: FrameAuthenticator | null = null
   #peer = ''
   #peerHost: string
   #queue: Message[] = []
-  #scheduled = false
+  #isFlushScheduled = false
   #helloTimer: NodeJS.Timeout
-  #pulseTimer: NodeJS.Timeout | null = null
-  #heardAt = 0
-  #wasSilent = false
-  #saidAt = 0
+  #heartbeatTimer: NodeJS.Timeout | null = null
+  #lastReceivedAt = 0
+  #hasTimedOut = false
+  #lastSentAt = 0
   bytesIn = 0
   bytesOut = 0
 
@@ -79,28 +80,28 @@
     socket.setNoDelay(true)
     socket.on('data', chunk => this.#read(chunk))
     socket.on('error', () => {})
-    socket.on('close', () => this.#noteClosed())
-    this.#helloTimer = setTimeout(() => socket.destroy(), helloMs)
-    const hello: Hello = { v: version, id: host.id, nonce: this.#nonce }
+    socket.on('close', () => this.#handleClose())
+    this.#helloTimer = setTimeout(() => socket.destroy(), helloTimeoutMs)
+    const hello: Hello = { v: protocolVersion, id: host.id, nonce: this.#nonce }
     this.#write(frameBytes([encodeValue(hello)]))
   }
 
-  /** When anything was last heard on this link, on the process's rising clock, ms. */
-  get heardAt (): number { return this.#heardAt }
-  /** The other box's IP number. */
+  /** When data was last received, as of `performance.now()`. */
+  get heardAt (): number { return this.#lastReceivedAt }
+  /** The peer's IP address. */
   get peerHost (): string { return this.#peerHost }
-  /** The other box's name, once the link is open. */
+  /** The peer's name; empty before its hello. */
   get peer (): string { return this.#peer }
-  /** True where this side closed the link as nothing was heard on it. */
-  get wasSilent (): boolean { return this.#wasSilent }
-  get isOpen (): boolean { return this.#out !== null && !this.#socket.destroyed }
+  /** True where this side closed the link for lack of heartbeats. */
+  get wasSilent (): boolean { return this.#hasTimedOut }
+  get isOpen (): boolean { return this.#outgoing !== null && !this.#socket.destroyed }
 
-  /** Sends a message; false where the link is not open. */
+  /** Queues a message for sending; false where the link is not open. */
   send (message: Message): boolean {
     if (!this.isOpen) return false
     this.#queue.push(message)
-    if (!this.#scheduled) {
-      this.#scheduled = true
+    if (!this.#isFlushScheduled) {
+      this.#isFlushScheduled = true
       setImmediate(() => this.#flush())
     }
     return true
@@ -113,33 +114,33 @@
   }
 
   #flush (): void {
-    this.#scheduled = false
-    if (this.#out === null || this.#queue.length === 0 || this.#socket.destroyed) return
+    this.#isFlushScheduled = false
+    if (this.#outgoing === null || this.#queue.length === 0 || this.#socket.destroyed) return
     const messages = this.#queue
     this.#queue = []
     this.#sendFrame(messages)
   }
 
   #sendFrame (messages: readonly Message[]): void {
-    if (this.#out === null || this.#socket.destroyed) return
+    if (this.#outgoing === null || this.#socket.destroyed) return
     const body = encodeBody(this.#host.clock.read(), messages)
-    this.#write(frameBytes([this.#out.sign(body), body]))
-    if (this.#socket.writableLength > mostUnsent) this.#fail('too-slow')
+    this.#write(frameBytes([this.#outgoing.sign(body), body]))
+    if (this.#socket.writableLength > maxUnsentBytes) this.#fail('too-slow')
   }
 
   #write (bytes: Buffer): void {
     this.bytesOut += bytes.length
-    this.#saidAt = performance.now()
+    this.#lastSentAt = performance.now()
     this.#socket.write(bytes)
   }
 
   #read (chunk: Buffer): void {
     this.bytesIn += chunk.length
-    this.#heardAt = performance.now()
+    this.#lastReceivedAt = performance.now()
     this.#splitter.add(chunk)
     for (let frame = this.#nextFrame(); frame !== null; frame = this.#nextFrame()) {
-      if (this.#in === null) this.#readHello(frame)
-      else this.#readFrame(frame, this.#in)
+      if (this.#incoming === null) this.#readHello(frame)
+      else this.#readFrame(frame, this.#incoming)
     }
   }
 
@@ -155,44 +156,44 @@
 
   #readHello (frame: Buffer): void {
     const hello = decodeForeign(frame) as Hello | undefined
-    if (hello === undefined || hello.v !== version || typeof hello.id !== 'string' || hello.nonce?.length !== nonceBytes) {
+    if (hello === undefined || hello.v !== protocolVersion || typeof hello.id !== 'string' || hello.nonce?.length !== nonceBytes) {
       return this.#fail('bad-hello')
     }
     this.#peer = hello.id
-    this.#setCodes(this.#host.secret, hello.nonce)
-    // Only a peer that has said hello may send large frames.
-    this.#splitter.widen(largestFrame)
+    this.#setAuthenticators(this.#host.secret, hello.nonce)
+    // Large frames are accepted only after a valid hello.
+    this.#splitter.setMaxFrameBytes(maxFrameBytes)
     clearTimeout(this.#helloTimer)
-    this.#startPulse()
+    this.#startHeartbeat()
     this.#host.noteOpen(this)
   }
 
-  #setCodes (secret: string | null, theirs: Uint8Array): void {
+  #setAuthenticators (secret: string | null, peerNonce: Uint8Array): void {
     if (secret === null) {
-      this.#out = openCode
-      this.#in = openCode
+      this.#outgoing = noAuthentication
+      this.#incoming = noAuthentication
       return
     }
     const isCaller = this.#side === 'caller'
-    const keys = isCaller ? deriveKeys(secret, this.#nonce, theirs) : deriveKeys(secret, theirs, this.#nonce)
-    this.#out = new FrameSeal(isCaller ? keys.caller : keys.listener)
-    this.#in = new FrameSeal(isCaller ? keys.listener : keys.caller)
+    const keys = isCaller ? deriveKeys(secret, this.#nonce, peerNonce) : deriveKeys(secret, peerNonce, this.#nonce)
+    this.#outgoing = new HmacAuthenticator(isCaller ? keys.caller : keys.listener)
+    this.#incoming = new HmacAuthenticator(isCaller ? keys.listener : keys.caller)
   }
 
-  #startPulse (): void {
+  #startHeartbeat (): void {
     const { pulse } = this.#host
     if (pulse === undefined) return
-    this.#pulseTimer = setInterval(() => {
+    this.#heartbeatTimer = setInterval(() => {
       const now = performance.now()
-      if (now - this.#heardAt > pulse.silentMs) return this.#fail('silent')
-      if (now - this.#saidAt >= pulse.everyMs) this.#sendFrame([])
+      if (now - this.#lastReceivedAt > pulse.silentMs) return this.#fail('silent')
+      if (now - this.#lastSentAt >= pulse.everyMs) this.#sendFrame([])
     }, pulse.everyMs / 2)
   }
 
-  #readFrame (frame: Buffer, code: FrameCode): void {
-    if (frame.length < code.bytes) return this.#fail('bad-frame')
-    const body = frame.subarray(code.bytes)
-    if (!code.verify(frame.subarray(0, code.bytes), body)) return this.#fail('bad-code')
+  #readFrame (frame: Buffer, authenticator: FrameAuthenticator): void {
+    if (frame.length < authenticator.macBytes) return this.#fail('bad-frame')
+    const body = frame.subarray(authenticator.macBytes)
+    if (!authenticator.verify(frame.subarray(0, authenticator.macBytes), body)) return this.#fail('bad-code')
     const decoded = decodeBody(body)
     if (decoded === undefined) return this.#fail('bad-frame')
     this.#host.clock.merge(decoded.time)
@@ -200,14 +201,14 @@
   }
 
   #fail (fault: LinkFault): void {
-    this.#wasSilent = fault === 'silent'
+    this.#hasTimedOut = fault === 'silent'
     this.#host.noteFault(fault, this.#peer)
     this.#socket.destroy()
   }
 
-  #noteClosed (): void {
+  #handleClose (): void {
     clearTimeout(this.#helloTimer)
-    if (this.#pulseTimer !== null) clearInterval(this.#pulseTimer)
+    if (this.#heartbeatTimer !== null) clearInterval(this.#heartbeatTimer)
     this.#host.noteClosed(this)
   }
 }
--- a/src/protocol/load-datagram.ts
+++ b/src/protocol/load-datagram.ts
@@ -1,111 +1,110 @@
 /**
- * The datagrams about loads: a gateway tells a hub its work, a hub tells the
- * other hubs the sum of its gateways' work, and its gateways the totals of all.
- * Each is whole, so that a lost one costs only time.
+ * Load reports over UDP. A gateway reports its load to a hub (a registry that
+ * aggregates loads); hubs send each other the sums of their gateways' loads, and
+ * send their gateways the totals. Each datagram can be decoded on its own, so a
+ * lost one only delays the data until a later report.
  */
 import type { BoxId, BoxLoad, EndpointId, EndpointLoad, EndpointNotice, EngineGap, ReadPrompt, ServiceTotal, SumNews, WaitingTokens, ZoneName } from '../core/index.js'
 import { decodeForeign, encodeValue } from './value-codec.js'
 
-/** Tells a sender's words apart: a later one replaces those before it. */
+/** Orders the reports of a sender: a later one replaces earlier ones. */
 export interface WordNumber {
-  /** Drawn at the start of the sender's process: numbers begin anew with it. */
+  /** Random id of the sender's process; numbers restart with it. */
   readonly start: number
-  /** Rises by one with each word. */
+  /** Incremented with each report. */
   readonly number: number
 }
 
-/** A gateway's word to a hub. */
-export interface LoadWord extends WordNumber {
+/** A gateway's report to a hub. */
+export interface LoadReport extends WordNumber {
   readonly box: BoxId
   readonly zone: ZoneName
-  /** Null where the gateway tells another hub from now on. */
+  /** Null where the gateway reports to a different hub from now on. */
   readonly load: BoxLoad | null
-  /** What endpoints say of themselves, as far as the hub may not know it. */
+  /** Endpoint notices that the hub may not know yet. */
   readonly notices: readonly EndpointNotice[]
 }
 
-/** A hub's word to another hub. */
-export interface HubWord extends WordNumber {
+/** A hub's report to another hub. */
+export interface HubReport extends WordNumber {
   readonly hub: BoxId
-  /** What the gateways of this hub have, as far as it is news. */
+  /** Update of the summed loads of this hub's gateways. */
   readonly news: SumNews
-  /** What endpoints say of themselves: what is new, and all of it now and then. */
+  /** New endpoint notices; periodically all of them. */
   readonly notices: readonly EndpointNotice[]
 }
 
-/** A hub's word to a gateway. */
-export interface TotalsWord extends WordNumber {
-  /** The number of the gateway's own word that is in the totals. */
+/** A hub's report to a gateway. */
+export interface TotalsReport extends WordNumber {
+  /** Number of the gateway's latest report that the totals include. */
   readonly ownNumber: number
-  /** How often the hub tells changes, ms. */
+  /** Interval at which the hub sends changes, ms. */
   readonly intervalMs: number
   readonly news: SumNews
   readonly notices: readonly EndpointNotice[]
 }
 
 const wireVersion = 5
-/** Starts are drawn below this. */
+/** Exclusive upper bound of `start`. */
 export const startLimit = 2 ** 31
 
-/** True for a word that is later than the one known, or the first of another start. */
-export function isNewerWord (word: WordNumber, known: WordNumber | undefined): boolean {
-  return known === undefined || known.start !== word.start || known.number < word.number
+/** True for a report with a higher number than the known one, or from another start of the sender. */
+export function isNewerWord (report: WordNumber, known: WordNumber | undefined): boolean {
+  return known === undefined || known.start !== report.start || known.number < report.number
 }
 
-/** Encodes a gateway's word. */
-export function encodeLoadWord ({ box, zone, start, number, load, notices }: LoadWord): Buffer {
+export function encodeLoadWord ({ box, zone, start, number, load, notices }: LoadReport): Buffer {
   return encodeValue([wireVersion, box, zone, start, number, load, notices.map(packNotice)])
 }
 
-/** Decodes a gateway's word; null for bytes that are none. */
-export function decodeLoadWord (bytes: Uint8Array): LoadWord | null {
+/** Decodes a gateway's report; null for invalid bytes. */
+export function decodeLoadWord (bytes: Uint8Array): LoadReport | null {
   const fields = decodeFields(bytes, 7)
   if (fields === null) return null
   const [, box, zone, start, number, load, packed] = fields as [number, BoxId, ZoneName, number, number, BoxLoad | null, unknown]
   const notices = unpackNotices(packed)
-  const isSound = load === null || hasLists(load, ['loads', 'demands', 'gaps', 'prompts'])
-  return isSound && notices !== null ? { box, zone, start, number, load, notices } : null
+  const isValid = load === null || hasLists(load, ['loads', 'demands', 'gaps', 'prompts'])
+  return isValid && notices !== null ? { box, zone, start, number, load, notices } : null
 }
 
-/** Encodes a hub's word to another hub. */
-export function encodeHubWord ({ hub, start, number, news, notices }: HubWord): Buffer {
+export function encodeHubWord ({ hub, start, number, news, notices }: HubReport): Buffer {
   return encodeValue([wireVersion, hub, start, number, encodeNews(news), notices.map(packNotice)])
 }
 
-/** Decodes a hub's word to another hub; null for bytes that are none. */
-export function decodeHubWord (bytes: Uint8Array): HubWord | null {
+/** Decodes a hub's report to another hub; null for invalid bytes. */
+export function decodeHubWord (bytes: Uint8Array): HubReport | null {
   const fields = decodeFields(bytes, 6)
   if (fields === null) return null
   const [, hub, start, number, encoded, packed] = fields as [number, BoxId, number, number, unknown, unknown]
-  const news = decodeNews(encoded)
+  const news = decodeLoadUpdate(encoded)
   const notices = unpackNotices(packed)
   return news === null || notices === null ? null : { hub, start, number, news, notices }
 }
 
-/** Encodes the part of a hub's words that is the same for all that they go to. */
+/** Encodes an update of summed loads once for all recipients of a hub's reports. */
 export function encodeNews ({ isWhole, loads, gone, demands, gaps, prompts, zones }: SumNews): Buffer {
   return encodeValue([isWhole, loads.map(packLoad), gone, demands, gaps, prompts, zones])
 }
 
-/** Encodes notices that are the same for all that they go to. */
+/** Encodes notices once for all recipients of a hub's reports. */
 export function encodeNotices (notices: readonly EndpointNotice[]): Buffer { return encodeValue(notices.map(packNotice)) }
 
-/** Encodes a hub's word to one gateway, around news and notices that are encoded already. */
-export function encodeTotalsWord (word: Omit<TotalsWord, 'news' | 'notices'>, news: Buffer, notices: Buffer): Buffer {
-  return encodeValue([wireVersion, word.start, word.number, word.ownNumber, word.intervalMs, news, notices])
+/** Encodes a hub's report to one gateway; `news` and `notices` are already encoded. */
+export function encodeTotalsWord (report: Omit<TotalsReport, 'news' | 'notices'>, news: Buffer, notices: Buffer): Buffer {
+  return encodeValue([wireVersion, report.start, report.number, report.ownNumber, report.intervalMs, news, notices])
 }
 
-/** Decodes a hub's word to a gateway; null for bytes that are none. */
-export function decodeTotalsWord (bytes: Uint8Array): TotalsWord | null {
+/** Decodes a hub's report to a gateway; null for invalid bytes. */
+export function decodeTotalsWord (bytes: Uint8Array): TotalsReport | null {
   const fields = decodeFields(bytes, 7)
   if (fields === null) return null
   const [, start, number, ownNumber, intervalMs, encoded, packed] = fields as [number, number, number, number, number, unknown, unknown]
-  const news = decodeNews(encoded)
+  const news = decodeLoadUpdate(encoded)
   const notices = packed instanceof Uint8Array ? unpackNotices(decodeForeign(packed)) : null
   return news === null || notices === null ? null : { start, number, ownNumber, intervalMs, news, notices }
 }
 
-/** A load without the names of its fields, as most of a word is loads. */
+/** A load as a tuple: without field names, as loads make up most of a report. */
 type PackedLoad = readonly [endpoint: EndpointId, running: number, brisk: number, memory: number, waiting: WaitingTokens, largest: number, backedOff: number]
 
 function packLoad ({ endpoint, running, brisk, memory, waiting, largest, backedOff }: EndpointLoad): PackedLoad {
@@ -130,7 +129,7 @@
   return { endpoint, born, stamp, perSecond, isLeaving }
 }
 
-// Null for a value that is no list of notices.
+// Null for a value that isn't a list of valid notices.
 function unpackNotices (value: unknown): EndpointNotice[] | null {
   return Array.isArray(value) && value.every(isPackedNotice) ? value.map(unpackNotice) : null
 }
@@ -142,12 +141,12 @@
   return typeof endpoint === 'string' && Number.isFinite(born) && Number.isFinite(stamp) && isLimit && typeof isLeaving === 'boolean'
 }
 
-function decodeNews (encoded: unknown): SumNews | null {
+function decodeLoadUpdate (encoded: unknown): SumNews | null {
   const packed = encoded instanceof Uint8Array ? decodeForeign(encoded) : undefined
   if (!Array.isArray(packed) || packed.length !== 7) return null
   const [isWhole, loads, gone, demands, gaps, prompts, zones] = packed as [boolean, PackedLoad[], EndpointId[], ServiceTotal[], EngineGap[] | null, ReadPrompt[], ZoneName[]]
-  const isSound = [loads, gone, demands, gaps ?? [], prompts, zones].every(list => Array.isArray(list)) && loads.every(isPackedLoad)
-  return isSound ? { isWhole, loads: loads.map(unpackLoad), gone, demands, gaps, prompts, zones } : null
+  const isValid = [loads, gone, demands, gaps ?? [], prompts, zones].every(list => Array.isArray(list)) && loads.every(isPackedLoad)
+  return isValid ? { isWhole, loads: loads.map(unpackLoad), gone, demands, gaps, prompts, zones } : null
 }
 
 function decodeFields (bytes: Uint8Array, length: number): unknown[] | null {
--- a/src/protocol/native-dialect.ts
+++ b/src/protocol/native-dialect.ts
@@ -1,6 +1,6 @@
 /**
- * The product's own dialect for routed requests, in the names of
- * `docs/ROUTES.md`: JSON documents, `x-wrenlane-` headers.
+ * The native dialect for routed requests, with the names of `docs/ROUTES.md`:
+ * JSON documents and `x-wrenlane-` headers.
  */
 import { brandId, defaultCallerLimits } from '../core/index.js'
 import type { EndpointRecord, EndpointSizing, EndpointStage, KeyedWorkspace, PromptTransfer, Route, RouteKind, RoutedService, RoutingDocument, WeightedService } from '../core/index.js'
@@ -11,10 +11,9 @@
 const stages: Readonly<Record<string, EndpointStage>> = { ready: 'ready', draining: 'draining' }
 const defaultAttempts = 2
 const defaultConnections = 64
-/** Least urgent of the ranks that are usual. */
+/** The lowest of the priorities in common use. */
 const defaultPriority = 5
 
-/** The product's own dialect. */
 export const nativeDialect = createDialect({
   headers: {
     requestId: 'x-wrenlane-request-id',
--- a/src/protocol/notice-status.ts
+++ b/src/protocol/notice-status.ts
@@ -1,14 +1,14 @@
-/** What an endpoint says of itself on its answers, as a registry tells operators: one entry of `GET /v1/notices`. */
+/** An endpoint's notices as a registry shows them to operators: one entry of `GET /v1/notices`. */
 export interface NoticeStatus {
   readonly endpoint: string
   readonly service: string
-  /** Requests a second that it takes from all boxes together; null for no limit. */
+  /** Maximum requests/s from all boxes together; null for no limit. */
   readonly limit: number | null
   readonly isLeaving: boolean
-  /** Since this registry knows it, ms; null where only back-off is known. */
+  /** Time since this registry learned of the notice, ms; null where only back-offs are known. */
   readonly ageMs: number | null
-  /** The box that told this registry; null where only back-off is known. */
+  /** The box that reported the notice to this registry; null where only back-offs are known. */
   readonly from: string | null
-  /** Boxes that it has asked to back off. */
+  /** Number of boxes that the endpoint has asked to back off. */
   readonly backedOff: number
 }
--- a/src/protocol/packed-document.ts
+++ b/src/protocol/packed-document.ts
@@ -1,6 +1,6 @@
 /**
- * A document as it crosses a link: what changed since a document that the other
- * side has, or the whole of it, deflated.
+ * A document as it is sent over a link: a compressed diff against a document that
+ * the receiver has, or the complete text.
  */
 import { createHash } from 'node:crypto'
 import { deflateRawSync, inflateRawSync } from 'node:zlib'
@@ -8,39 +8,39 @@
 import type { PatchStep, VersionedText } from '../coordination/index.js'
 import { decodeValue, encodeValue } from './value-codec.js'
 
-/** A document, told against another one. */
+/** A document, encoded as a diff against `base`. */
 export interface PackedDocument {
   readonly version: number
-  /** The version that it is told against; 0 where it is whole. */
+  /** Version of the base document; 0 where the diff is against the empty text. */
   readonly base: number
-  /** Steps as of `compareTexts`, encoded and deflated. */
+  /** Patch steps of `compareTexts`, encoded and deflated. */
   readonly steps: Uint8Array
-  /** Tells whether what was made of it is the document. */
+  /** SHA-256 of the document, to verify the patched text. */
   readonly digest: Uint8Array
 }
 
-/** The largest document that is unpacked, bytes; operators' calls are bounded far below it. */
-const largestBytes = 64 * 2 ** 20
-/** 2 to 3 times quicker than the usual level, for a few bytes more in a hundred: documents are packed while requests wait. */
-const level = 3
+/** Limit on the inflated patch steps, against decompression bombs; operators' calls have a far lower limit. */
+const maxDocumentBytes = 64 * 2 ** 20
+/** 2 to 3 times faster than the default level and only a few percent larger; packing blocks the event loop while requests wait. */
+const deflateLevel = 3
 
-/** Packs a document for one who has `base`, or who has none. */
+/** Packs a document for a receiver that has `base`; null where it has none. */
 export function packDocument (document: VersionedText, base: VersionedText | null): PackedDocument {
   const steps = compareTexts(base?.text ?? '', document.text)
   return {
     version: document.version,
     base: base?.version ?? 0,
-    steps: deflateRawSync(encodeValue(steps), { level }),
+    steps: deflateRawSync(encodeValue(steps), { level: deflateLevel }),
     digest: computeDigest(document.text)
   }
 }
 
-/** The document; null where it was told against another one than `held`, or can't be read. */
+/** Unpacks a document; null where its base isn't `held`, or where it is corrupt. */
 export function unpackDocument (packed: PackedDocument, held: VersionedText | null): VersionedText | null {
   const { version, base, steps, digest } = packed
   if (base !== 0 && held?.version !== base) return null
   try {
-    const bytes = inflateRawSync(steps, { maxOutputLength: largestBytes })
+    const bytes = inflateRawSync(steps, { maxOutputLength: maxDocumentBytes })
     const text = applySteps(base === 0 ? '' : held?.text ?? '', decodeValue(bytes) as PatchStep[])
     return computeDigest(text).equals(digest) ? { version, text } : null
   } catch {
--- a/src/protocol/reset-socket.ts
+++ b/src/protocol/reset-socket.ts
@@ -1,8 +1,8 @@
 import type { Socket } from 'node:net'
 
 /**
- * Resets a connection, so that its peer sees that it broke. One that is being shut down is destroyed
- * instead: Node can't reset it, keeps its descriptor open, and spins when the process ends.
+ * Resets a connection with a TCP RST, so that the peer sees an error instead of a normal end. A socket that was
+ * already ended is destroyed instead: on such a socket Node's reset fails, leaves the descriptor open, and busy-loops at process exit.
  */
 export function resetSocket (socket: Socket): void {
   if (socket.writableEnded) socket.destroy()
--- a/src/protocol/sse.ts
+++ b/src/protocol/sse.ts
@@ -1,35 +1,35 @@
-/** Cuts a stream of server-sent events into events, as bytes. */
 const lineFeed = 10
 const carriageReturn = 13
-const largestEvent = 4 * 2 ** 20
+const maxEventBytes = 4 * 2 ** 20
 const doneEvent = Buffer.from('data: [DONE]')
 
+/** Splits a byte stream into server-sent events. */
 export class SseSplitter {
   #rest: Buffer | null = null
 
-  /** Bytes that came after the last whole event. */
+  /** Number of buffered bytes after the last complete event. */
   get pending (): number { return this.#rest?.length ?? 0 }
 
   /**
-   * Takes in bytes and returns the whole events, each with its blank line.
-   * Throws RangeError on one that is too large.
+   * Adds bytes and returns the complete events, each with its terminating blank
+   * line. Throws a RangeError where an incomplete event exceeds 4 MiB.
    */
   push (chunk: Buffer): Buffer[] {
     const bytes = this.#rest === null ? chunk : Buffer.concat([this.#rest, chunk])
     const events: Buffer[] = []
     let start = 0
-    for (let end = findEnd(bytes, 0); end > 0; end = findEnd(bytes, start)) {
+    for (let end = findEventEnd(bytes, 0); end > 0; end = findEventEnd(bytes, start)) {
       events.push(bytes.subarray(start, end))
       start = end
     }
     this.#rest = start === bytes.length ? null : bytes.subarray(start)
-    if (this.pending > largestEvent) throw new RangeError(`an event of over ${largestEvent} bytes`)
+    if (this.pending > maxEventBytes) throw new RangeError(`server-sent event exceeds ${maxEventBytes} bytes`)
     return events
   }
 }
 
 // The index after the blank line that ends the event, or -1.
-function findEnd (bytes: Buffer, from: number): number {
+function findEventEnd (bytes: Buffer, from: number): number {
   for (let at = bytes.indexOf(lineFeed, from); at >= 0; at = bytes.indexOf(lineFeed, at + 1)) {
     const next = bytes[at + 1]
     if (next === lineFeed) return at + 2
@@ -38,12 +38,12 @@
   return -1
 }
 
-/** True for the event that ends a stream of the chat protocol. */
+/** True for the `[DONE]` event that ends a stream of the chat protocol. */
 export function isDoneEvent (event: Buffer): boolean {
   return event.length < doneEvent.length + 8 && event.subarray(0, doneEvent.length).equals(doneEvent)
 }
 
-/** What follows `data:`, or null where the event has none. */
+/** The event's `data:` lines joined by newlines; null where it has none. */
 export function readEventData (event: Buffer): string | null {
   const data: string[] = []
   for (const line of event.toString('utf8').split(/\r?\n/)) {
@@ -52,7 +52,6 @@
   return data.length === 0 ? null : data.join('\n')
 }
 
-/** An event with this data. */
 export function formatEventData (data: string): string {
   return `data: ${data}\n\n`
 }
--- a/src/protocol/status.ts
+++ b/src/protocol/status.ts
@@ -1,4 +1,4 @@
-/** What processes tell operators of themselves. */
+/** Status reports of processes, shown to operators. */
 import type { Members, ReplicaId } from '../coordination/index.js'
 
 /** One engine as a box sees it. */
@@ -14,7 +14,7 @@
   readonly owner: string
 }
 
-/** An entry box's own word. */
+/** The status of an entry box. */
 export interface BoxStatus {
   readonly id: string
   readonly zone: string
@@ -26,11 +26,11 @@
   readonly engines: readonly EngineStatus[]
   readonly violations: number
   readonly incarnation: string
-  /** When the box said so, ms since 1970 on its clock. */
+  /** When the status was sent, ms since 1970 on the box's clock. */
   readonly sentAt: number
 }
 
-/** A keeper's own word, with what it heard from entry boxes. */
+/** The status of a keeper, with the latest statuses that it received from entry boxes. */
 export interface KeeperStatus {
   readonly id: string
   readonly zone: string
@@ -43,7 +43,7 @@
   readonly matches: Readonly<Record<string, number>>
   readonly revision: number
   readonly claims: number
-  /** How many further keepers can be lost before nothing can be accepted. */
+  /** How many further keepers can fail without losing the quorum. */
   readonly spare: number
   readonly waiting: readonly ReplicaId[]
   readonly boxes: readonly BoxStatus[]
--- a/src/protocol/value-codec.ts
+++ b/src/protocol/value-codec.ts
@@ -1,8 +1,8 @@
-/** How values are written between boxes. */
+/** The CBOR encoding of values that boxes exchange. */
 import { Encoder } from 'cbor-x'
 
-// Keys of the words that cross for every request, by number instead of name.
-// Numbers are never used again for another key; new keys go to the end.
+// Keys of per-request messages, which are encoded as numbers. The numbers are part
+// of the wire format: never reuse one for another key, and append new keys.
 const shortKeys = [
   'type', 'shard', 'word', 'submission', 'request', 'attempt', 'box', 'class', 'workspace', 'model', 'promptTokens',
   'prefix', 'deadline', 'exclude', 'resumed', 'leftMs', 'answer', 'engine', 'priority', 'how', 'tokens', 'reason',
@@ -20,13 +20,12 @@
   keyMap: Object.fromEntries(shortKeys.map((key, i) => [key, i + 1]))
 } as ConstructorParameters<typeof Encoder>[0])
 
-/** Encodes a value as it crosses a link. */
 export function encodeValue (value: unknown): Buffer { return codec.encode(value) }
 
-/** Decodes a value that this process has encoded; throws for other bytes. */
+/** Decodes a trusted value; throws on invalid bytes. */
 export function decodeValue (bytes: Uint8Array): unknown { return codec.decode(bytes) }
 
-/** Decodes what came from the network; undefined for bytes that are no value. */
+/** Decodes bytes from the network; undefined for invalid ones. */
 export function decodeForeign (bytes: Uint8Array): unknown {
   try {
     return decodeValue(bytes)
--- a/src/runtime/datagram-port.ts
+++ b/src/runtime/datagram-port.ts
@@ -1,13 +1,13 @@
 import { createSocket } from 'node:dgram'
 import type { Socket } from 'node:dgram'
 
-/** What a datagram port tells its owner. */
+/** Event handlers of a datagram port. */
 export interface DatagramHost {
   receive (bytes: Buffer, host: string, port: number): void
   noteFault (error: Error): void
 }
 
-/** A UDP port. Whatever is sent may be lost, so that a datagram which can't be sent is as good as lost. */
+/** A UDP socket. Errors of sending are ignored, as senders must expect loss anyway. */
 export class DatagramPort {
   #socket: Socket = createSocket('udp4')
 
@@ -16,7 +16,7 @@
     this.#socket.on('error', error => host.noteFault(error))
   }
 
-  /** Opens the port, any free one where `port` is 0; resolves with its number. Rejects where it can't be had. */
+  /** Binds the socket (0: to any free port) and resolves with the port; rejects where binding fails. */
   open (host: string, port: number): Promise<number> {
     return new Promise((resolve, reject) => {
       this.#socket.once('error', reject)
--- a/src/runtime/day-clock.ts
+++ b/src/runtime/day-clock.ts
@@ -1,45 +1,45 @@
 /**
- * The time of day of a box whose clock may be stepped: it follows small
- * corrections at once, and a step only once it has stood for long. A box that
- * was suspended, and whose steady clock stood still, is behind until then.
+ * A wall clock that tolerates steps of the system time: it applies small
+ * corrections at once, and larger steps only after they have persisted. After a
+ * suspend during which the monotonic clock stopped, it is behind until then.
  */
 
-/** Corrections up to this are those of time services, ms. */
-const smallStepMs = 100
-/** A step that has stood for so long is taken for the truth, ms: clocks that were set wrongly are set back sooner. */
-const standsMs = 60_000
+/** Corrections up to this are attributed to time synchronization and applied at once, ms. */
+const maxSlewMs = 100
+/** A step is applied after it has persisted for this long, ms; a clock that was set wrongly is usually corrected sooner. */
+const stepConfirmMs = 60_000
 
 export class DayClock {
-  #steady: () => number
+  #monotonic: () => number
   #wall: () => number
   #offset: number
   #steppedAt: number | null = null
 
-  constructor (steady: () => number, wall: () => number) {
-    this.#steady = steady
+  constructor (monotonic: () => number, wall: () => number) {
+    this.#monotonic = monotonic
     this.#wall = wall
-    this.#offset = wall() - steady()
+    this.#offset = wall() - monotonic()
   }
 
-  /** Time of day, ms since 1970. */
-  read (): number { return this.convert(this.#steady()) }
+  /** The time, ms since 1970. */
+  read (): number { return this.convert(this.#monotonic()) }
 
-  /** The time of day at a moment of the steady clock, ms since 1970. */
-  convert (steadyMs: number): number {
-    this.#follow()
-    return steadyMs + this.#offset
+  /** Converts a time of the monotonic clock to ms since 1970. */
+  convert (monotonicMs: number): number {
+    this.#updateOffset()
+    return monotonicMs + this.#offset
   }
 
-  #follow (): void {
-    const steady = this.#steady()
-    const offset = this.#wall() - steady
-    if (Math.abs(offset - this.#offset) <= smallStepMs) {
+  #updateOffset (): void {
+    const nowMs = this.#monotonic()
+    const offset = this.#wall() - nowMs
+    if (Math.abs(offset - this.#offset) <= maxSlewMs) {
       this.#offset = offset
       this.#steppedAt = null
       return
     }
-    this.#steppedAt ??= steady
-    if (steady - this.#steppedAt < standsMs) return
+    this.#steppedAt ??= nowMs
+    if (nowMs - this.#steppedAt < stepConfirmMs) return
     this.#offset = offset
     this.#steppedAt = null
   }
--- a/src/runtime/event-log.ts
+++ b/src/runtime/event-log.ts
@@ -4,22 +4,20 @@
 import type { LineSink } from './line-sink.js'
 import type { LogLevel } from './log-level.js'
 
-/** A value of an event's line. */
 export type EventValue = string | number | boolean | null | undefined
 
-/** The keys and values of one event. */
 export type EventFields = Readonly<Record<string, EventValue>>
 
-const quoted = /[\s"=]|^$/
+const needsQuotes = /[\s"=]|^$/
 
-/** Writes one value so that the line can be parsed again. */
+/** Formats a value; one with spaces, quotes or "=", or an empty one, is quoted as JSON so that the line can be parsed. */
 export function formatValue (value: EventValue): string {
   if (value === null || value === undefined) return '-'
   const text = String(value)
-  return quoted.test(text) ? JSON.stringify(text) : text
+  return needsQuotes.test(text) ? JSON.stringify(text) : text
 }
 
-/** Writes an event as one line of key=value pairs. */
+/** Formats an event as one line of key=value pairs. */
 export function formatEvent (fields: EventFields): string {
   return Object.entries(fields)
     .map(([key, value]) => `${key}=${formatValue(value)}`)
@@ -27,8 +25,8 @@
 }
 
 /**
- * The log of one process: a line of key=value pairs for each event, stamped
- * with a hybrid logical clock so that the logs of all processes merge.
+ * The log of one process: a line of key=value pairs for each event, with a
+ * hybrid logical timestamp so that the logs of several processes can be merged.
  */
 export class EventLog {
   readonly clock: HybridClock
@@ -44,17 +42,17 @@
     this.#logger.attachTransport(record => write(String((record as Record<string, unknown>)['0'])))
   }
 
-  /** Something that happened as it should. */
+  /** Logs normal operation. */
   info (event: string, fields: EventFields = {}): void {
     if (this.#admit('info')) this.#logger.info(this.#format('info', event, fields))
   }
 
-  /** Something that an operator may want to look at. */
+  /** Logs an event that may need an operator's attention. */
   warn (event: string, fields: EventFields = {}): void {
     if (this.#admit('warn')) this.#logger.warn(this.#format('warn', event, fields))
   }
 
-  /** Something that went wrong. */
+  /** Logs a failure. */
   error (event: string, fields: EventFields = {}): void {
     if (this.#admit('error')) this.#logger.error(this.#format('error', event, fields))
   }
@@ -65,28 +63,28 @@
   }
 }
 
-/** A log that writes to a capped sink. */
-export function openCappedLog (box: string, sink: LineSink): EventLog {
+/** A log that writes the lines that `sink` admits. */
+export function openRateLimitedLog (box: string, sink: LineSink): EventLog {
   return new EventLog(box, line => sink.write(line), Date.now, level => sink.admit(level))
 }
 
-/** How often it is told what was left out of the log, ms. */
-const tellLeftOutMs = 1000
+/** Interval at which suppressed and dropped lines are reported, ms. */
+const reportIntervalMs = 1000
 
-/** A log to standard output that never blocks; tells each second what it left out. */
+/** A non-blocking, rate-limited log to standard output; reports once a second how many lines are missing. */
 export function openProgramLog (box: string, linesPerSecond: number): { log: EventLog, sink: StandardSink } {
   const sink = new StandardSink(linesPerSecond)
-  const log = openCappedLog(box, sink)
+  const log = openRateLimitedLog(box, sink)
   let dropped = 0
   setInterval(() => {
-    const leftOut = sink.cap.takeLeftOut()
-    if (leftOut > 0 || sink.dropped > dropped) log.error('lines-left-out', { overCap: leftOut, dropped: sink.dropped - dropped })
+    const overLimit = sink.limiter.takeSuppressed()
+    if (overLimit > 0 || sink.dropped > dropped) log.error('lines-left-out', { overCap: overLimit, dropped: sink.dropped - dropped })
     dropped = sink.dropped
-  }, tellLeftOutMs).unref()
+  }, reportIntervalMs).unref()
   return { log, sink }
 }
 
-/** A log that writes to standard output. */
+/** A log to standard output without a rate limit. */
 export function openStandardLog (box: string): EventLog {
   return new EventLog(box, line => process.stdout.write(line + '\n'))
 }
--- a/src/runtime/hybrid-clock.ts
+++ b/src/runtime/hybrid-clock.ts
@@ -1,12 +1,12 @@
-/** A point of the time line: wall milliseconds and a counter within them. */
+/** A hybrid logical timestamp: wall time in ms, and a counter within one ms. */
 export interface HybridTime {
   readonly ms: number
   readonly count: number
 }
 
 /**
- * A hybrid logical clock (Kulkarni et al., 2014): close to wall time, and later
- * than every event that was heard of.
+ * A hybrid logical clock (Kulkarni et al., 2014): close to wall time, and never
+ * behind the timestamps of received messages.
  */
 export class HybridClock {
   #now: () => number
@@ -17,7 +17,7 @@
     this.#now = now
   }
 
-  /** The time of an event of this process. */
+  /** Advances the clock and returns the timestamp for a local event. */
   read (): HybridTime {
     const wall = this.#now()
     if (wall > this.#ms) {
@@ -29,18 +29,18 @@
     return { ms: this.#ms, count: this.#count }
   }
 
-  /** Takes in the time of a message from another process. */
-  merge (heard: HybridTime): void {
-    if (heard.ms > this.#ms) {
-      this.#ms = heard.ms
-      this.#count = heard.count
-    } else if (heard.ms === this.#ms) {
-      this.#count = Math.max(this.#count, heard.count)
+  /** Advances the clock to the timestamp of a received message. */
+  merge (received: HybridTime): void {
+    if (received.ms > this.#ms) {
+      this.#ms = received.ms
+      this.#count = received.count
+    } else if (received.ms === this.#ms) {
+      this.#count = Math.max(this.#count, received.count)
     }
   }
 }
 
-/** Writes a time as `ms.count`, which sorts as the times do. */
+/** Formats a timestamp as `ms.count`, which sorts in order of time. */
 export function formatTime (time: HybridTime): string {
   return `${time.ms}.${String(time.count).padStart(4, '0')}`
 }
--- a/src/runtime/inbox.ts
+++ b/src/runtime/inbox.ts
@@ -1,61 +1,61 @@
 import csp from 'js-csp'
 
 /**
- * The mailbox of a task. Messages stand in a list that the task drains whole;
- * a channel with room for one signal wakes it. A js-csp channel throws at its
- * 1,025th pending put, so messages themselves never wait as puts.
+ * The mailbox of a task. Messages are queued in an array that the task drains in
+ * batches; a channel with a buffer of one wakes it. Messages are not put on the
+ * channel itself, as a js-csp channel throws at its 1,025th pending put.
  */
 export class Inbox<Message> {
-  #waiting: Message[] = []
+  #queue: Message[] = []
   #signal = csp.chan(csp.buffers.dropping(1))
   #limit: number
-  #closed = false
+  #isClosed = false
 
-  /** `limit`: messages that `offer` lets stand before it turns one away. */
+  /** `limit`: queue length at which `offer` rejects messages. */
   constructor (limit: number) {
     this.#limit = limit
   }
 
-  get size (): number { return this.#waiting.length }
+  get size (): number { return this.#queue.length }
 
   /**
-   * Posts a message that must not be lost. Their number is bounded by what
-   * causes them: one or two for each request that was let in.
+   * Posts a message that must not be lost, regardless of the limit. The number of
+   * such messages is bounded by their cause: one or two for each admitted request.
    */
   post (message: Message): void {
-    if (this.#closed) return
-    this.#waiting.push(message)
-    if (this.#waiting.length === 1) csp.putAsync(this.#signal, true)
+    if (this.#isClosed) return
+    this.#queue.push(message)
+    if (this.#queue.length === 1) csp.putAsync(this.#signal, true)
   }
 
-  /** Posts a message that may be turned away; false where the inbox is full. */
+  /** Posts a message if the inbox has room; returns false otherwise. */
   offer (message: Message): boolean {
-    if (this.#closed || this.#waiting.length >= this.#limit) return false
+    if (this.#isClosed || this.#queue.length >= this.#limit) return false
     this.post(message)
     return true
   }
 
-  /** Ends the task that drains this inbox once it has handled what stands. */
+  /** Rejects further messages and ends the task after it has handled the queued ones. */
   close (): void {
-    this.#closed = true
+    this.#isClosed = true
     this.#signal.close()
   }
 
   /**
-   * Starts a task that hands each message to `handle`, and calls `settle` after
-   * each run of messages. Both run to their end before the next message.
+   * Starts a task that calls `handle` for each message and `afterBatch` after each
+   * batch. Both are synchronous.
    */
-  run (handle: (message: Message) => void, settle?: () => void): void {
-    const take = (): void => {
-      const messages = this.#waiting
-      this.#waiting = []
+  run (handle: (message: Message) => void, afterBatch?: () => void): void {
+    const drain = (): void => {
+      const messages = this.#queue
+      this.#queue = []
       for (const message of messages) handle(message)
-      if (settle !== undefined) settle()
+      if (afterBatch !== undefined) afterBatch()
     }
     const signal = this.#signal
     csp.go(function * () {
-      while ((yield csp.take(signal)) !== csp.CLOSED) take()
-      take()
+      while ((yield csp.take(signal)) !== csp.CLOSED) drain()
+      drain()
     })
   }
 }
--- a/src/runtime/line-sink.ts
+++ b/src/runtime/line-sink.ts
@@ -1,42 +1,41 @@
 /**
- * Where lines of log go. Writing never blocks: lines stand in a buffer with a
- * bound, and those that find it full are dropped and counted. A cap on lines a
- * second leaves out ordinary successes first; what was left out is told.
+ * Output of log lines. Writing never blocks: lines go to a bounded buffer and are
+ * dropped and counted when it is full. A rate limit suppresses lines of level
+ * `info` first, then warnings; suppressed lines are counted too.
  */
 import sonic from 'sonic-boom'
 import type { LogLevel } from './log-level.js'
 
-/** Bytes that may wait for a reader that has stalled. */
-const mostWaiting = 512 * 1024
-/** Lines are written together once there are so many bytes of them, or after the pause below. */
-const leastWrite = 4096
-const flushMs = 200
-/** Part of the lines of a second that ordinary events may take. */
-const ordinaryShare = 0.6
-/** Part that ordinary events and warnings may take; the rest is for errors. */
+/** Size of the buffer that holds lines while the reader stalls, bytes. */
+const maxBufferedBytes = 512 * 1024
+/** Buffered lines are written once they reach this size, bytes, or after the interval below. */
+const minWriteBytes = 4096
+const flushIntervalMs = 200
+/** Share of the lines per second that `info` may use. */
+const infoShare = 0.6
+/** Share that `info` and `warn` may use together; the rest is reserved for errors. */
 const warningShare = 0.9
 
-/** Takes lines; says of each whether there is room for it. */
 export interface LineSink {
-  /** False where a line of this level is over the cap now, and is to be left out. */
+  /** False where the rate limit for this level is reached, and the line must not be written. */
   admit (level: LogLevel): boolean
   write (line: string): void
 }
 
-/** Counts lines a second; pure but for the clock that it is given. */
-export class LineCap {
+/** Limits the lines per second by level. */
+export class LineRateLimiter {
   #perSecond: number
   #second = 0
   #lines = 0
-  #leftOut = 0
-  #told = 0
+  #suppressed = 0
+  #reported = 0
 
   constructor (perSecond: number) {
     this.#perSecond = perSecond
   }
 
-  /** Lines that were left out so far. */
-  get leftOut (): number { return this.#leftOut }
+  /** Number of suppressed lines so far. */
+  get suppressed (): number { return this.#suppressed }
 
   admit (level: LogLevel, nowMs: number): boolean {
     const second = Math.floor(nowMs / 1000)
@@ -44,51 +43,51 @@
       this.#second = second
       this.#lines = 0
     }
-    const share = level === 'info' ? ordinaryShare : level === 'warn' ? warningShare : 1
+    const share = level === 'info' ? infoShare : level === 'warn' ? warningShare : 1
     if (this.#lines < this.#perSecond * share) {
       this.#lines += 1
       return true
     }
-    this.#leftOut += 1
+    this.#suppressed += 1
     return false
   }
 
-  /** Lines left out since the last call. */
-  takeLeftOut (): number {
-    const count = this.#leftOut - this.#told
-    this.#told = this.#leftOut
+  /** Number of suppressed lines since the last call. */
+  takeSuppressed (): number {
+    const count = this.#suppressed - this.#reported
+    this.#reported = this.#suppressed
     return count
   }
 }
 
-/** A sink to standard output, capped and never blocking. */
+/** A non-blocking, rate-limited sink to a file descriptor; standard output by default. */
 export class StandardSink implements LineSink {
-  #boom: InstanceType<typeof sonic.SonicBoom>
-  #cap: LineCap
+  #stream: InstanceType<typeof sonic.SonicBoom>
+  #limiter: LineRateLimiter
   #dropped = 0
 
   constructor (linesPerSecond: number, descriptor = 1) {
-    this.#cap = new LineCap(linesPerSecond)
-    this.#boom = new sonic.SonicBoom({ fd: descriptor, sync: false, minLength: leastWrite, maxLength: mostWaiting, periodicFlush: flushMs })
-    this.#boom.on('drop', () => { this.#dropped += 1 })
-    // Nobody reads any more: there is nowhere to say so.
-    this.#boom.on('error', () => { this.#dropped += 1 })
+    this.#limiter = new LineRateLimiter(linesPerSecond)
+    this.#stream = new sonic.SonicBoom({ fd: descriptor, sync: false, minLength: minWriteBytes, maxLength: maxBufferedBytes, periodicFlush: flushIntervalMs })
+    this.#stream.on('drop', () => { this.#dropped += 1 })
+    // The reader has closed the descriptor, so the error can't be logged either.
+    this.#stream.on('error', () => { this.#dropped += 1 })
   }
 
-  /** Lines that a full buffer swallowed. */
+  /** Number of lines lost to a full buffer or a write error. */
   get dropped (): number { return this.#dropped }
-  get cap (): LineCap { return this.#cap }
+  get limiter (): LineRateLimiter { return this.#limiter }
 
-  admit (level: LogLevel): boolean { return this.#cap.admit(level, performance.now()) }
+  admit (level: LogLevel): boolean { return this.#limiter.admit(level, performance.now()) }
 
-  write (line: string): void { this.#boom.write(`${line}\n`) }
+  write (line: string): void { this.#stream.write(`${line}\n`) }
 
-  /** Writes what waits; for the end of a process. */
+  /** Writes buffered lines synchronously; for use at process exit. */
   flush (): void {
     try {
-      this.#boom.flushSync()
+      this.#stream.flushSync()
     } catch {
-      // The descriptor takes no more; the process is ending.
+      // The descriptor accepts no more data; the process is about to exit.
     }
   }
 }
--- a/src/runtime/log-level.ts
+++ b/src/runtime/log-level.ts
@@ -1,2 +1,2 @@
-/** How much an event matters. */
+/** Severity of a logged event. */
 export type LogLevel = 'info' | 'warn' | 'error'
--- a/src/runtime/metrics-door.ts
+++ b/src/runtime/metrics-server.ts
@@ -4,15 +4,15 @@
 import { listen } from './listen.js'
 import type { Metrics } from './metrics.js'
 
-/** How often the process looks at itself, ms. */
-const selfEveryMs = 1000
+/** Interval at which event-loop delay and memory are sampled, ms. */
+const sampleIntervalMs = 1000
 
-/** Serves a process's metrics in text form, with what the process knows of itself. */
+/** Serves the metrics of a process in the Prometheus text format; adds the event-loop delay and memory of the process. */
 export class MetricsDoor {
   #metrics: Metrics
   #server: Server
   #timer: NodeJS.Timeout
-  #lookedAt = performance.now()
+  #sampledAt = performance.now()
 
   constructor (metrics: Metrics) {
     this.#metrics = metrics
@@ -20,7 +20,7 @@
       void metrics.format().then(text => response.end(text))
     })
     this.#server.unref()
-    this.#timer = setInterval(() => this.#lookAtSelf(), selfEveryMs).unref()
+    this.#timer = setInterval(() => this.#sampleProcess(), sampleIntervalMs).unref()
   }
 
   /** Listens; resolves with the port. */
@@ -34,11 +34,11 @@
     this.#server.closeAllConnections()
   }
 
-  // A timer that runs late shows how long the process was held up.
-  #lookAtSelf (): void {
+  // The delay of the timer shows how long the event loop was blocked.
+  #sampleProcess (): void {
     const now = performance.now()
-    this.#metrics.gauge('loop-delay-ms', Math.max(0, Math.round(now - this.#lookedAt - selfEveryMs)))
+    this.#metrics.gauge('loop-delay-ms', Math.max(0, Math.round(now - this.#sampledAt - sampleIntervalMs)))
     this.#metrics.gauge('memory-bytes', process.memoryUsage.rss())
-    this.#lookedAt = now
+    this.#sampledAt = now
   }
 }
--- a/src/runtime/metrics.ts
+++ b/src/runtime/metrics.ts
@@ -4,7 +4,7 @@
 import Histogram from 'prom-client/lib/histogram.js'
 import Registry from 'prom-client/lib/registry.js'
 
-/** Where StatsD metrics go; null sends none. */
+/** Address of a StatsD server. */
 export interface MetricsTarget {
   readonly host: string
   readonly port: number
@@ -12,12 +12,12 @@
 
 type Tags = Readonly<Record<string, string>>
 
-/** Bounds of the buckets of times, ms: from a hop between boxes to the longest hold. */
+/** Histogram buckets for times, ms: from a hop between boxes to the longest time that a request is held. */
 const timeBuckets = [1, 2, 5, 10, 20, 50, 100, 200, 400, 800, 1500, 3000, 6000, 15000]
 
 /**
- * Counters, gauges and times of one process: sent by StatsD where there is a
- * target, and kept in the usual text form for whoever asks.
+ * Counters, gauges and histograms of times of one process: sent to StatsD where a
+ * target is set, and exported in the Prometheus text format.
  */
 export class Metrics {
   #client: StatsD | null
@@ -56,7 +56,7 @@
     this.#findTimes(name, tags).observe(tags, ms)
   }
 
-  /** Everything that was counted, in the text form of Prometheus. */
+  /** All metrics in the Prometheus text format. */
   format (): Promise<string> { return this.#registry.metrics() }
 
   close (): Promise<void> {
--- a/src/runtime/prom-client-parts.d.ts
+++ b/src/runtime/prom-client-parts.d.ts
@@ -1,4 +1,4 @@
-/** Types of the parts of `prom-client` that are loaded by themselves: the whole also loads what pushes metrics over TLS. */
+/** Types for modules of `prom-client` that are imported individually: its main module also loads the push gateway, and with it TLS. */
 declare module 'prom-client/lib/counter.js' {
   import { Counter } from 'prom-client'
   export default Counter
--- a/src/runtime/wait-until.ts
+++ b/src/runtime/wait-until.ts
@@ -1,14 +1,14 @@
 import { performance } from 'node:perf_hooks'
 
-/** What is waited for is looked at this often, ms. */
-const pollMs = 20
+/** Interval at which the condition is checked, ms. */
+const pollIntervalMs = 20
 
-/** Waits until something holds; resolves with false where it does not within `limitMs`. */
-export async function waitUntil (test: () => boolean, limitMs: number): Promise<boolean> {
-  const until = performance.now() + limitMs
-  while (!test()) {
-    if (performance.now() > until) return false
-    await new Promise(resolve => setTimeout(resolve, pollMs))
+/** Polls `condition` until it is true; resolves with false on a time-out. */
+export async function waitUntil (condition: () => boolean, timeoutMs: number): Promise<boolean> {
+  const deadline = performance.now() + timeoutMs
+  while (!condition()) {
+    if (performance.now() > deadline) return false
+    await new Promise(resolve => setTimeout(resolve, pollIntervalMs))
   }
   return true
 }
--- a/test/dialects.test.ts
+++ b/test/dialects.test.ts
@@ -14,7 +14,7 @@
   tenants: [{ name: 'w', apiKeys: ['k', 'l'], priority: 1 }, { name: 'v', apiKeys: [] }]
 }
 
-test('the platform\'s document is decoded into the product\'s terms', () => {
+test('the platform\'s document is decoded to the internal types', () => {
   const { version, routes, services, limits, workspaces } = platformDialect.decodeDocument(JSON.stringify(platformDocument))
   assert.equal(version, 7)
   assert.deepEqual(routes[0], { name: 'r', host: 'h.example', prefix: '/a/', kind: 'events', timeoutMs: 15000, targetMs: 250, pauseMs: 120, priority: 2, services: [{ service: 's', weight: 1 }], mostAttempts: 2, isPublic: false, resumable: true })
@@ -33,21 +33,21 @@
   return JSON.stringify(document)
 }
 
-const broken: readonly { name: string, dialect: Dialect, text: string, found: RegExp }[] = [
-  { name: 'cut short', dialect: platformDialect, text: platformText.slice(0, -20), found: /not JSON/ },
-  { name: 'cut short', dialect: nativeDialect, text: nativeText.slice(0, -20), found: /not JSON/ },
-  { name: 'a list', dialect: platformDialect, text: '[]', found: /the document is not a table/ },
+const invalidDocuments: readonly { name: string, dialect: Dialect, text: string, found: RegExp }[] = [
+  { name: 'truncated JSON', dialect: platformDialect, text: platformText.slice(0, -20), found: /not JSON/ },
+  { name: 'truncated JSON', dialect: nativeDialect, text: nativeText.slice(0, -20), found: /not JSON/ },
+  { name: 'a list at the top level', dialect: platformDialect, text: '[]', found: /the document is not a table/ },
   { name: 'no version', dialect: platformDialect, text: change(platformText, one => { delete one.version }), found: /version is not a number/ },
   { name: 'no routes', dialect: platformDialect, text: change(platformText, one => { delete one.routes }), found: /routes is not a list/ },
   { name: 'a route without a service', dialect: platformDialect, text: change(platformText, one => { delete one.routes[0].service }), found: /routes\.0\.service is not a text/ },
   { name: 'an unknown kind', dialect: platformDialect, text: change(platformText, one => { one.routes[0].routeKind = 'x' }), found: /routes\.0\.routeKind is not one of streaming, idempotent, non_idempotent/ },
-  { name: 'a weight of text', dialect: platformDialect, text: change(platformText, one => { one.routes[1].split[0].weight = '90' }), found: /routes\.1\.split\.0\.weight is not a number/ },
-  { name: 'keys that are no texts', dialect: platformDialect, text: change(platformText, one => { one.tenants[0].apiKeys = [1] }), found: /tenants\.0\.apiKeys/ },
+  { name: 'a string as weight', dialect: platformDialect, text: change(platformText, one => { one.routes[1].split[0].weight = '90' }), found: /routes\.1\.split\.0\.weight is not a number/ },
+  { name: 'keys that are not strings', dialect: platformDialect, text: change(platformText, one => { one.tenants[0].apiKeys = [1] }), found: /tenants\.0\.apiKeys/ },
   { name: 'an unknown kind', dialect: nativeDialect, text: change(nativeText, one => { one.routes[0].kind = 'x' }), found: /routes\.0\.kind is not one of repeatable, once, events/ },
   { name: 'two mistakes at once', dialect: nativeDialect, text: change(nativeText, one => { delete one.version; one.routes[1].timeoutMs = null }), found: /version is not a number; routes\.1\.timeoutMs is not a number/ }
 ]
 
-for (const { name, dialect, text, found } of broken) {
+for (const { name, dialect, text, found } of invalidDocuments) {
   test(`a document with ${name} is refused (${dialect.readyPath})`, () => {
     assert.throws(() => dialect.decodeDocument(text), (error: unknown) => error instanceof DocumentError && found.test(error.message))
   })
@@ -55,15 +55,15 @@
 
 const registrations: readonly { name: string, dialect: Dialect, body: string, found: RegExp | object }[] = [
   {
-    name: 'a ready one of the platform',
+    name: 'a ready endpoint of the platform',
     dialect: platformDialect,
     body: '{"service":"s","addr":"10.128.0.9:8080","zone":"z","version":"v1","slots":64,"state":"ready","coldLeftMs":0,"born":1796249564454,"seq":4}',
     found: { id: 'e', service: 's', host: '10.128.0.9', port: 8080, zone: 'z', slots: 64, born: 1796249564454, software: 'v1', sequence: 4, stage: 'ready' }
   },
-  { name: 'a draining one', dialect: platformDialect, body: '{"service":"s","addr":"10.0.0.9:80","zone":"z","slots":6,"state":"draining","seq":5}', found: { id: 'e', service: 's', host: '10.0.0.9', port: 80, zone: 'z', slots: 6, born: 0, software: '', sequence: 5, stage: 'draining' } },
-  { name: 'one without a port', dialect: platformDialect, body: '{"service":"s","addr":"10.0.0.9","zone":"z","slots":6,"state":"ready","seq":5}', found: /addr is not an address/ },
-  { name: 'one in an unknown state', dialect: platformDialect, body: '{"service":"s","addr":"10.0.0.9:80","zone":"z","slots":6,"state":"asleep","seq":5}', found: /state is not one of/ },
-  { name: 'one that is no JSON', dialect: nativeDialect, body: 'ready', found: /not JSON/ }
+  { name: 'a draining endpoint', dialect: platformDialect, body: '{"service":"s","addr":"10.0.0.9:80","zone":"z","slots":6,"state":"draining","seq":5}', found: { id: 'e', service: 's', host: '10.0.0.9', port: 80, zone: 'z', slots: 6, born: 0, software: '', sequence: 5, stage: 'draining' } },
+  { name: 'an address without a port', dialect: platformDialect, body: '{"service":"s","addr":"10.0.0.9","zone":"z","slots":6,"state":"ready","seq":5}', found: /addr is not an address/ },
+  { name: 'an unknown state', dialect: platformDialect, body: '{"service":"s","addr":"10.0.0.9:80","zone":"z","slots":6,"state":"asleep","seq":5}', found: /state is not one of/ },
+  { name: 'a body that is not JSON', dialect: nativeDialect, body: 'ready', found: /not JSON/ }
 ]
 
 for (const { name, dialect, body, found } of registrations) {
@@ -73,16 +73,16 @@
   })
 }
 
-const raw = ['Host', 'h.example', 'X-Attempt-Id', 'id1', 'Authorization', 'Token secret', 'X-Tenant', 'someone', 'X-Priority-Class', '0', 'Connection', 'keep-alive, X-Hop', 'X-Hop', '1',
+const rawHeaders = ['Host', 'h.example', 'X-Attempt-Id', 'id1', 'Authorization', 'Token secret', 'X-Tenant', 'someone', 'X-Priority-Class', '0', 'Connection', 'keep-alive, X-Hop', 'X-Hop', '1',
   'Transfer-Encoding', 'chunked', 'Content-Length', '5', 'X-Deadline-Ms', '9000', 'X-Model', 'm', 'X-Expect-Instance', 'i', 'Kv-From', 'x', 'Kv-Fetch', 'x', 'Last-Event-Id', '3', 'X-Own', 'a', 'X-Own', 'b']
 
-test('a request goes on with the caller\'s headers, less those of the connection, the key and what the product says itself', () => {
-  const headers = platformDialect.composeRequest(raw, { requestId: 'id1', deadlineMs: 812.7, endpoint: 'i-7', workspace: 'w', priority: 3, fetchFrom: '10.0.0.9:80', lastEvent: '9' })
+test('a request is forwarded with the caller\'s headers, without hop-by-hop headers, the key, and headers that the gateway sets', () => {
+  const headers = platformDialect.composeRequest(rawHeaders, { requestId: 'id1', deadlineMs: 812.7, endpoint: 'i-7', workspace: 'w', priority: 3, fetchFrom: '10.0.0.9:80', lastEvent: '9' })
   assert.deepEqual(headers, ['Host', 'h.example', 'X-Attempt-Id', 'id1', 'X-Model', 'm', 'X-Own', 'a', 'X-Own', 'b',
     'X-Deadline-Ms', '812', 'X-Expect-Instance', 'i-7', 'X-Tenant', 'w', 'X-Priority-Class', '3', 'Kv-Fetch', '10.0.0.9:80', 'Last-Event-Id', '9'])
 })
 
-test('a caller\'s words are read; what can\'t be read is left out', () => {
+test('a caller\'s headers are parsed; malformed values are ignored', () => {
   const read = (headers: Record<string, string>) => platformDialect.readCaller(headers)
   assert.deepEqual(read({ 'x-attempt-id': 'id', 'x-deadline-ms': '1500', authorization: 'Token  k', 'x-token-usage': '1460,80', 'x-prefix-hash': '5c:800,91:410,e4:250' }), {
     requestId: 'id', deadlineMs: 1500, key: 'k', lastEvent: null, cost: { promptTokens: 1460, mostTokens: 80, parts: [{ id: '5c', tokens: 800 }, { id: '91', tokens: 410 }, { id: 'e4', tokens: 250 }] }
@@ -97,7 +97,7 @@
   [500, { 'x-attempt-id': 'id' }, false, false, false]
 ]
 
-test('an answer says whether it ran and whose it is', () => {
+test('an answer tells whether the request ran and which endpoint answered', () => {
   for (const [status, headers, isNotRun, isOtherEndpoint, isMarked] of answers) {
     const notices = { limit: null, isLeaving: false, backoffMs: null, faulty: [] }
     assert.deepEqual(platformDialect.readAnswer(status, headers, 0), { requestId: headers['x-attempt-id'] ?? '', isNotRun, isOtherEndpoint, isMarked, notices }, String(status))
@@ -122,7 +122,7 @@
 ]
 
 for (const { value, limit, faulty = false } of limits) {
-  test(`a limit of ${JSON.stringify(value).slice(0, 40)} is taken for ${limit}`, () => {
+  test(`a limit of ${JSON.stringify(value).slice(0, 40)} is read as ${limit}`, () => {
     const { notices } = platformDialect.readAnswer(200, { 'server-limit': value }, wallMs)
     assert.deepEqual([notices.limit, notices.faulty.length], [limit, faulty ? 1 : 0])
     assert.ok(notices.faulty.every(one => one.value.length <= 40))
@@ -153,21 +153,21 @@
   })
 }
 
-const leavings: readonly { value: string, isLeaving: boolean, faulty: boolean }[] = [
+const leavingHeaders: readonly { value: string, isLeaving: boolean, faulty: boolean }[] = [
   { value: '1', isLeaving: true, faulty: false },
   { value: '0', isLeaving: false, faulty: false },
   { value: '', isLeaving: false, faulty: true },
   { value: 'soon', isLeaving: false, faulty: true }
 ]
 
-for (const { value, isLeaving, faulty } of leavings) {
-  test(`leaving ${JSON.stringify(value)} on an answer means ${isLeaving}`, () => {
+for (const { value, isLeaving, faulty } of leavingHeaders) {
+  test(`a leaving header of ${JSON.stringify(value)} is read as ${isLeaving}`, () => {
     const { notices } = platformDialect.readAnswer(200, { 'server-leaving': value }, wallMs)
     assert.deepEqual([notices.isLeaving, notices.faulty.length], [isLeaving, faulty ? 1 : 0])
   })
 }
 
-const calls: readonly (readonly [method: string, path: string, expected: object])[] = [
+const registryCalls: readonly (readonly [method: string, path: string, expected: object])[] = [
   ['PUT', '/api/config', { type: 'put-document' }],
   ['GET', '/api/config?x=1', { type: 'read-document' }],
   ['PUT', '/api/instances/i-1', { type: 'register', endpoint: 'i-1' }],
@@ -178,11 +178,11 @@
   ['GET', '/api/instances/i-1', { type: 'unknown' }]
 ]
 
-test('calls at a registry are told apart', () => {
-  for (const [method, path, expected] of calls) assert.deepEqual(platformDialect.readRegistryCall(method, path), expected, `${method} ${path}`)
+test('calls to a registry are recognized by method and path', () => {
+  for (const [method, path, expected] of registryCalls) assert.deepEqual(platformDialect.readRegistryCall(method, path), expected, `${method} ${path}`)
 })
 
-test('the time to come back has fractions only where callers read them', () => {
+test('Retry-After has fractions only where the dialect allows them', () => {
   assert.equal(platformDialect.formatRetryAfter(250), '0.250')
   assert.equal(nativeDialect.formatRetryAfter(250), '1')
 })
--- a/test/frame-body.test.ts
+++ b/test/frame-body.test.ts
@@ -6,33 +6,33 @@
 const time = { ms: 1_796_280_000_000, count: 3 }
 
 for (const count of [0, 1, 23, 24, 255, 256, 65_535, 65_536]) {
-  test(`a frame of ${count} messages comes out as it went in`, () => {
+  test(`a frame of ${count} messages is decoded to what was encoded`, () => {
     const messages = Array.from({ length: count }, (_, i) => ({ type: 'version', version: i }))
     assert.deepEqual(decodeBody(encodeBody(time, messages)), { time, messages })
   })
 }
 
-test('a frame of any messages is what it would be if it were encoded in one piece', () => {
+test('a frame body equals the encoding of its time and messages as one value', () => {
   fc.assert(fc.property(fc.array(fc.oneof(fc.string(), fc.integer(), fc.dictionary(fc.string(), fc.integer())), { maxLength: 40 }), messages => {
     assert.deepEqual(encodeBody(time, messages), encodeValue([time.ms, time.count, messages]))
   }), { seed: 8, numRuns: 200 })
 })
 
-// A registry that starts tells hundreds of gateways the same: encoding it for each of them took a third of a second.
-test('a message that goes to many links is encoded once', () => {
+// A starting registry sends the same messages to hundreds of gateways. Encoding them for each one takes a third of a second.
+test('a message to many links is encoded once', () => {
   let reads = 0
   const message = { get type () { reads += 1; return 'endpoints' } }
   for (let i = 0; i < 200; i++) encodeBody(time, [message])
   assert.equal(reads, 1)
 })
 
-const broken: { name: string, bytes: Uint8Array }[] = [
+const invalidBodies: { name: string, bytes: Uint8Array }[] = [
   { name: 'nothing', bytes: Buffer.alloc(0) },
-  { name: 'a list that ends early', bytes: encodeBody(time, ['a', 'b']).subarray(0, -1) },
+  { name: 'a truncated list', bytes: encodeBody(time, ['a', 'b']).subarray(0, -1) },
   { name: 'another value', bytes: encodeValue({ ms: 1 }) },
-  { name: 'messages that are no list', bytes: encodeValue([1, 2, 'x']) }
+  { name: 'messages that are not a list', bytes: encodeValue([1, 2, 'x']) }
 ]
 
-for (const { name, bytes } of broken) {
-  test(`${name} is no frame`, () => assert.equal(decodeBody(bytes), undefined))
+for (const { name, bytes } of invalidBodies) {
+  test(`a body of ${name} is refused`, () => assert.equal(decodeBody(bytes), undefined))
 }
--- a/test/layers.test.ts
+++ b/test/layers.test.ts
@@ -3,7 +3,7 @@
 import { join } from 'node:path'
 import { test } from 'node:test'
 
-/** What each package may import. Nothing else, and nothing but a package's index. */
+/** The packages that each package may import, through their index only. */
 const allowed: Readonly<Record<string, readonly string[]>> = {
   runtime: [],
   core: [],
@@ -21,7 +21,7 @@
   report: ['core', 'config', 'measure']
 }
 
-/** Proofs look inside the log to build a disk that forgets. */
+/** The proofs use an internal module of the log to simulate a disk that loses writes. */
 const exceptions = new Set(['proof -> coordination/log/entry-list.js'])
 
 function listFiles (folder: string): string[] {
@@ -29,7 +29,7 @@
 }
 
 for (const [name, others] of Object.entries(allowed)) {
-  test(`${name} imports ${others.length === 0 ? 'no other package' : others.join(', ')}, by their index`, () => {
+  test(`${name} imports ${others.length === 0 ? 'no other package' : others.join(', ')}, through their index`, () => {
     for (const file of listFiles(join('src', name))) {
       for (const [, path] of readFileSync(file, 'utf8').matchAll(/from '(\.[^']+)'/g)) {
         const target = join(file, '..', path).replace(/^src\//, '')
@@ -42,7 +42,7 @@
   })
 }
 
-test('the core has no clock, socket or randomness of its own', () => {
+test('core modules use no clocks, sockets or randomness', () => {
   for (const folder of ['src/core', 'src/coordination/log', 'src/coordination/claims', 'src/coordination/ledger', 'src/coordination/leases', 'src/coordination/usage', 'src/coordination/members', 'src/coordination/spread']) {
     for (const file of listFiles(folder)) {
       if (/replica\.ts$|log-store\.ts$|record-file\.ts$/.test(file)) continue
@@ -51,25 +51,25 @@
   }
 })
 
-/** The files that a file imports, by their paths in `src`; what is imported for its types alone counts too. */
+/** Paths of the files that a file imports, type-only imports included. */
 function listImports (file: string): string[] {
   const paths = [...readFileSync(file, 'utf8').matchAll(/from '(\.[^']+)\.js'/g)]
   return paths.map(([, path]) => `${join(file, '..', path)}.ts`)
 }
 
-/** A way along imports from a file back to itself; null where there is none. */
-function findCircle (file: string, way: readonly string[], done: Set<string>): string[] | null {
-  if (way.includes(file)) return [...way.slice(way.indexOf(file)), file]
-  if (done.has(file)) return null
+/** A cycle of imports that is reachable from `file`; null where there is none. `path`: the files on the way to it; `checked`: files known to reach no cycle. */
+function findCycle (file: string, path: readonly string[], checked: Set<string>): string[] | null {
+  if (path.includes(file)) return [...path.slice(path.indexOf(file)), file]
+  if (checked.has(file)) return null
   for (const next of listImports(file)) {
-    const circle = findCircle(next, [...way, file], done)
-    if (circle !== null) return circle
+    const cycle = findCycle(next, [...path, file], checked)
+    if (cycle !== null) return cycle
   }
-  done.add(file)
+  checked.add(file)
   return null
 }
 
-test('no file imports itself by way of others', () => {
-  const done = new Set<string>()
-  for (const file of listFiles('src')) assert.equal(findCircle(file, [], done)?.join(' -> ') ?? null, null)
+test('there are no import cycles', () => {
+  const checked = new Set<string>()
+  for (const file of listFiles('src')) assert.equal(findCycle(file, [], checked)?.join(' -> ') ?? null, null)
 })
--- a/test/links.test.ts
+++ b/test/links.test.ts
@@ -31,7 +31,7 @@
   return side
 }
 
-test('messages pass in order between boxes with the same secret', async () => {
+test('messages between boxes with the same secret arrive in order', async () => {
   const [a, b] = [createSide('a'), createSide('b')]
   const port = await b.pool.listen(host, 0)
   a.pool.dial(host, port)
@@ -43,8 +43,8 @@
   b.pool.close()
 })
 
-// Boxes that start together call each other before the other listens, and wait longer each time.
-test('a box that is called by one that it could not reach calls that one at once', async () => {
+// Boxes that start at the same time dial each other before the other listens, and back off after each failure.
+test('an incoming link from a host that could not be reached triggers an immediate retry', async () => {
   const [a, b] = [createSide('a'), createSide('b')]
   const portOfA = await a.pool.listen(host, 0)
   const closed = createServer()
@@ -54,10 +54,10 @@
   mock.timers.enable({ apis: ['setTimeout'] })
   try {
     a.pool.dial(host, port)
-    await spin(100)
+    await runTurns(100)
     await b.pool.listen(host, port)
     b.pool.dial(host, portOfA)
-    for (let turns = 0; turns < 100_000 && a.pool.find(host, port) === undefined; turns++) await spin(1)
+    for (let turns = 0; turns < 100_000 && a.pool.find(host, port) === undefined; turns++) await runTurns(1)
     assert.notEqual(a.pool.find(host, port), undefined)
   } finally {
     mock.timers.reset()
@@ -66,12 +66,12 @@
   }
 })
 
-/** Lets sockets go on for some turns, without any timer. */
-async function spin (turns: number): Promise<void> {
+/** Runs some turns of the event loop, so that sockets proceed while timers are mocked. */
+async function runTurns (turns: number): Promise<void> {
   for (let i = 0; i < turns; i++) await new Promise(resolve => setImmediate(resolve))
 }
 
-test('a box with another secret gets nothing through, and is counted', async () => {
+test('messages of a box with another secret are refused and reported as a fault', async () => {
   const [a, b] = [createSide('a', 'another long secret'), createSide('b')]
   const port = await b.pool.listen(host, 0)
   a.pool.dial(host, port)
@@ -83,10 +83,10 @@
   b.pool.close()
 })
 
-test('a large frame that comes together with the hello is taken', async () => {
+test('a large frame in the same chunk as the hello is accepted', async () => {
   const received: string[] = []
   const server = createServer(socket => {
-    // The peer's hello and what it says next arrive in one piece.
+    // Sends the hello and the next frame in one chunk.
     socket.once('data', () => {
       const hello = frameBytes([encodeValue({ v: 1, id: 'b', nonce: Buffer.alloc(16) })])
       const large = frameBytes([encodeValue([1, 0, ['x'.repeat(5000)]])])
@@ -112,7 +112,7 @@
   server.close()
 })
 
-test('a link with heartbeats closes once its peer is silent', async () => {
+test('a link with heartbeats closes when its peer sends none', async () => {
   const sockets: Socket[] = []
   const server = createServer(socket => {
     sockets.push(socket)
@@ -137,8 +137,8 @@
   server.close()
 })
 
-/** A forwarder that keeps and can change what the caller's side sends. */
-async function tamper (port: number, change: (chunk: Buffer, index: number) => Buffer[]): Promise<{ port: number, close: () => void }> {
+/** A proxy that passes each chunk of the connecting side through `change`. */
+async function startTamperingProxy (port: number, change: (chunk: Buffer, index: number) => Buffer[]): Promise<{ port: number, close: () => void }> {
   const sockets: Socket[] = []
   const server = createServer(inner => {
     const outer = connect(port, host)
@@ -161,7 +161,7 @@
   }
 }
 
-const tamperings: { name: string, change: (chunk: Buffer, index: number) => Buffer[], fault: string }[] = [
+const tamperCases: { name: string, change: (chunk: Buffer, index: number) => Buffer[], fault: string }[] = [
   { name: 'replayed', change: (chunk, index) => index === 0 ? [chunk] : [chunk, chunk], fault: 'bad-code' },
   {
     name: 'changed',
@@ -172,25 +172,25 @@
     },
     fault: 'bad-code'
   },
-  { name: 'of a size beyond the limit', change: (chunk, index) => index === 0 ? [chunk] : [Buffer.from([255, 255, 255, 127])], fault: 'too-large' }
+  { name: 'larger than the limit', change: (chunk, index) => index === 0 ? [chunk] : [Buffer.from([255, 255, 255, 127])], fault: 'too-large' }
 ]
 
-for (const { name, change, fault } of tamperings) {
-  test(`a frame that is ${name} is refused and counted`, async () => {
+for (const { name, change, fault } of tamperCases) {
+  test(`a frame that is ${name} is refused and reported as a fault`, async () => {
     const [a, b] = [createSide('a'), createSide('b')]
-    const forwarder = await tamper(await b.pool.listen(host, 0), change)
-    a.pool.dial(host, forwarder.port)
-    await until(() => a.pool.find(host, forwarder.port) !== undefined, 'a link')
-    a.pool.find(host, forwarder.port)?.send('pay once')
+    const proxy = await startTamperingProxy(await b.pool.listen(host, 0), change)
+    a.pool.dial(host, proxy.port)
+    await until(() => a.pool.find(host, proxy.port) !== undefined, 'a link')
+    a.pool.find(host, proxy.port)?.send('pay once')
     await until(() => b.faults.includes(fault), 'the fault')
     assert.ok(b.received.filter(message => message === 'pay once').length <= 1)
     a.pool.close()
     b.pool.close()
-    forwarder.close()
+    proxy.close()
   })
 }
 
-test('a hello that is no hello closes the connection, and others go on', async () => {
+test('an invalid hello closes its connection but not the listener', async () => {
   const b = createSide('b')
   const port = await b.pool.listen(host, 0)
   for (const bytes of [Buffer.from('GET / HTTP/1.1\r\n\r\n'), frameBytes([encodeValue({ v: 9 })]), frameBytes([Buffer.from([255, 255])])]) {
@@ -205,7 +205,7 @@
   b.pool.close()
 })
 
-test('frames are cut out of any chunks', () => {
+test('frames are reassembled from chunks of any size', () => {
   const frames = [Buffer.from('a'), Buffer.alloc(300, 7), Buffer.from('')].map(body => frameBytes([body]))
   const stream = Buffer.concat(frames)
   for (let size = 1; size < 50; size += 7) {
--- a/test/load-datagrams.test.ts
+++ b/test/load-datagrams.test.ts
@@ -4,17 +4,17 @@
 import type { BoxId, BoxLoad, EndpointId, EndpointNotice, LoadTotals, ServiceName, SumNews, ZoneName } from '../src/core/index.js'
 import { decodeHubWord, decodeLoadWord, decodeTotalsWord, encodeHubWord, encodeLoadWord, encodeNews, encodeNotices, encodeTotalsWord, encodeValue, isNewerWord } from '../src/protocol/index.js'
 
-const newer: readonly { name: string, word: [number, number], known: [number, number] | null, isNewer: boolean }[] = [
-  { name: 'the first of all', word: [7, 1], known: null, isNewer: true },
-  { name: 'the next', word: [7, 3], known: [7, 2], isNewer: true },
-  { name: 'one after a gap', word: [7, 9], known: [7, 2], isNewer: true },
-  { name: 'the same again', word: [7, 2], known: [7, 2], isNewer: false },
-  { name: 'one that was overtaken', word: [7, 1], known: [7, 2], isNewer: false },
-  { name: 'the first of another start', word: [3, 1], known: [7, 2], isNewer: true }
+const orderCases: readonly { name: string, report: [number, number], known: [number, number] | null, isNewer: boolean }[] = [
+  { name: 'the first one', report: [7, 1], known: null, isNewer: true },
+  { name: 'the next one', report: [7, 3], known: [7, 2], isNewer: true },
+  { name: 'one after a gap', report: [7, 9], known: [7, 2], isNewer: true },
+  { name: 'a duplicate', report: [7, 2], known: [7, 2], isNewer: false },
+  { name: 'one that arrives out of order', report: [7, 1], known: [7, 2], isNewer: false },
+  { name: 'the first one after a restart', report: [3, 1], known: [7, 2], isNewer: true }
 ]
 
-for (const { name, word: [start, number], known, isNewer } of newer) {
-  test(`a word about loads, ${name}, ${isNewer ? 'replaces' : 'does not replace'} the known one`, () => {
+for (const { name, report: [start, number], known, isNewer } of orderCases) {
+  test(`a load report, ${name}, ${isNewer ? 'replaces' : 'does not replace'} the known one`, () => {
     assert.equal(isNewerWord({ start, number }, known === null ? undefined : { start: known[0], number: known[1] }), isNewer)
   })
 }
@@ -24,38 +24,38 @@
 const load: BoxLoad = { loads: [{ endpoint, running: 2, brisk: 1, memory: 700, waiting: [[0, 40]], largest: 40, backedOff: 0 }], demands: [demand], gaps: [[endpoint, 11.5]], prompts: [[endpoint, [['5c', 800]], true]] }
 const totals: LoadTotals = { ...load, demands: [{ ...demand, holders: 1 }], zones: [brandId<ZoneName>('zone-a')] }
 const notice: EndpointNotice = { endpoint, born: 12, stamp: 3, perSecond: 2.6, isLeaving: false }
-const loadWord = { box: brandId<BoxId>('gateway-1'), zone: brandId<ZoneName>('zone-a'), start: 5, number: 6, load, notices: [notice] }
+const loadReport = { box: brandId<BoxId>('gateway-1'), zone: brandId<ZoneName>('zone-a'), start: 5, number: 6, load, notices: [notice] }
 const news: SumNews = { ...totals, isWhole: false, gone: [brandId<EndpointId>('e-2')], gaps: null }
-const hubWord = { hub: brandId<BoxId>('registry-1'), start: 5, number: 6, news, notices: [notice] }
-const totalsWord = { start: 5, number: 6, ownNumber: 4, intervalMs: 10 }
+const hubReport = { hub: brandId<BoxId>('registry-1'), start: 5, number: 6, news, notices: [notice] }
+const totalsReport = { start: 5, number: 6, ownNumber: 4, intervalMs: 10 }
 
-test('words about loads come out as they went in, and none is taken for another', () => {
-  const told = encodeLoadWord(loadWord)
-  const toHub = encodeHubWord(hubWord)
-  const toGateway = encodeTotalsWord(totalsWord, encodeNews(news), encodeNotices([notice]))
-  assert.deepEqual([told, toHub, toGateway].map(decodeLoadWord), [loadWord, null, null])
-  assert.deepEqual([told, toHub, toGateway].map(decodeHubWord), [null, hubWord, null])
-  assert.deepEqual([told, toHub, toGateway].map(decodeTotalsWord), [null, null, { ...totalsWord, news, notices: [notice] }])
+test('load reports are decoded to what was encoded, and only by the decoder of their type', () => {
+  const fromGateway = encodeLoadWord(loadReport)
+  const toHub = encodeHubWord(hubReport)
+  const toGateway = encodeTotalsWord(totalsReport, encodeNews(news), encodeNotices([notice]))
+  assert.deepEqual([fromGateway, toHub, toGateway].map(decodeLoadWord), [loadReport, null, null])
+  assert.deepEqual([fromGateway, toHub, toGateway].map(decodeHubWord), [null, hubReport, null])
+  assert.deepEqual([fromGateway, toHub, toGateway].map(decodeTotalsWord), [null, null, { ...totalsReport, news, notices: [notice] }])
 })
 
-const foreign: readonly { name: string, bytes: Uint8Array }[] = [
+const invalidDatagrams: readonly { name: string, bytes: Uint8Array }[] = [
   { name: 'nothing', bytes: Buffer.alloc(0) },
-  { name: 'noise', bytes: Buffer.from([0xff, 0x00, 0x13, 0x37]) },
-  { name: 'half a word', bytes: encodeLoadWord(loadWord).subarray(0, 20) },
-  { name: 'another version', bytes: encodeValue([4, 'gateway-1', 'zone-a', 5, 6, load, []]) },
+  { name: 'random bytes', bytes: Buffer.from([0xff, 0x00, 0x13, 0x37]) },
+  { name: 'a truncated report', bytes: encodeLoadWord(loadReport).subarray(0, 20) },
+  { name: 'another protocol version', bytes: encodeValue([4, 'gateway-1', 'zone-a', 5, 6, load, []]) },
   { name: 'a load without lists', bytes: encodeValue([5, 'gateway-1', 'zone-a', 5, 6, { loads: 1 }, []]) },
-  { name: 'a sum that is no list', bytes: encodeValue([5, 'registry-1', 5, 6, encodeValue({ loads: [] }), []]) },
-  { name: 'a sum with a load that is none', bytes: encodeValue([4, 'registry-1', 5, 6, encodeValue([true, [['e-1', 2]], [], [], [], [], []]), []]) },
-  { name: 'notices that are no list', bytes: encodeValue([5, 'gateway-1', 'zone-a', 5, 6, load, 7]) },
-  { name: 'a notice without a life', bytes: encodeValue([5, 'gateway-1', 'zone-a', 5, 6, load, [['e-1', null, 3, 2.6, false]]]) },
-  { name: 'a limit of nothing', bytes: encodeValue([5, 'registry-1', 5, 6, encodeNews(news), [['e-1', 12, 3, 0, false]]]) },
-  { name: 'totals that are no value', bytes: encodeTotalsWord(totalsWord, Buffer.from([0xff]), encodeNotices([])) },
-  { name: 'totals with notices that are no value', bytes: encodeTotalsWord(totalsWord, encodeNews(news), Buffer.from([0xff])) },
-  { name: 'totals without zones', bytes: encodeTotalsWord(totalsWord, encodeValue([true, [], [], [], [], [], null]), encodeNotices([])) }
+  { name: 'a sum that is not a list', bytes: encodeValue([5, 'registry-1', 5, 6, encodeValue({ loads: [] }), []]) },
+  { name: 'a sum with an invalid load', bytes: encodeValue([4, 'registry-1', 5, 6, encodeValue([true, [['e-1', 2]], [], [], [], [], []]), []]) },
+  { name: 'notices that are not a list', bytes: encodeValue([5, 'gateway-1', 'zone-a', 5, 6, load, 7]) },
+  { name: 'a notice without a start time', bytes: encodeValue([5, 'gateway-1', 'zone-a', 5, 6, load, [['e-1', null, 3, 2.6, false]]]) },
+  { name: 'a limit of 0', bytes: encodeValue([5, 'registry-1', 5, 6, encodeNews(news), [['e-1', 12, 3, 0, false]]]) },
+  { name: 'totals that are not valid CBOR', bytes: encodeTotalsWord(totalsReport, Buffer.from([0xff]), encodeNotices([])) },
+  { name: 'totals with notices that are not valid CBOR', bytes: encodeTotalsWord(totalsReport, encodeNews(news), Buffer.from([0xff])) },
+  { name: 'totals without zones', bytes: encodeTotalsWord(totalsReport, encodeValue([true, [], [], [], [], [], null]), encodeNotices([])) }
 ]
 
-for (const { name, bytes } of foreign) {
-  test(`a datagram with ${name} is no word about loads`, () => {
+for (const { name, bytes } of invalidDatagrams) {
+  test(`a datagram with ${name} is refused`, () => {
     assert.deepEqual([decodeLoadWord(bytes), decodeHubWord(bytes), decodeTotalsWord(bytes)], [null, null, null])
   })
 }
--- a/test/logged-events.test.ts
+++ b/test/logged-events.test.ts
@@ -4,19 +4,19 @@
 import { test } from 'node:test'
 import { routeEvents } from '../src/config/index.js'
 
-const places = ['src/gateway', 'src/registry', 'src/runtime', 'src/bin/route-program.ts']
+const sourcePaths = ['src/gateway', 'src/registry', 'src/runtime', 'src/bin/route-program.ts']
 
 function readSources (): string {
-  const files = places.flatMap(place => place.endsWith('.ts') ? [place] : readdirSync(place).map(name => join(place, name)))
+  const files = sourcePaths.flatMap(path => path.endsWith('.ts') ? [path] : readdirSync(path).map(name => join(path, name)))
   return files.map(file => readFileSync(file, 'utf8')).join('\n')
 }
 
-test('gateways and registries log the events of the list, and no others', () => {
+test('gateways and registries log exactly the documented events', () => {
   const logged = new Set([...readSources().matchAll(/log\.(?:info|warn|error)\('([a-z-]+)'/g)].map(match => match[1]))
   assert.deepEqual([...logged].sort(), Object.keys(routeEvents).sort())
 })
 
-test('each logged field is on the list', () => {
+test('each logged field is documented', () => {
   for (const [, name, fields] of readSources().matchAll(/log\.(?:info|warn|error)\('([a-z-]+)', \{([^}]*)\}/g)) {
     for (const field of fields.matchAll(/(?:^|,)\s*([a-zA-Z]+)(?=\s*[:,]|\s*$)/g)) {
       assert.ok(Object.hasOwn(routeEvents[name].fields, field[1]), `${name}: ${field[1]}`)
--- a/test/reset-socket.test.ts
+++ b/test/reset-socket.test.ts
@@ -5,7 +5,7 @@
 import { test } from 'node:test'
 import { resetSocket } from '../src/protocol/index.js'
 
-/** What is done to an accepted connection before it is reset. */
+/** States of an accepted connection when it is reset. */
 const cases: readonly { readonly name: string, readonly before: (socket: Socket) => void }[] = [
   { name: 'open', before: () => {} },
   { name: 'written to', before: socket => { socket.write('x') } },
@@ -14,7 +14,7 @@
 ]
 
 for (const { name, before } of cases) {
-  test(`a connection that is ${name} was left open by a reset`, { timeout: 5000 }, async () => {
+  test(`resetting a connection that is ${name} closes it`, { timeout: 5000 }, async () => {
     const errors: string[] = []
     const server = createServer({ allowHalfOpen: true }, socket => {
       socket.on('error', (error: NodeJS.ErrnoException) => errors.push(error.code ?? ''))
