--- a/src/config/check-table.ts
+++ b/src/config/check-table.ts
@@ -36,7 +36,7 @@
       if (table[key] !== undefined) value[key] = this.#check(table[key], field, at)
       else if (field.fallback !== undefined) value[key] = field.fallback
       else if (field.type === 'named') value[key] = {}
-      else this.#add(at, 'nothing', `${describe(field)} (the key is required)`)
+      else this.#addMistake(at, 'nothing', `${describe(field)} (the key is required)`)
     }
     for (const key of Object.keys(table)) {
       if (!Object.hasOwn(fields, key)) this.#addUnknown(key, fields, path)
@@ -72,17 +72,17 @@
   }
 
   #expect (ok: boolean, found: unknown, field: Field, path: string): unknown {
-    if (!ok) this.#add(path, JSON.stringify(found) ?? 'nothing', describe(field))
+    if (!ok) this.#addMistake(path, JSON.stringify(found) ?? 'nothing', describe(field))
     return found
   }
 
   #addUnknown (key: string, fields: FieldTable, path: string): void {
     const suggestion = findNearest(key, Object.keys(fields))
     const hint = suggestion === null ? `one of ${Object.keys(fields).join(', ')}` : `did you mean "${suggestion}"?`
-    this.#add(join(path, key), 'an unknown key', hint)
+    this.#addMistake(join(path, key), 'an unknown key', hint)
   }
 
-  #add (key: string, found: string, allowed: string): void {
+  #addMistake (key: string, found: string, allowed: string): void {
     this.mistakes.push({ key, line: findLine(this.#lines, key), found, allowed })
   }
 }
--- a/src/config/intent.ts
+++ b/src/config/intent.ts
@@ -42,8 +42,8 @@
 /** Computes the changes that an intent makes to a document. */
 export function planIntent (intent: Intent, document: Document): Change[] {
   const removals: Change[] = intent.remove.map(path => {
-    const dot = path.indexOf('.')
-    return { section: path.slice(0, dot), name: path.slice(dot + 1), before: null, after: null }
+    const dotIndex = path.indexOf('.')
+    return { section: path.slice(0, dotIndex), name: path.slice(dotIndex + 1), before: null, after: null }
   })
   const additions: Change[] = []
   for (const [section, items] of Object.entries(intent.items)) {
@@ -55,17 +55,17 @@
 /** Finds mistakes across items: dangling references, keys of several workspaces, inconsistent priorities. */
 export function checkDocument (document: Document): Mistake[] {
   const mistakes: Mistake[] = []
-  const expect = (path: string, section: string, name: unknown): void => {
+  const checkReference = (path: string, section: string, name: unknown): void => {
     const known = Object.keys(document[section] ?? {})
     if (typeof name === 'string' && known.includes(name)) return
     const allowed = known.length === 0 ? `${section} are not configured` : `one of ${known.join(', ')}`
     mistakes.push({ key: path, line: null, found: JSON.stringify(name), allowed })
   }
   for (const [name, item] of Object.entries(document.workspaces ?? {})) {
-    expect(`workspaces.${name}.defaultClass`, 'classes', (item as { defaultClass: string }).defaultClass)
+    checkReference(`workspaces.${name}.defaultClass`, 'classes', (item as { defaultClass: string }).defaultClass)
   }
   for (const [name, item] of Object.entries(document.engines ?? {})) {
-    expect(`engines.${name}.pool`, 'pools', (item as { pool: string }).pool)
+    checkReference(`engines.${name}.pool`, 'pools', (item as { pool: string }).pool)
   }
   return [...mistakes, ...checkKeys(document), ...checkClasses(document)]
 }
--- a/src/config/route-settings.ts
+++ b/src/config/route-settings.ts
@@ -13,7 +13,7 @@
   ...(fallback === undefined ? {} : { fallback })
 })
 
-const integer = describeInteger
+const describeInt = describeInteger
 
 const shared: FieldTable = {
   id: describeName('Name of this box, unique among all boxes.'),
@@ -25,7 +25,7 @@
   secretFile: describeText('File with the shared secret of all boxes, at least 16 characters; empty for none.', ''),
   openLinks: { type: 'switch', about: 'Whether links may run without authentication if there is no secret. Only for a network that nobody else can reach.', fallback: false },
   metricsPort: describePort('HTTP port for metrics in the Prometheus text format; 0 for none.', 0),
-  logLinesPerSecond: integer('Maximum log lines per second; beyond it, `info` lines are suppressed first.', 'lines/s', 10, 100_000, 150),
+  logLinesPerSecond: describeInt('Maximum log lines per second; beyond it, `info` lines are suppressed first.', 'lines/s', 10, 100_000, 150),
   statsd: { type: 'table', about: 'Server for StatsD metrics.', fallback: null, fields: { host: describeHost('IP address.'), port: describePort('UDP port.', 8125) } }
 }
 
@@ -45,7 +45,7 @@
   },
   usageWindowSeconds: { type: 'number', about: 'Length of the windows in which started requests are counted per workspace; must be the same on all boxes; 0 disables counting.', least: 0, most: 3600, whole: false, unit: 's', fallback: 0 },
   drainSeconds: { type: 'number', about: 'Longest time that a planned stop waits for requests in flight.', least: 0, most: 86_400, whole: false, unit: 's', fallback: 30 },
-  maxConnections: integer('Maximum number of concurrent connections from callers.', 'connections', 1, 100_000, 2000)
+  maxConnections: describeInt('Maximum number of concurrent connections from callers.', 'connections', 1, 100_000, 2000)
 }
 
 /** Settings of `wrenlane-registry`. */
@@ -55,23 +55,23 @@
   bind: describeText('IP address on which links are accepted, if it differs from the one at which other boxes reach this box (for example behind NAT); empty for `host`.', ''),
   data: describeText('Folder for persistent data.'),
   first: { type: 'switch', about: 'Whether the whole system starts for the first time: the seeds then create the log.', fallback: false },
-  faults: integer('Number of boxes with a disk that may fail at the same time.', 'boxes', 0, 10, 1),
-  heartbeatMs: integer('Interval between heartbeats of the leader.', 'ms', 10, 10_000, 70),
-  electionMs: integer('Minimum time without a heartbeat before an election.', 'ms', 50, 60_000, 350),
-  snapshotEvery: integer('Log entries between snapshots; fewer if they contain large documents.', 'entries', 10, 1_000_000, 100),
+  faults: describeInt('Number of boxes with a disk that may fail at the same time.', 'boxes', 0, 10, 1),
+  heartbeatMs: describeInt('Interval between heartbeats of the leader.', 'ms', 10, 10_000, 70),
+  electionMs: describeInt('Minimum time without a heartbeat before an election.', 'ms', 50, 60_000, 350),
+  snapshotEvery: describeInt('Log entries between snapshots; fewer if they contain large documents.', 'entries', 10, 1_000_000, 100),
   duties: {
     type: 'table',
     about: 'Calls to the operator of the underlying platform, made by one registry at a time for all boxes; omit the table if there is no such operator.',
     fallback: null,
     fields: {
       address: describeHostPort('Address to which the calls are sent.'),
-      leaseMs: integer('After another registry has taken over, the former one makes no calls for at least this time; a lease lasts 80% of it.', 'ms', 500, 600_000, 3000),
+      leaseMs: describeInt('After another registry has taken over, the former one makes no calls for at least this time; a lease lasts 80% of it.', 'ms', 500, 600_000, 3000),
       usageWindowSeconds: { type: 'number', about: 'Length of the windows in which started requests are counted; must be the same as at gateways.', least: 1, most: 3600, whole: false, unit: 's', fallback: 5 },
       usageLateSeconds: { type: 'number', about: 'Deadline for reporting a window, after its end.', least: 1, most: 3600, whole: false, unit: 's', fallback: 10 }
     }
   },
-  lostMs: integer('Time without a heartbeat after which an endpoint counts as lost.', 'ms', 1000, 24 * 3_600_000, 30_000),
-  maxBodyBytes: integer('Maximum size of the body of a call.', 'bytes', 1024, 256 * 2 ** 20, 16 * 2 ** 20)
+  lostMs: describeInt('Time without a heartbeat after which an endpoint counts as lost.', 'ms', 1000, 24 * 3_600_000, 30_000),
+  maxBodyBytes: describeInt('Maximum size of the body of a call.', 'bytes', 1024, 256 * 2 ** 20, 16 * 2 ** 20)
 }
 
 /** Settings common to gateways and registries. */
--- a/src/protocol/document-reader.ts
+++ b/src/protocol/document-reader.ts
@@ -17,7 +17,7 @@
     this.#path = path
     this.#mistakes = mistakes
     this.#table = isTable(value) ? value : {}
-    if (!isTable(value)) this.#add('', 'is not a table')
+    if (!isTable(value)) this.#addMistake('', 'is not a table')
   }
 
   has (key: string): boolean { return this.#table[key] !== undefined && this.#table[key] !== null }
@@ -27,7 +27,7 @@
     const found = this.#table[key]
     if (typeof found === 'string' && found !== '') return found
     if (fallback !== undefined && !this.has(key)) return fallback
-    this.#add(key, 'is not a text string, or is empty')
+    this.#addMistake(key, 'is not a text string, or is empty')
     return ''
   }
 
@@ -35,7 +35,7 @@
     const found = this.#table[key]
     if (typeof found === 'number' && Number.isFinite(found)) return found
     if (fallback !== undefined && !this.has(key)) return fallback
-    this.#add(key, 'is not a number')
+    this.#addMistake(key, 'is not a number')
     return 0
   }
 
@@ -44,7 +44,7 @@
     const found = this.#table[key]
     if (fallback !== undefined && !this.has(key)) return fallback
     if (Number.isSafeInteger(found) && (found as number) >= least) return found as number
-    this.#add(key, `is not an integer of at least ${least}`)
+    this.#addMistake(key, `is not an integer of at least ${least}`)
     return least
   }
 
@@ -56,7 +56,7 @@
   readSwitch (key: string, fallback: boolean): boolean {
     const found = this.#table[key]
     if (typeof found === 'boolean') return found
-    if (this.has(key)) this.#add(key, 'is not true or false')
+    if (this.has(key)) this.#addMistake(key, 'is not true or false')
     return fallback
   }
 
@@ -64,7 +64,7 @@
   readChoice<T> (key: string, choices: Readonly<Record<string, T>>): T {
     const found = this.#table[key]
     if (typeof found === 'string' && Object.hasOwn(choices, found)) return choices[found]
-    this.#add(key, `is not one of ${Object.keys(choices).join(', ')}`)
+    this.#addMistake(key, `is not one of ${Object.keys(choices).join(', ')}`)
     return Object.values(choices)[0]
   }
 
@@ -72,14 +72,14 @@
   readList<T> (key: string, read: (reader: DocumentReader) => T): T[] {
     const found = this.#table[key]
     if (Array.isArray(found)) return found.map((one, i) => read(new DocumentReader(one, this.#join(`${key}.${i}`), this.#mistakes)))
-    this.#add(key, 'is not a list')
+    this.#addMistake(key, 'is not a list')
     return []
   }
 
   readTexts (key: string): string[] {
     const found = this.#table[key]
     if (Array.isArray(found) && found.every(one => typeof one === 'string')) return found
-    this.#add(key, 'is not a list of strings')
+    this.#addMistake(key, 'is not a list of strings')
     return []
   }
 
@@ -87,10 +87,10 @@
     return read(new DocumentReader(this.#table[key], this.#join(key), this.#mistakes))
   }
 
-  /** Records a mistake that the caller found; returns `instead` as the field's value. */
-  refuse<T> (key: string, what: string, instead: T): T {
-    this.#add(key, what)
-    return instead
+  /** Records a mistake that the caller found; returns `replacement` as the field's value. */
+  refuse<T> (key: string, problem: string, replacement: T): T {
+    this.#addMistake(key, problem)
+    return replacement
   }
 
   /** Throws `DocumentError` if there were any mistakes. */
@@ -98,8 +98,8 @@
     if (this.#mistakes.length > 0) throw new DocumentError(this.#mistakes)
   }
 
-  #add (key: string, what: string): void {
-    this.#mistakes.push(`${this.#join(key) || 'the document'} ${what}`)
+  #addMistake (key: string, problem: string): void {
+    this.#mistakes.push(`${this.#join(key) || 'the document'} ${problem}`)
   }
 
   #join (key: string): string {
--- a/src/protocol/frame-body.ts
+++ b/src/protocol/frame-body.ts
@@ -12,7 +12,7 @@
 
 /** Encodes the body of a frame. Message objects must not be modified afterwards, as their encoding is cached. */
 export function encodeBody ({ ms, count }: HybridTime, messages: readonly unknown[]): Buffer {
-  return Buffer.concat([arrayOfThree, encodeValue(ms), encodeValue(count), encodeArrayHeader(messages.length), ...messages.map(encodeOnce)])
+  return Buffer.concat([arrayOfThree, encodeValue(ms), encodeValue(count), encodeArrayHeader(messages.length), ...messages.map(encodeCached)])
 }
 
 /** Decodes the body of a frame; undefined for invalid bytes. */
@@ -23,7 +23,7 @@
   return { time: { ms, count }, messages }
 }
 
-function encodeOnce (message: unknown): Buffer {
+function encodeCached (message: unknown): Buffer {
   if (typeof message !== 'object' || message === null) return encodeValue(message)
   let bytes = encodedMessages.get(message)
   if (bytes === undefined) encodedMessages.set(message, bytes = encodeValue(message))
--- a/src/protocol/frame-splitter.ts
+++ b/src/protocol/frame-splitter.ts
@@ -29,19 +29,19 @@
     if (this.#bufferedBytes < lengthBytes) return null
     const length = this.#peekLength()
     if (length > this.#maxFrameBytes) throw new RangeError(`frame of ${length} bytes; at most ${this.#maxFrameBytes} are allowed`)
-    return this.#bufferedBytes < lengthBytes + length ? null : this.#take(lengthBytes + length).subarray(lengthBytes)
+    return this.#bufferedBytes < lengthBytes + length ? null : this.#takeBytes(lengthBytes + length).subarray(lengthBytes)
   }
 
   /** Applies from the next call of `next`. */
   setMaxFrameBytes (maxFrameBytes: number): void { this.#maxFrameBytes = maxFrameBytes }
 
   #peekLength (): number {
-    if (this.#chunks[0].length < lengthBytes) this.#join()
+    if (this.#chunks[0].length < lengthBytes) this.#mergeChunks()
     return this.#chunks[0].readUInt32LE(0)
   }
 
-  #take (size: number): Buffer {
-    if (this.#chunks[0].length < size) this.#join()
+  #takeBytes (size: number): Buffer {
+    if (this.#chunks[0].length < size) this.#mergeChunks()
     const [first] = this.#chunks
     const taken = first.subarray(0, size)
     if (first.length === size) this.#chunks.shift()
@@ -50,7 +50,7 @@
     return taken
   }
 
-  #join (): void {
+  #mergeChunks (): void {
     this.#chunks = [Buffer.concat(this.#chunks)]
   }
 }
--- a/src/protocol/header-dialect.ts
+++ b/src/protocol/header-dialect.ts
@@ -135,14 +135,14 @@
   }
 
   readRegistryCall (method: string, path: string): RegistryCall {
-    const [bare] = path.split('?')
-    if (bare === this.#paths.document && method === 'PUT') return { type: 'put-document' }
-    if (bare === this.#paths.document && method === 'GET') return { type: 'read-document' }
-    if (bare === quarantinePath && method === 'GET') return { type: 'list-quarantine' }
-    if (bare.startsWith(`${quarantinePath}/`) && method === 'DELETE') return { type: 'lift-quarantine', fingerprint: decodeSegment(bare.slice(quarantinePath.length + 1)) }
-    if (bare === usagePath && method === 'GET') return { type: 'list-usage' }
-    if (bare === noticesPath && method === 'GET') return { type: 'list-notices' }
-    const endpoint = bare.startsWith(this.#paths.endpoints) ? decodeSegment(bare.slice(this.#paths.endpoints.length)) : ''
+    const [pathname] = path.split('?')
+    if (pathname === this.#paths.document && method === 'PUT') return { type: 'put-document' }
+    if (pathname === this.#paths.document && method === 'GET') return { type: 'read-document' }
+    if (pathname === quarantinePath && method === 'GET') return { type: 'list-quarantine' }
+    if (pathname.startsWith(`${quarantinePath}/`) && method === 'DELETE') return { type: 'lift-quarantine', fingerprint: decodeSegment(pathname.slice(quarantinePath.length + 1)) }
+    if (pathname === usagePath && method === 'GET') return { type: 'list-usage' }
+    if (pathname === noticesPath && method === 'GET') return { type: 'list-notices' }
+    const endpoint = pathname.startsWith(this.#paths.endpoints) ? decodeSegment(pathname.slice(this.#paths.endpoints.length)) : ''
     if (endpoint === '' || endpoint.includes('/')) return { type: 'unknown' }
     if (method === 'PUT') return { type: 'register', endpoint }
     if (method === 'DELETE') return { type: 'deregister', endpoint }
--- a/src/protocol/route-message.ts
+++ b/src/protocol/route-message.ts
@@ -35,7 +35,7 @@
   | { readonly type: 'prompts', readonly prompts: readonly ReadPrompt[] }
   /** Crashes of endpoints and quarantined requests: only changes, or all of them for a box that may have no data. */
   | { readonly type: 'crashes', readonly news: CrashNews }
-  /** Endpoints that sent heartbeats, with the sequence number of their latest record. */
+  /** Endpoints that sent a record recently, with the sequence number of the latest one. */
   | { readonly type: 'heard', readonly words: readonly (readonly [EndpointId, number])[] }
   /** Counts of started requests: a gateway sends its own, a registry forwards those that it received. */
   | { readonly type: 'usage', readonly tellings: readonly UsageTelling[] }
@@ -45,7 +45,7 @@
   | { readonly type: 'ask-permits', readonly call: number, readonly notice: EndpointNotice, readonly wants: PermitWants }
   /** `closed`: other endpoints that have no permits left either. */
   | { readonly type: 'permits', readonly call: number, readonly grants: readonly PermitGrant[], readonly closed: readonly ClosedEndpoint[] }
-  /** The receiver does not issue permits; `leader`: host of the registry that does, null if unknown. */
+  /** The requested registry does not issue permits; `leader`: host of the one that does, null if unknown. */
   | { readonly type: 'permits-elsewhere', readonly call: number, readonly leader: string | null }
   /** The registries known to the sender, and the number of gateways connected to it. */
   | { readonly type: 'boxes', readonly registries: readonly string[], readonly gateways: number }
--- a/src/protocol/value-codec.ts
+++ b/src/protocol/value-codec.ts
@@ -3,7 +3,7 @@
 
 // Keys of per-request messages, which are encoded as numbers. The numbers are part
 // of the wire format: never reuse one for another key, and append new keys.
-const shortKeys = [
+const numberedKeys = [
   'type', 'shard', 'word', 'submission', 'request', 'attempt', 'box', 'class', 'workspace', 'model', 'promptTokens',
   'prefix', 'deadline', 'exclude', 'resumed', 'leftMs', 'answer', 'engine', 'priority', 'how', 'tokens', 'reason',
   'retryAfterMs', 'lowerCouldYield', 'loads', 'demands', 'from', 'news', 'digest', 'number', 'id', 'incarnation',
@@ -17,7 +17,7 @@
   useRecords: false,
   mapsAsObjects: true,
   tagUint8Array: false,
-  keyMap: Object.fromEntries(shortKeys.map((key, i) => [key, i + 1]))
+  keyMap: Object.fromEntries(numberedKeys.map((key, i) => [key, i + 1]))
 } as ConstructorParameters<typeof Encoder>[0])
 
 export function encodeValue (value: unknown): Buffer { return codec.encode(value) }
--- a/src/runtime/day-clock.ts
+++ b/src/runtime/day-clock.ts
@@ -13,7 +13,7 @@
   #monotonic: () => number
   #wall: () => number
   #offset: number
-  #steppedAt: number | null = null
+  #stepSeenAt: number | null = null
 
   constructor (monotonic: () => number, wall: () => number) {
     this.#monotonic = monotonic
@@ -35,12 +35,12 @@
     const offset = this.#wall() - nowMs
     if (Math.abs(offset - this.#offset) <= maxSlewMs) {
       this.#offset = offset
-      this.#steppedAt = null
+      this.#stepSeenAt = null
       return
     }
-    this.#steppedAt ??= nowMs
-    if (nowMs - this.#steppedAt < stepConfirmMs) return
+    this.#stepSeenAt ??= nowMs
+    if (nowMs - this.#stepSeenAt < stepConfirmMs) return
     this.#offset = offset
-    this.#steppedAt = null
+    this.#stepSeenAt = null
   }
 }
