--- a/src/config/check-table.ts
+++ b/src/config/check-table.ts
@@ -91,7 +91,7 @@
 export function describe (field: Field): string {
   switch (field.type) {
     case 'text': return field.allowed ?? 'text'
-    case 'number': return `a ${field.whole ? 'whole ' : ''}number from ${field.least} to ${field.most} (${field.unit})`
+    case 'number': return `a ${field.isInteger ? 'whole ' : ''}number from ${field.min} to ${field.max} (${field.unit})`
     case 'switch': return 'true or false'
     case 'choice': return field.of.map(one => `"${one}"`).join(' or ')
     case 'list': return `a list${field.least > 0 ? ` of at least ${field.least}` : ''}, each ${describe(field.of)}`
@@ -102,8 +102,8 @@
 
 function isWithin (found: unknown, field: Extract<Field, { type: 'number' }>): boolean {
   if (typeof found !== 'number' || !Number.isFinite(found)) return false
-  if (field.whole && !Number.isInteger(found)) return false
-  return found >= field.least && found <= field.most
+  if (field.isInteger && !Number.isInteger(found)) return false
+  return found >= field.min && found <= field.max
 }
 
 function isTable (found: unknown): found is Record<string, unknown> {
--- a/src/config/field.ts
+++ b/src/config/field.ts
@@ -13,7 +13,7 @@
 /** Schema of the value of one key. */
 export type Field =
   | (FieldBase & { readonly type: 'text', readonly pattern?: RegExp, readonly allowed?: string })
-  | (FieldBase & { readonly type: 'number', readonly least: number, readonly most: number, readonly whole: boolean, readonly unit: string })
+  | (FieldBase & { readonly type: 'number', readonly min: number, readonly max: number, readonly isInteger: boolean, readonly unit: string })
   | (FieldBase & { readonly type: 'switch' })
   | (FieldBase & { readonly type: 'choice', readonly of: readonly string[] })
   | (FieldBase & { readonly type: 'list', readonly of: Field, readonly least: number })
@@ -43,17 +43,17 @@
 
 /** A TCP or UDP port. */
 export function describePort (about: string, fallback?: number): Field {
-  return { type: 'number', about, least: 0, most: 65_535, whole: true, unit: 'port', ...withFallback(fallback) }
+  return { type: 'number', about, min: 0, max: 65_535, isInteger: true, unit: 'port', ...withFallback(fallback) }
 }
 
 /** An integer with its unit and inclusive bounds. */
-export function describeInteger (about: string, unit: string, least: number, most: number, fallback?: number): Field {
-  return { type: 'number', about, least, most, whole: true, unit, ...withFallback(fallback) }
+export function describeInteger (about: string, unit: string, min: number, max: number, fallback?: number): Field {
+  return { type: 'number', about, min, max, isInteger: true, unit, ...withFallback(fallback) }
 }
 
 /** A number with its unit and inclusive bounds. */
-export function describeNumber (about: string, unit: string, least: number, most: number, fallback?: number): Field {
-  return { type: 'number', about, least, most, whole: false, unit, ...withFallback(fallback) }
+export function describeNumber (about: string, unit: string, min: number, max: number, fallback?: number): Field {
+  return { type: 'number', about, min, max, isInteger: false, unit, ...withFallback(fallback) }
 }
 
 function withFallback (fallback: unknown): { fallback?: unknown } {
--- a/src/config/route-settings.ts
+++ b/src/config/route-settings.ts
@@ -38,13 +38,13 @@
     type: 'table',
     about: 'Retry budget of each service over all gateways.',
     fields: {
-      ratio: { type: 'number', about: 'Retries per request.', least: 0, most: 10, whole: false, unit: 'retries', fallback: 0.1 },
-      extra: { type: 'number', about: 'Further retries in each window.', least: 0, most: 1_000_000, whole: false, unit: 'retries', fallback: 20 },
-      windowSeconds: { type: 'number', about: 'Length of the sliding window.', least: 0.1, most: 600, whole: false, unit: 's', fallback: 10 }
+      ratio: { type: 'number', about: 'Retries per request.', min: 0, max: 10, isInteger: false, unit: 'retries', fallback: 0.1 },
+      extra: { type: 'number', about: 'Further retries in each window.', min: 0, max: 1_000_000, isInteger: false, unit: 'retries', fallback: 20 },
+      windowSeconds: { type: 'number', about: 'Length of the sliding window.', min: 0.1, max: 600, isInteger: false, unit: 's', fallback: 10 }
     }
   },
-  usageWindowSeconds: { type: 'number', about: 'Length of the windows in which started requests are counted per workspace; must be the same on all boxes; 0 disables counting.', least: 0, most: 3600, whole: false, unit: 's', fallback: 0 },
-  drainSeconds: { type: 'number', about: 'Longest time that a planned stop waits for requests in flight.', least: 0, most: 86_400, whole: false, unit: 's', fallback: 30 },
+  usageWindowSeconds: { type: 'number', about: 'Length of the windows in which started requests are counted per workspace; must be the same on all boxes; 0 disables counting.', min: 0, max: 3600, isInteger: false, unit: 's', fallback: 0 },
+  drainSeconds: { type: 'number', about: 'Longest time that a planned stop waits for requests in flight.', min: 0, max: 86_400, isInteger: false, unit: 's', fallback: 30 },
   maxConnections: describeInt('Maximum number of concurrent connections from callers.', 'connections', 1, 100_000, 2000)
 }
 
@@ -66,8 +66,8 @@
     fields: {
       address: describeHostPort('Address to which the calls are sent.'),
       leaseMs: describeInt('After another registry has taken over, the former one makes no calls for at least this time; a lease lasts 80% of it.', 'ms', 500, 600_000, 3000),
-      usageWindowSeconds: { type: 'number', about: 'Length of the windows in which started requests are counted; must be the same as at gateways.', least: 1, most: 3600, whole: false, unit: 's', fallback: 5 },
-      usageLateSeconds: { type: 'number', about: 'Deadline for reporting a window, after its end.', least: 1, most: 3600, whole: false, unit: 's', fallback: 10 }
+      usageWindowSeconds: { type: 'number', about: 'Length of the windows in which started requests are counted; must be the same as at gateways.', min: 1, max: 3600, isInteger: false, unit: 's', fallback: 5 },
+      usageLateSeconds: { type: 'number', about: 'Deadline for reporting a window, after its end.', min: 1, max: 3600, isInteger: false, unit: 's', fallback: 10 }
     }
   },
   lostMs: describeInt('Time without a heartbeat after which an endpoint counts as lost.', 'ms', 1000, 24 * 3_600_000, 30_000),
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -72,9 +72,9 @@
         port: describePort('Port.'),
         models: { type: 'list', least: 1, of: describeName(''), about: 'Models that the engine serves.' },
         batch: describeInteger('Maximum number of streams in the running batch.', 'streams', 1, 4096, 9),
-        baseMs: { type: 'number', about: 'Duration of an empty step.', least: 0, most: 10_000, whole: false, unit: 'ms', fallback: 12 },
-        streamMs: { type: 'number', about: 'Time added to a step by each stream.', least: 0, most: 1000, whole: false, unit: 'ms', fallback: 1.5 },
-        prefillMs: { type: 'number', about: 'Time to prefill 1,000 prompt tokens.', least: 0, most: 60_000, whole: false, unit: 'ms', fallback: 60 },
+        baseMs: { type: 'number', about: 'Duration of an empty step.', min: 0, max: 10_000, isInteger: false, unit: 'ms', fallback: 12 },
+        streamMs: { type: 'number', about: 'Time added to a step by each stream.', min: 0, max: 1000, isInteger: false, unit: 'ms', fallback: 1.5 },
+        prefillMs: { type: 'number', about: 'Time to prefill 1,000 prompt tokens.', min: 0, max: 60_000, isInteger: false, unit: 'ms', fallback: 60 },
         kvTokens: describeInteger('Capacity of the KV cache.', 'tokens', 256, 100_000_000, 60_000),
         reportLagMs: describeInteger('Age of a load report when it is sent.', 'ms', 0, 60_000, 500),
         checksFencing: { type: 'switch', about: 'Whether requests with a lower fencing number than seen before are rejected.', fallback: true }
