--- a/src/protocol/packed-document.ts
+++ b/src/protocol/packed-document.ts
@@ -19,7 +19,7 @@
   readonly digest: Uint8Array
 }
 
-/** Limit on the inflated patch steps, against decompression bombs; operators' calls have a far lower limit. */
+/** The largest document that can be unpacked (a limit on its inflated patch steps), bytes; operators' calls have a far lower limit. */
 const maxDocumentBytes = 64 * 2 ** 20
 /** 2 to 3 times faster than the default level and only a few percent larger; packing blocks the event loop while requests wait. */
 const deflateLevel = 3
