--- a/src/protocol/dialect.ts
+++ b/src/protocol/dialect.ts
@@ -23,7 +23,7 @@
 }
 
 /** Values that the gateway adds as headers to a request to an endpoint. */
-export interface EndpointHeaders {
+export interface EndpointRequestHeaders {
   readonly requestId: string
   /** Time left until the caller's deadline, ms. */
   readonly deadlineMs: number
@@ -83,7 +83,7 @@
   readonly readyPath: string
   readCaller (headers: HeaderMap): CallerWords
   /** Raw headers for the endpoint: the caller's, in their order and case, without hop-by-hop and reserved headers, followed by those for `values`. */
-  composeRequest (rawHeaders: readonly string[], values: EndpointHeaders): string[]
+  composeRequest (rawHeaders: readonly string[], values: EndpointRequestHeaders): string[]
   /** `wallMs`: Unix time at which the answer arrived. */
   readAnswer (status: number, headers: HeaderMap, wallMs: number): AnswerWords
   /** The value of Retry-After, in seconds. */
--- a/src/protocol/header-dialect.ts
+++ b/src/protocol/header-dialect.ts
@@ -9,7 +9,7 @@
 import { copyHeaders } from './dialect.js'
 import { readNotices } from './endpoint-notices.js'
 import type { HeaderMap } from './header-map.js'
-import type { AnswerWords, CallerWords, Dialect, EndpointHeaders, RegistryCall } from './dialect.js'
+import type { AnswerWords, CallerWords, Dialect, EndpointRequestHeaders, RegistryCall } from './dialect.js'
 
 /** The header names of a dialect; lookups ignore case. */
 export interface HeaderNames {
@@ -107,7 +107,7 @@
     }
   }
 
-  composeRequest (rawHeaders: readonly string[], values: EndpointHeaders): string[] {
+  composeRequest (rawHeaders: readonly string[], values: EndpointRequestHeaders): string[] {
     const names = this.#names
     const headers = copyHeaders(rawHeaders, name => this.#strippedHeaders.has(name))
     headers.push(names.deadline, String(Math.max(1, Math.floor(values.deadlineMs))), names.expectedEndpoint, values.endpoint)
--- a/src/protocol/load-datagram.ts
+++ b/src/protocol/load-datagram.ts
@@ -16,7 +16,7 @@
 }
 
 /** A gateway's report to a hub. */
-export interface LoadReport extends WordNumber {
+export interface GatewayReport extends WordNumber {
   readonly box: BoxId
   readonly zone: ZoneName
   /** Null where the gateway reports to a different hub from now on. */
@@ -53,12 +53,12 @@
   return known === undefined || known.start !== report.start || known.number < report.number
 }
 
-export function encodeLoadWord ({ box, zone, start, number, load, notices }: LoadReport): Buffer {
+export function encodeLoadWord ({ box, zone, start, number, load, notices }: GatewayReport): Buffer {
   return encodeValue([wireVersion, box, zone, start, number, load, notices.map(packNotice)])
 }
 
 /** Decodes a gateway's report; null for invalid bytes. */
-export function decodeLoadWord (bytes: Uint8Array): LoadReport | null {
+export function decodeLoadWord (bytes: Uint8Array): GatewayReport | null {
   const fields = decodeFields(bytes, 7)
   if (fields === null) return null
   const [, box, zone, start, number, load, packed] = fields as [number, BoxId, ZoneName, number, number, BoxLoad | null, unknown]
--- a/test/load-datagrams.test.ts
+++ b/test/load-datagrams.test.ts
@@ -24,16 +24,16 @@
 const load: BoxLoad = { loads: [{ endpoint, running: 2, brisk: 1, memory: 700, waiting: [[0, 40]], largest: 40, backedOff: 0 }], demands: [demand], gaps: [[endpoint, 11.5]], prompts: [[endpoint, [['5c', 800]], true]] }
 const totals: LoadTotals = { ...load, demands: [{ ...demand, holders: 1 }], zones: [brandId<ZoneName>('zone-a')] }
 const notice: EndpointNotice = { endpoint, born: 12, stamp: 3, perSecond: 2.6, isLeaving: false }
-const loadReport = { box: brandId<BoxId>('gateway-1'), zone: brandId<ZoneName>('zone-a'), start: 5, number: 6, load, notices: [notice] }
+const gatewayReport = { box: brandId<BoxId>('gateway-1'), zone: brandId<ZoneName>('zone-a'), start: 5, number: 6, load, notices: [notice] }
 const news: SumNews = { ...totals, isWhole: false, gone: [brandId<EndpointId>('e-2')], gaps: null }
 const hubReport = { hub: brandId<BoxId>('registry-1'), start: 5, number: 6, news, notices: [notice] }
 const totalsReport = { start: 5, number: 6, ownNumber: 4, intervalMs: 10 }
 
 test('load reports are decoded to what was encoded, and only by the decoder of their type', () => {
-  const fromGateway = encodeLoadWord(loadReport)
+  const fromGateway = encodeLoadWord(gatewayReport)
   const toHub = encodeHubWord(hubReport)
   const toGateway = encodeTotalsWord(totalsReport, encodeNews(news), encodeNotices([notice]))
-  assert.deepEqual([fromGateway, toHub, toGateway].map(decodeLoadWord), [loadReport, null, null])
+  assert.deepEqual([fromGateway, toHub, toGateway].map(decodeLoadWord), [gatewayReport, null, null])
   assert.deepEqual([fromGateway, toHub, toGateway].map(decodeHubWord), [null, hubReport, null])
   assert.deepEqual([fromGateway, toHub, toGateway].map(decodeTotalsWord), [null, null, { ...totalsReport, news, notices: [notice] }])
 })
@@ -41,7 +41,7 @@
 const invalidDatagrams: readonly { name: string, bytes: Uint8Array }[] = [
   { name: 'nothing', bytes: Buffer.alloc(0) },
   { name: 'random bytes', bytes: Buffer.from([0xff, 0x00, 0x13, 0x37]) },
-  { name: 'a truncated report', bytes: encodeLoadWord(loadReport).subarray(0, 20) },
+  { name: 'a truncated report', bytes: encodeLoadWord(gatewayReport).subarray(0, 20) },
   { name: 'another protocol version', bytes: encodeValue([4, 'gateway-1', 'zone-a', 5, 6, load, []]) },
   { name: 'a load without lists', bytes: encodeValue([5, 'gateway-1', 'zone-a', 5, 6, { loads: 1 }, []]) },
   { name: 'a sum that is not a list', bytes: encodeValue([5, 'registry-1', 5, 6, encodeValue({ loads: [] }), []]) },
