--- a/src/capacity/entry-samples.ts
+++ b/src/capacity/entry-samples.ts
@@ -16,7 +16,7 @@
   return readFileSync(path, 'utf8').split('\n').filter(line => line !== '').map(line => JSON.parse(line) as EntrySample)
 }
 
-const names: Readonly<Record<EntrySample['kind'], { readonly name: string, readonly by: string, readonly unit: string }>> = {
+const slopeTexts: Readonly<Record<EntrySample['kind'], { readonly name: string, readonly by: string, readonly unit: string }>> = {
   requests: { name: 'entry-requests', by: 'short requests/s', unit: 'cores' },
   tokens: { name: 'entry-tokens', by: 'tokens/s', unit: 'cores' },
   streams: { name: 'entry-streams', by: 'open streams', unit: 'MB resident' },
@@ -26,7 +26,7 @@
 /** The slopes of an entry process. */
 export function fitSamples (samples: readonly EntrySample[]): Slope[] {
   const slopes: Slope[] = []
-  for (const [kind, { name, by, unit }] of Object.entries(names)) {
+  for (const [kind, { name, by, unit }] of Object.entries(slopeTexts)) {
     const points = samples.filter(sample => sample.kind === kind).map(({ x, y }) => ({ x, y }))
     if (points.length >= 2) slopes.push({ name, by, unit, points, fit: fitLine(points) })
   }
--- a/src/capacity/fit.ts
+++ b/src/capacity/fit.ts
@@ -19,11 +19,11 @@
   if (points.length < 2) throw new RangeError('a line needs two points')
   const mean = (of: (point: Point) => number): number => points.reduce((sum, point) => sum + of(point), 0) / points.length
   const [mx, my] = [mean(point => point.x), mean(point => point.y)]
-  const over = points.reduce((sum, point) => sum + (point.x - mx) * (point.y - my), 0)
-  const under = points.reduce((sum, point) => sum + (point.x - mx) ** 2, 0)
-  const slope = under === 0 ? 0 : over / under
+  const sumXY = points.reduce((sum, point) => sum + (point.x - mx) * (point.y - my), 0)
+  const sumXX = points.reduce((sum, point) => sum + (point.x - mx) ** 2, 0)
+  const slope = sumXX === 0 ? 0 : sumXY / sumXX
   const base = my - slope * mx
-  const largest = Math.max(...points.map(point => Math.abs(point.y)))
-  const farthest = Math.max(...points.map(point => Math.abs(point.y - base - slope * point.x)))
-  return { base, slope, spread: largest === 0 ? 0 : farthest / largest }
+  const largestValue = Math.max(...points.map(point => Math.abs(point.y)))
+  const largestResidual = Math.max(...points.map(point => Math.abs(point.y - base - slope * point.x)))
+  return { base, slope, spread: largestValue === 0 ? 0 : largestResidual / largestValue }
 }
--- a/src/capacity/measure-core.ts
+++ b/src/capacity/measure-core.ts
@@ -4,23 +4,23 @@
 import { createRandom } from '../runtime/index.js'
 import { measureSlope } from './slope.js'
 import type { Slope } from './slope.js'
-import { timeEach, weigh } from './timing.js'
+import { measureMedianUs, measureHeapBytes } from './timing.js'
 
 const model = brandId<ModelName>('m')
 const quick: RequestClass = { name: brandId<ClassName>('quick'), priority: 0, firstTokenMs: 400, betweenTokenMs: 80, wholeMs: null, mayWait: false, maxWaitMs: 1000 }
 const draft: RequestClass = { ...quick, name: brandId<ClassName>('draft'), priority: 4, mayWait: true }
-const decisions = 20_000
+const decisionsPerRun = 20_000
 
-function composeSpecs (count: number): EngineSpec[] {
+function composeEngineSpecs (count: number): EngineSpec[] {
   return Array.from({ length: count }, (_, i) => ({ id: brandId<EngineId>(`engine-${i}`), models: [model], places: 8, floorPlaces: 1, prefillMs: 50 }))
 }
 
-function compose (request: number, of: RequestClass): Submission {
+function composeSubmission (request: number, requestClass: RequestClass): Submission {
   return {
     request: brandId<RequestId>(`r${request}`),
     attempt: 1,
     box: brandId<BoxId>('b'),
-    class: of.name,
+    class: requestClass.name,
     workspace: brandId<WorkspaceName>(`w${request % 10}`),
     model,
     promptTokens: 300,
@@ -31,21 +31,21 @@
   }
 }
 
-function createLoaded (engines: number): Scheduler {
-  const scheduler = new Scheduler({ ...defaultTuning, classes: [quick, draft], engines: composeSpecs(engines) }, createRandom(1))
-  for (let i = 0; i < engines * 5; i++) scheduler.step({ type: 'submit', at: 0, submission: compose(-1 - i, i % 3 === 0 ? draft : quick) })
+function createLoadedScheduler (engines: number): Scheduler {
+  const scheduler = new Scheduler({ ...defaultTuning, classes: [quick, draft], engines: composeEngineSpecs(engines) }, createRandom(1))
+  for (let i = 0; i < engines * 5; i++) scheduler.step({ type: 'submit', at: 0, submission: composeSubmission(-1 - i, i % 3 === 0 ? draft : quick) })
   return scheduler
 }
 
 /** Time to place a request and to end it, by engines of a shard, µs. */
 export function measureDecision (sizes: readonly number[]): Slope {
   return measureSlope('decision', 'engines of a shard', 'µs a request', sizes, engines => {
-    const scheduler = createLoaded(engines)
+    const scheduler = createLoadedScheduler(engines)
     let next = 0
-    return timeEach(decisions, () => {
-      for (let i = 0; i < decisions; i++) {
+    return measureMedianUs(decisionsPerRun, () => {
+      for (let i = 0; i < decisionsPerRun; i++) {
         next += 1
-        scheduler.step({ type: 'submit', at: next, submission: compose(next, quick) })
+        scheduler.step({ type: 'submit', at: next, submission: composeSubmission(next, quick) })
         scheduler.step({ type: 'end', at: next, request: brandId<RequestId>(`r${next}`), attempt: 1, how: 'done', tokens: 50 })
       }
     })
@@ -54,23 +54,23 @@
 
 /** Memory of a shard's state by its engines, bytes. */
 export function measureEngineMemory (sizes: readonly number[]): Slope {
-  return measureSlope('engine-memory', 'engines of a shard', 'bytes', sizes, engines => weigh(() => createLoaded(engines)))
+  return measureSlope('engine-memory', 'engines of a shard', 'bytes', sizes, engines => measureHeapBytes(() => createLoadedScheduler(engines)))
 }
 
 /** Time to part all engines into shards, by engines in all, µs. */
 export function measureParting (sizes: readonly number[]): Slope {
   return measureSlope('parting', 'engines in all', 'µs', sizes, count => {
     const engines = Array.from({ length: count }, (_, i) => ({ id: brandId<EngineId>(`engine-${i}`), pool: brandId<PoolName>(`pool-${i % 19}`), zone: brandId<ZoneName>(`zone-${i % 15}`) }))
-    return timeEach(1, () => partEngines(engines, () => [model], 32))
+    return measureMedianUs(1, () => partEngines(engines, () => [model], 32))
   })
 }
 
 /** Memory of open requests in the placer of a box, bytes. */
 export function measureRequestMemory (sizes: readonly number[]): Slope {
-  return measureSlope('request-memory', 'requests in flight', 'bytes', sizes, count => weigh(() => {
+  return measureSlope('request-memory', 'requests in flight', 'bytes', sizes, count => measureHeapBytes(() => {
     const placer = new Placer({ box: brandId<BoxId>('b'), zone: brandId<ZoneName>('z'), now: () => 0, random: () => 0.5, send: () => true, isReachable: () => true, noteViolation: () => {} })
     placer.setShards([{ id: brandId<ShardId>('s'), zone: brandId<ZoneName>('z'), owner: brandId<BoxId>('b'), models: [model] }])
-    for (let i = 0; i < count; i++) placer.place(compose(i, quick), false, () => {})
+    for (let i = 0; i < count; i++) placer.place(composeSubmission(i, quick), false, () => {})
     return placer
   }))
 }
--- a/src/capacity/measure-documents.ts
+++ b/src/capacity/measure-documents.ts
@@ -4,21 +4,21 @@
 import { encodeValue, nativeDialect, packDocument, unpackDocument } from '../protocol/index.js'
 import { measureSlope } from './slope.js'
 import type { Slope } from './slope.js'
-import { timeEach } from './timing.js'
+import { measureMedianUs } from './timing.js'
 
 /** Times that each step is done for a figure of time. */
-const runs = 10
+const repetitions = 10
 
-function draw (seed: string): string { return createHash('sha256').update(seed).digest('hex').slice(0, 10) }
+function hashName (seed: string): string { return createHash('sha256').update(seed).digest('hex').slice(0, 10) }
 
 /** A document whose names are as little alike as an operator's; `changed` routes have another time-out. */
-function composeDocument (version: number, count: number, changed: number): VersionedText {
+function composeDocument (version: number, count: number, changedCount: number): VersionedText {
   const routes = Array.from({ length: count }, (_, i) => ({
-    name: `r-${draw(`name ${i}`)}`,
+    name: `r-${hashName(`name ${i}`)}`,
     host: 'camp.example',
-    prefix: `/${draw(`prefix ${i}`)}/`,
+    prefix: `/${hashName(`prefix ${i}`)}/`,
     kind: 'events',
-    timeoutMs: i < changed ? 12_000 : 15_000,
+    timeoutMs: i < changedCount ? 12_000 : 15_000,
     targetMs: 2000,
     pauseMs: 500,
     priority: 2,
@@ -32,21 +32,21 @@
 
 /** Bytes over a gateway's link, and time of one change at both ends, by routes. */
 export function measureDocuments (sizes: readonly number[]): Slope[] {
-  const read = (size: number) => {
+  const composeVersions = (size: number) => {
     const older = composeDocument(1, size, 0)
     const newer = composeDocument(2, size, 1)
     return { older, newer, change: packDocument(newer, older) }
   }
   return [
-    measureSlope('document-bytes', 'routes', 'bytes, whole', sizes, size => encodeValue(packDocument(read(size).newer, null)).length),
-    measureSlope('document-change-bytes', 'routes', 'bytes, one route changed', sizes, size => encodeValue(read(size).change).length),
+    measureSlope('document-bytes', 'routes', 'bytes, whole', sizes, size => encodeValue(packDocument(composeVersions(size).newer, null)).length),
+    measureSlope('document-change-bytes', 'routes', 'bytes, one route changed', sizes, size => encodeValue(composeVersions(size).change).length),
     measureSlope('document-pack', 'routes', 'µs to pack one change', sizes, size => {
-      const { older, newer } = read(size)
-      return timeEach(runs, () => { for (let i = 0; i < runs; i++) packDocument(newer, older) })
+      const { older, newer } = composeVersions(size)
+      return measureMedianUs(repetitions, () => { for (let i = 0; i < repetitions; i++) packDocument(newer, older) })
     }),
     measureSlope('document-take', 'routes', 'µs to unpack and read one change', sizes, size => {
-      const { older, change } = read(size)
-      return timeEach(runs, () => { for (let i = 0; i < runs; i++) nativeDialect.decodeDocument(unpackDocument(change, older)?.text ?? '') })
+      const { older, change } = composeVersions(size)
+      return measureMedianUs(repetitions, () => { for (let i = 0; i < repetitions; i++) nativeDialect.decodeDocument(unpackDocument(change, older)?.text ?? '') })
     })
   ]
 }
--- a/src/capacity/measure-keeper.ts
+++ b/src/capacity/measure-keeper.ts
@@ -8,11 +8,11 @@
 import { fitLine } from './fit.js'
 import { measureSlope } from './slope.js'
 import type { Slope } from './slope.js'
-import { timeEach, weigh } from './timing.js'
+import { measureMedianUs, measureHeapBytes } from './timing.js'
 
 const answerBytes = 200
 
-function claimCommands (i: number): KeeperCommand[] {
+function composeClaimCommands (i: number): KeeperCommand[] {
   const key = { workspace: `workspace-${i % 4800}`, service: 'bookings', key: `6f1c2a-${i}` }
   const attempt = `entry-12/1796213637769/${i}`
   const body = Buffer.alloc(answerBytes, 65)
@@ -22,17 +22,17 @@
   ]
 }
 
-function changeCommands (i: number): KeeperCommand[] {
-  const item = (n: number): unknown => ({ keys: ['a'.repeat(64)], defaultClass: 'pitch-question', requestsPerSecond: n, tokensPerMinute: 100_000, streams: 20 })
-  const changes = [{ section: 'workspaces', name: `workspace-${i % 4800}`, before: item(i), after: item(i + 1) }]
-  const id = (kind: string) => ({ operator: 'ana', number: `${kind}-${i}`, digest: 'x'.repeat(43) })
+function composeChangeCommands (i: number): KeeperCommand[] {
+  const composeWorkspace = (n: number): unknown => ({ keys: ['a'.repeat(64)], defaultClass: 'pitch-question', requestsPerSecond: n, tokensPerMinute: 100_000, streams: 20 })
+  const changes = [{ section: 'workspaces', name: `workspace-${i % 4800}`, before: composeWorkspace(i), after: composeWorkspace(i + 1) }]
+  const composeCommandId = (kind: string) => ({ operator: 'ana', number: `${kind}-${i}`, digest: 'x'.repeat(43) })
   return [
-    { part: 'config', command: { type: 'plan', id: id('p'), base: i, changes } },
-    { part: 'config', command: { type: 'confirm', id: id('c'), plan: i + 1 } }
+    { part: 'config', command: { type: 'plan', id: composeCommandId('p'), base: i, changes } },
+    { part: 'config', command: { type: 'confirm', id: composeCommandId('c'), plan: i + 1 } }
   ]
 }
 
-function build (count: number, compose: (i: number) => KeeperCommand[]): KeeperState {
+function buildState (count: number, compose: (i: number) => KeeperCommand[]): KeeperState {
   const state = new KeeperState(defaultBounds, null)
   for (let i = 0; i < count; i++) for (const command of compose(i)) state.apply(command, i)
   return state
@@ -40,23 +40,23 @@
 
 /** Memory of claims that are kept, bytes. */
 export function measureClaimMemory (sizes: readonly number[]): Slope {
-  return measureSlope('claim-memory', 'claims kept', 'bytes', sizes, count => weigh(() => build(count, claimCommands)))
+  return measureSlope('claim-memory', 'claims kept', 'bytes', sizes, count => measureHeapBytes(() => buildState(count, composeClaimCommands)))
 }
 
 /** Memory of changes that were made, bytes. */
 export function measureChangeMemory (sizes: readonly number[]): Slope {
-  return measureSlope('change-memory', 'changes in a day', 'bytes', sizes, count => weigh(() => build(count, changeCommands)))
+  return measureSlope('change-memory', 'changes in a day', 'bytes', sizes, count => measureHeapBytes(() => buildState(count, composeChangeCommands)))
 }
 
 /** Time of a claim and its settling in the state machine, by claims kept, µs. */
 export function measureClaimTime (sizes: readonly number[]): Slope {
   return measureSlope('claim-time', 'claims kept', 'µs a claim', sizes, count => {
-    const state = build(count, claimCommands)
+    const state = buildState(count, composeClaimCommands)
     let next = count
-    return timeEach(2000, () => {
+    return measureMedianUs(2000, () => {
       for (let i = 0; i < 2000; i++) {
         next += 1
-        for (const command of claimCommands(next)) state.apply(command, next)
+        for (const command of composeClaimCommands(next)) state.apply(command, next)
       }
     })
   })
@@ -68,7 +68,7 @@
     const entry: LogEntry = { index: 100_000, term: 12, time: 1_796_213_637_769, content: { type: 'command', command } }
     return sum + encodeRecord({ type: 'entry', entry }).length
   }, 0)
-  return { change: measure(changeCommands(1)), claim: measure(claimCommands(1)) }
+  return { change: measure(composeChangeCommands(1)), claim: measure(composeClaimCommands(1)) }
 }
 
 /** Time from an open disk to a state that is up to date, by changes since the last snapshot, ms. */
@@ -84,7 +84,7 @@
     const store = await LogStore.open(folder, 'k')
     const entries: LogEntry[] = []
     for (let i = 0; i < changes; i++) {
-      for (const command of changeCommands(i)) entries.push({ index: entries.length + 1, term: 1, time: i, content: { type: 'command', command } })
+      for (const command of composeChangeCommands(i)) entries.push({ index: entries.length + 1, term: 1, time: i, content: { type: 'command', command } })
     }
     await store.persist([{ type: 'persist', hard: { term: 1, vote: null }, entries, snapshot: null }])
     await store.close()
@@ -95,13 +95,13 @@
 }
 
 async function timeOpen (folder: string): Promise<number> {
-  const began = performance.now()
+  const startedAt = performance.now()
   const store = await LogStore.open(folder, 'k')
   const state = new KeeperState(defaultBounds, null)
   for (const entry of store.stored.entries) {
     if (entry.content.type === 'command') state.apply(entry.content.command as KeeperCommand, entry.time)
   }
-  const ms = performance.now() - began
+  const ms = performance.now() - startedAt
   await store.close()
   return ms
 }
@@ -110,18 +110,18 @@
 export async function measureSnapshot (changes: number): Promise<{ readonly writeMs: number, readonly bytes: number, readonly readMs: number }> {
   const folder = mkdtempSync(join(tmpdir(), 'wrenlane-capacity-'))
   try {
-    const state = build(changes, changeCommands)
+    const state = buildState(changes, composeChangeCommands)
     const store = await LogStore.open(folder, 'k')
-    const began = performance.now()
+    const startedAt = performance.now()
     await store.persist([{ type: 'persist', hard: null, entries: [], snapshot: { index: changes, term: 1, time: 0, members: { voters: [store.id], learners: [] }, state: state.save() } }])
-    const writeMs = performance.now() - began
+    const writeMs = performance.now() - startedAt
     await store.close()
     const bytes = statSync(join(folder, 'snapshot')).size
-    const opened = performance.now()
-    const again = await LogStore.open(folder, 'k')
-    const restored = new KeeperState(defaultBounds, again.stored.snapshot?.state as KeeperSnapshot)
-    const readMs = performance.now() - opened
-    await again.close()
+    const reopenedAt = performance.now()
+    const reopened = await LogStore.open(folder, 'k')
+    const restored = new KeeperState(defaultBounds, reopened.stored.snapshot?.state as KeeperSnapshot)
+    const readMs = performance.now() - reopenedAt
+    await reopened.close()
     if (restored.config.revision !== changes) throw new Error('the snapshot did not give back every change')
     return { writeMs, bytes, readMs }
   } finally {
@@ -134,13 +134,13 @@
   const folder = mkdtempSync(join(tmpdir(), 'wrenlane-capacity-'))
   try {
     const store = await LogStore.open(folder, 'k')
-    const began = performance.now()
+    const startedAt = performance.now()
     const count = 200
     for (let i = 1; i <= count; i++) {
       await store.persist([{ type: 'persist', hard: null, entries: [{ index: i, term: 1, time: 0, content: { type: 'noop' } }], snapshot: null }])
     }
     await store.close()
-    return count * 1000 / (performance.now() - began)
+    return count * 1000 / (performance.now() - startedAt)
   } finally {
     rmSync(folder, { recursive: true, force: true })
   }
--- a/src/capacity/measure-spread.ts
+++ b/src/capacity/measure-messages.ts
@@ -9,15 +9,15 @@
 import { createRandom } from '../runtime/index.js'
 import { measureSlope } from './slope.js'
 import type { Slope } from './slope.js'
-import { timeEach, weigh } from './timing.js'
+import { measureMedianUs, measureHeapBytes } from './timing.js'
 import { performance } from 'node:perf_hooks'
 
-const macBytes = 16
-const udpBytes = 28
-const tcpBytes = 44
+const authTagBytes = 16
+const udpIpHeaderBytes = 28
+const tcpOverheadBytes = 44
 const tickMs = 50
-const settleMs = 120_000
-const countedMs = 30_000
+const warmUpMs = 120_000
+const measuredMs = 30_000
 
 interface GroupCost {
   readonly bytesPerSecond: number
@@ -25,50 +25,50 @@
 }
 
 /** A steady group of members in virtual time: what one node sends and receives, and its processor time. */
-function runGroup (size: number): GroupCost {
+function simulateGroup (size: number): GroupCost {
   const random = createRandom(size)
   const nodes: Membership[] = []
   for (let i = 0; i < size; i++) {
     const self: Member = { id: `entry-${i}`, incarnation: 1_796_213_637_769, zone: `zone-${i % 15}`, host: '10.0.0.1', port: i, state: 'alive', version: 0 }
     nodes.push(new Membership(self, [{ host: '10.0.0.1', port: 0 }, { host: '10.0.0.1', port: 1 }], defaultMembershipTuning, random))
   }
-  let wire: { readonly to: number, readonly message: MemberMessage }[] = []
+  let inTransit: { readonly to: number, readonly message: MemberMessage }[] = []
   let bytes = 0
-  let isCounted = false
+  let isMeasuring = false
   const perform = (effects: readonly MemberEffect[]): void => {
     for (const effect of effects) {
       if (effect.type !== 'send') continue
-      if (isCounted) bytes += encodeValue(effect.message).length + macBytes + udpBytes
-      wire.push({ to: effect.to.port, message: effect.message })
+      if (isMeasuring) bytes += encodeValue(effect.message).length + authTagBytes + udpIpHeaderBytes
+      inTransit.push({ to: effect.to.port, message: effect.message })
     }
   }
-  let began = 0
-  for (let now = tickMs; now <= settleMs + countedMs; now += tickMs) {
-    if (now === settleMs + tickMs) {
-      isCounted = true
-      began = performance.now()
+  let startedAt = 0
+  for (let now = tickMs; now <= warmUpMs + measuredMs; now += tickMs) {
+    if (now === warmUpMs + tickMs) {
+      isMeasuring = true
+      startedAt = performance.now()
     }
-    const sent = wire
-    wire = []
-    for (const { to, message } of sent) perform(nodes[to].step({ type: 'receive', at: now, message }))
+    const delivered = inTransit
+    inTransit = []
+    for (const { to, message } of delivered) perform(nodes[to].step({ type: 'receive', at: now, message }))
     for (const node of nodes) perform(node.step({ type: 'tick', at: now }))
   }
   // Each datagram is sent by one node and received by another.
-  return { bytesPerSecond: 2 * bytes / size / (countedMs / 1000), coreShare: (performance.now() - began) / size / countedMs }
+  return { bytesPerSecond: 2 * bytes / size / (measuredMs / 1000), coreShare: (performance.now() - startedAt) / size / measuredMs }
 }
 
 /** Traffic and processor time of a node by members. */
 export function measureMembers (sizes: readonly number[]): readonly [Slope, Slope] {
-  const costs = new Map(sizes.map(size => [size, runGroup(size)]))
-  const read = (size: number): GroupCost => costs.get(size) as GroupCost
+  const costs = new Map(sizes.map(size => [size, simulateGroup(size)]))
+  const findCost = (size: number): GroupCost => costs.get(size) as GroupCost
   return [
-    measureSlope('member-bytes', 'members', 'bytes/s a node, in and out', sizes, size => read(size).bytesPerSecond),
-    measureSlope('member-core', 'members', '% of a core a node', sizes, size => read(size).coreShare * 100)
+    measureSlope('member-bytes', 'members', 'bytes/s a node, in and out', sizes, size => findCost(size).bytesPerSecond),
+    measureSlope('member-core', 'members', '% of a core a node', sizes, size => findCost(size).coreShare * 100)
   ]
 }
 
-function measureFrame (message: BoxMessage): number {
-  return encodeValue([1_796_213_637_769, 3, [message]]).length + macBytes + 4 + tcpBytes
+function countFrameBytes (message: BoxMessage): number {
+  return encodeValue([1_796_213_637_769, 3, [message]]).length + authTagBytes + 4 + tcpOverheadBytes
 }
 
 const shard = brandId<ShardId>('steppe/zone-12/3')
@@ -79,7 +79,7 @@
   return measureSlope('loads-bytes', 'active workspaces of a box', 'bytes a message', sizes, count => {
     const demands = Array.from({ length: count }, (_, i) => [brandId<WorkspaceName>(`workspace-${i}`), 1.234] as const)
     const load = packLoad(shard, { places: 256, quick: 100, patient: 20, queued: 3, queuedPatient: 17 })
-    return measureFrame({ type: 'loads', loads: [load], demands })
+    return countFrameBytes({ type: 'loads', loads: [load], demands })
   })
 }
 
@@ -98,13 +98,13 @@
     exclude: [],
     resumed: false
   }
-  const words: BoxMessage[] = [
+  const messages: BoxMessage[] = [
     { type: 'shard-word', shard, word: { type: 'submit', submission, leftMs: 399.25 } },
     { type: 'shard-answer', shard, answer: { type: 'grant', box: submission.box, request, attempt: 100, engine: brandId<EngineId>('engine-12345'), priority: 0 } },
     { type: 'shard-word', shard, word: { type: 'firstToken', request, attempt: 100 } },
     { type: 'shard-word', shard, word: { type: 'end', request, attempt: 100, how: 'done', tokens: 60 } }
   ]
-  return words.reduce((sum, word) => sum + measureFrame(word), 0)
+  return messages.reduce((sum, message) => sum + countFrameBytes(message), 0)
 }
 
 function composeWorkspace (i: number): unknown {
@@ -128,7 +128,7 @@
   return measureSlope('change-time', 'workspaces', 'µs a change', sizes, count => {
     const follower = createFollower(count)
     let revision = 1
-    return timeEach(20, () => {
+    return measureMedianUs(20, () => {
       for (let i = 0; i < 20; i++) {
         revision += 1
         follower.takeRevisions([{ revision, changes: [composeChange(i)], operator: 'ana', time: 0 }])
@@ -139,7 +139,7 @@
 
 /** Memory of the configuration on a box by workspaces, with 2.5 engines for each, bytes. */
 export function measureConfigMemory (sizes: readonly number[]): Slope {
-  return measureSlope('config-memory', 'workspaces', 'bytes', sizes, count => weigh(() => createFollower(count)))
+  return measureSlope('config-memory', 'workspaces', 'bytes', sizes, count => measureHeapBytes(() => createFollower(count)))
 }
 
 /** Bytes of a box's word to one keeper: its revision alone, and with the status of its engines. */
@@ -157,11 +157,11 @@
     incarnation: '1796213637769',
     sentAt: 1_796_213_637_769
   }
-  const measure = (value: BoxStatus | null): number => measureFrame({ type: 'watch', revision: 29_000, status: value })
+  const measure = (value: BoxStatus | null): number => countFrameBytes({ type: 'watch', revision: 29_000, status: value })
   return { light: measure(null), full: measure(status) }
 }
 
 /** Bytes of one change on its way to one box. */
 export function measureChangeBytes (): number {
-  return measureFrame({ type: 'revisions', revisions: [{ revision: 29_000, changes: [composeChange(1)], operator: 'ana', time: 1_796_213_637_769 }] })
+  return countFrameBytes({ type: 'revisions', revisions: [{ revision: 29_000, changes: [composeChange(1)], operator: 'ana', time: 1_796_213_637_769 }] })
 }
--- a/src/capacity/measure-poll.ts
+++ b/src/capacity/measure-poll.ts
@@ -1,8 +1,8 @@
 import { Agent, get } from 'node:http'
 import { StandinEngine } from '../standin/index.js'
 
-const tcpBytes = 44
-const packets = 3
+const tcpOverheadBytes = 44
+const packetsPerPoll = 3
 
 /** Bytes of one load report of an engine over a kept-alive connection, both ways, headers of TCP with them. */
 export async function measurePollBytes (): Promise<number> {
@@ -13,23 +13,23 @@
   const bytes = await poll(port, agent)
   agent.destroy()
   engine.close()
-  return bytes + packets * tcpBytes
+  return bytes + packetsPerPoll * tcpOverheadBytes
 }
 
 function poll (port: number, agent: Agent): Promise<number> {
   return new Promise((resolve, reject) => {
     const request = get({ host: '127.0.0.1', port, path: '/v1/load', agent }, response => {
       const { socket } = response
-      const before = countedBefore.get(socket) ?? 0
+      const previousTotal = previousTotals.get(socket) ?? 0
       response.resume()
       response.on('end', () => {
         const total = socket.bytesRead + socket.bytesWritten
-        countedBefore.set(socket, total)
-        resolve(total - before)
+        previousTotals.set(socket, total)
+        resolve(total - previousTotal)
       })
     })
     request.on('error', reject)
   })
 }
 
-const countedBefore = new WeakMap<object, number>()
+const previousTotals = new WeakMap<object, number>()
--- a/src/capacity/page.ts
+++ b/src/capacity/page.ts
@@ -1,5 +1,5 @@
 /** The tables of docs/CAPACITY.md, worked out from measured slopes. */
-import { readSlope } from './slope.js'
+import { estimateAt } from './slope.js'
 import type { Slope } from './slope.js'
 import { daySeconds, target } from './target.js'
 
@@ -30,14 +30,14 @@
 
 // As in entry-box.ts and engine-watch.ts.
 const subsetLinks = 18
-const toldAtOnce = 4
+const peersPerRound = 4
 const loadsEverySeconds = 0.25
 const demandsEverySeconds = 10
 const watchEverySeconds = 2
 const statusEverySeconds = 4
 const keepers = 5
 const pollMsPerEngine = 150
-const eventsEveryTurn = 3
+const pollsPerEventRead = 3
 const activeWorkspaces = 24
 
 /** The table of slopes. */
@@ -65,8 +65,8 @@
   return lines.join('\n')
 }
 
-interface Row {
-  readonly what: string
+interface TableRow {
+  readonly label: string
   readonly arithmetic: string
   readonly value: number
 }
@@ -91,11 +91,11 @@
 export function formatDataPath (measured: Measured): string {
   const requests = target.requestsPerSecond / target.nodes
   const tokens = target.tokensPerSecond / target.nodes
-  const rows: Row[] = []
+  const rows: TableRow[] = []
   const perRequest = measured.slopes.get('entry-requests')
   const perToken = measured.slopes.get('entry-tokens')
-  if (perRequest !== undefined) rows.push({ what: 'requests', arithmetic: `${format(perRequest.fit.slope)} cores × ${format(requests)}/s`, value: perRequest.fit.slope * requests * 100 })
-  if (perToken !== undefined) rows.push({ what: 'relayed tokens', arithmetic: `${format(perToken.fit.slope)} cores × ${format(tokens)}/s`, value: perToken.fit.slope * tokens * 100 })
+  if (perRequest !== undefined) rows.push({ label: 'requests', arithmetic: `${format(perRequest.fit.slope)} cores × ${format(requests)}/s`, value: perRequest.fit.slope * requests * 100 })
+  if (perToken !== undefined) rows.push({ label: 'relayed tokens', arithmetic: `${format(perToken.fit.slope)} cores × ${format(tokens)}/s`, value: perToken.fit.slope * tokens * 100 })
   return formatRows(rows, '% of a core', null)
 }
 
@@ -107,10 +107,10 @@
     ['changes', `${format(target.changesPerDay)} a day / ${format(daySeconds)} s`, `${format(changes)}/s`],
     ['log', `${format(singles.logChangeBytes)} bytes × ${format(changes)}/s`, `${format(singles.logChangeBytes * changes)} bytes/s to each replica`],
     ['spreading', `${format(singles.changeBytes)} bytes × ${format(changes)}/s × ${target.nodes} boxes`, `${format(singles.changeBytes * changes * target.nodes / 1000)} KB/s from each keeper, as every box watches every keeper`],
-    ['state', `${format(read(measured, 'change-memory', target.changesPerDay) / 1e6)} MB after a day of changes`, 'MB of heap, first answers of 24 h with it'],
-    ['restart', `${format(read(measured, 'restart', 20_000 / 2))} ms for 20,000 entries since a snapshot + ${format(singles.snapshot.readMs)} ms for the snapshot`, `${format(read(measured, 'restart', 20_000 / 2) + singles.snapshot.readMs)} ms`],
-    ['restart after 100,000 changes without a snapshot', 'the restart slope × 100,000', `${format(read(measured, 'restart', 100_000))} ms`],
-    ['claims', `one sync serves many; ${format(singles.syncsPerSecond)} syncs/s here`, `${format(singles.logClaimBytes)} bytes of log and ${format(slopeOf(measured, 'claim-time'))} µs more a claim for each claim kept`]
+    ['state', `${format(estimate(measured, 'change-memory', target.changesPerDay) / 1e6)} MB after a day of changes`, 'MB of heap, first answers of 24 h with it'],
+    ['restart', `${format(estimate(measured, 'restart', 20_000 / 2))} ms for 20,000 entries since a snapshot + ${format(singles.snapshot.readMs)} ms for the snapshot`, `${format(estimate(measured, 'restart', 20_000 / 2) + singles.snapshot.readMs)} ms`],
+    ['restart after 100,000 changes without a snapshot', 'the restart slope × 100,000', `${format(estimate(measured, 'restart', 100_000))} ms`],
+    ['claims', `one sync serves many; ${format(singles.syncsPerSecond)} syncs/s here`, `${format(singles.logClaimBytes)} bytes of log and ${format(findSlope(measured, 'claim-time'))} µs more a claim for each claim kept`]
   ]
   return ['| what | arithmetic | result |', '|---|---|---|', ...rows.map(row => `| ${row.join(' | ')} |`)].join('\n')
 }
@@ -118,72 +118,72 @@
 /** The table of what fails. */
 export function formatFailures (measured: Measured): string {
   const events = target.failuresPerDay + 2 * target.restartsPerDay
-  const tellings = 3 * Math.ceil(Math.log2(target.nodes + 2))
-  const parting = read(measured, 'parting', target.runners) / 1000
+  const transmissions = 3 * Math.ceil(Math.log2(target.nodes + 2))
+  const partitionMs = estimate(measured, 'parting', target.runners) / 1000
   const rows = [
-    ['a box fails or restarts', `${target.failuresPerDay} + 2 × ${target.restartsPerDay} a day`, `one in ${format(daySeconds / events)} s; its news is told ${tellings} times by each node, on probes that go anyway`, 'found in 3 to 5 s (membership tests, virtual time); its shards are taken over as soon as each box knows', 'requests in flight on that box; its queued ones are asked again elsewhere'],
+    ['a box fails or restarts', `${target.failuresPerDay} + 2 × ${target.restartsPerDay} a day`, `one in ${format(daySeconds / events)} s; its news is told ${transmissions} times by each node, on probes that go anyway`, 'found in 3 to 5 s (membership tests, virtual time); its shards are taken over as soon as each box knows', 'requests in flight on that box; its queued ones are asked again elsewhere'],
     ['a rack', 'once a week, 40 boxes at a time', 'as above, 40 times', 'as above: each node finds out by its own probe or by news', 'as above'],
     ['a zone cut off', 'every other month', `${target.nodes / target.zones} boxes on one side`, 'both sides serve on with what they hold; healed in a few probes of a gone box every 4 s', 'claims and changes on the side without a quorum, as not run'],
     ['regions apart', 'an hour now and then', 'no message crosses', 'each region serves its own engines', 'changes and claims on the side without a quorum'],
-    ['owners move', 'at each of these', `owners of ${Math.ceil(target.runners / 32)} shards or more, each box for itself; parting ${format(parting)} ms only when engines change`, 'at once on each box', 'nothing: running streams are adopted by the new owner']
+    ['owners move', 'at each of these', `owners of ${Math.ceil(target.runners / 32)} shards or more, each box for itself; parting ${format(partitionMs)} ms only when engines change`, 'at once on each box', 'nothing: running streams are adopted by the new owner']
   ]
   return ['| event | how often | messages | time to settle | refused meanwhile |', '|---|---|---|---|---|', ...rows.map(row => `| ${row.join(' | ')} |`)].join('\n')
 }
 
-function listNodeBytes (measured: Measured): Row[] {
+function listNodeBytes (measured: Measured): TableRow[] {
   const { singles } = measured
   const requests = target.requestsPerSecond / target.nodes
-  const perSecond = subsetLinks / (Math.ceil(subsetLinks / toldAtOnce) * loadsEverySeconds)
-  const loads = read(measured, 'loads-bytes', 0)
-  const demands = read(measured, 'loads-bytes', activeWorkspaces) - loads
-  const runners = target.runners / target.nodes
-  const polls = (1 + 1 / eventsEveryTurn) / Math.max(1, runners * pollMsPerEngine / 1000)
+  const loadMessagesPerSecond = subsetLinks / (Math.ceil(subsetLinks / peersPerRound) * loadsEverySeconds)
+  const loads = estimate(measured, 'loads-bytes', 0)
+  const demands = estimate(measured, 'loads-bytes', activeWorkspaces) - loads
+  const enginesPerNode = target.runners / target.nodes
+  const polls = (1 + 1 / pollsPerEventRead) / Math.max(1, enginesPerNode * pollMsPerEngine / 1000)
   const changes = target.changesPerDay / daySeconds
   return [
-    { what: 'membership', arithmetic: `the member-bytes line at ${target.nodes}`, value: read(measured, 'member-bytes', target.nodes) },
-    { what: 'loads of shards', arithmetic: `${format(loads)} bytes × ${format(perSecond)}/s × 2 (in and out), ${subsetLinks} links`, value: loads * perSecond * 2 },
-    { what: 'demands of workspaces', arithmetic: `${format(demands)} bytes (${activeWorkspaces} active) × ${subsetLinks} links / ${demandsEverySeconds} s × 2`, value: demands * subsetLinks / demandsEverySeconds * 2 },
-    { what: 'requests placed by another box', arithmetic: `${format(singles.remoteRequestBytes)} bytes × ${format(requests)}/s × ${format(singles.remoteShare)} × 2`, value: singles.remoteRequestBytes * requests * singles.remoteShare * 2 },
-    { what: 'configuration', arithmetic: `${format(singles.changeBytes)} bytes × ${format(changes)}/s × ${keepers} keepers`, value: singles.changeBytes * changes * keepers },
-    { what: 'revision and status to keepers', arithmetic: `${format(singles.watch.light)} bytes × ${keepers} / ${watchEverySeconds} s + ${format(singles.watch.full)} bytes / ${statusEverySeconds} s`, value: singles.watch.light * keepers / watchEverySeconds + singles.watch.full / statusEverySeconds },
-    { what: 'load reports of engines', arithmetic: `${format(singles.pollBytes)} bytes × ${format(polls)}/s × ${runners} runners`, value: singles.pollBytes * polls * runners }
+    { label: 'membership', arithmetic: `the member-bytes line at ${target.nodes}`, value: estimate(measured, 'member-bytes', target.nodes) },
+    { label: 'loads of shards', arithmetic: `${format(loads)} bytes × ${format(loadMessagesPerSecond)}/s × 2 (in and out), ${subsetLinks} links`, value: loads * loadMessagesPerSecond * 2 },
+    { label: 'demands of workspaces', arithmetic: `${format(demands)} bytes (${activeWorkspaces} active) × ${subsetLinks} links / ${demandsEverySeconds} s × 2`, value: demands * subsetLinks / demandsEverySeconds * 2 },
+    { label: 'requests placed by another box', arithmetic: `${format(singles.remoteRequestBytes)} bytes × ${format(requests)}/s × ${format(singles.remoteShare)} × 2`, value: singles.remoteRequestBytes * requests * singles.remoteShare * 2 },
+    { label: 'configuration', arithmetic: `${format(singles.changeBytes)} bytes × ${format(changes)}/s × ${keepers} keepers`, value: singles.changeBytes * changes * keepers },
+    { label: 'revision and status to keepers', arithmetic: `${format(singles.watch.light)} bytes × ${keepers} / ${watchEverySeconds} s + ${format(singles.watch.full)} bytes / ${statusEverySeconds} s`, value: singles.watch.light * keepers / watchEverySeconds + singles.watch.full / statusEverySeconds },
+    { label: 'load reports of engines', arithmetic: `${format(singles.pollBytes)} bytes × ${format(polls)}/s × ${enginesPerNode} runners`, value: singles.pollBytes * polls * enginesPerNode }
   ]
 }
 
-function listNodeCore (measured: Measured): Row[] {
+function listNodeCore (measured: Measured): TableRow[] {
   const requests = target.requestsPerSecond / target.nodes
   const changes = target.changesPerDay / daySeconds
-  const decision = read(measured, 'decision', 32)
-  const change = read(measured, 'change-time', target.workspaces)
-  const rows: Row[] = [
-    { what: 'membership', arithmetic: `the member-core line at ${target.nodes}`, value: read(measured, 'member-core', target.nodes) },
-    { what: 'decisions', arithmetic: `${format(decision)} µs × ${format(requests)}/s`, value: decision * requests / 10_000 },
-    { what: 'configuration', arithmetic: `${format(change)} µs × ${format(changes)}/s`, value: change * changes / 10_000 }
+  const decision = estimate(measured, 'decision', 32)
+  const change = estimate(measured, 'change-time', target.workspaces)
+  const rows: TableRow[] = [
+    { label: 'membership', arithmetic: `the member-core line at ${target.nodes}`, value: estimate(measured, 'member-core', target.nodes) },
+    { label: 'decisions', arithmetic: `${format(decision)} µs × ${format(requests)}/s`, value: decision * requests / 10_000 },
+    { label: 'configuration', arithmetic: `${format(change)} µs × ${format(changes)}/s`, value: change * changes / 10_000 }
   ]
   const idle = measured.slopes.get('entry-idle')
   if (idle !== undefined) {
-    const runners = target.runners / target.nodes
-    rows.push({ what: 'everything of an entry process without callers: ticks, loads, polls, links', arithmetic: `the entry-idle line at ${runners} engines`, value: readSlope(idle, runners) * 100 })
+    const enginesPerNode = target.runners / target.nodes
+    rows.push({ label: 'everything of an entry process without callers: ticks, loads, polls, links', arithmetic: `the entry-idle line at ${enginesPerNode} engines`, value: estimateAt(idle, enginesPerNode) * 100 })
   }
   return rows
 }
 
-function listNodeMemory (measured: Measured): Row[] {
+function listNodeMemory (measured: Measured): TableRow[] {
   const streams = target.tokensPerSecond / target.nodes * 0.065
-  const rows: Row[] = [
-    { what: 'configuration', arithmetic: `the config-memory line at ${format(target.workspaces)} workspaces, with ${format(target.runners)} engines`, value: read(measured, 'config-memory', target.workspaces) / 1e6 },
-    { what: 'shard', arithmetic: 'the engine-memory line at 32 engines', value: read(measured, 'engine-memory', 32) / 1e6 },
-    { what: 'requests in flight', arithmetic: `${format(slopeOf(measured, 'request-memory'))} bytes × ${format(streams)} streams (tokens/s × 65 ms)`, value: slopeOf(measured, 'request-memory') * streams / 1e6 }
+  const rows: TableRow[] = [
+    { label: 'configuration', arithmetic: `the config-memory line at ${format(target.workspaces)} workspaces, with ${format(target.runners)} engines`, value: estimate(measured, 'config-memory', target.workspaces) / 1e6 },
+    { label: 'shard', arithmetic: 'the engine-memory line at 32 engines', value: estimate(measured, 'engine-memory', 32) / 1e6 },
+    { label: 'requests in flight', arithmetic: `${format(findSlope(measured, 'request-memory'))} bytes × ${format(streams)} streams (tokens/s × 65 ms)`, value: findSlope(measured, 'request-memory') * streams / 1e6 }
   ]
   const process = measured.slopes.get('entry-streams')
-  if (process !== undefined) rows.push({ what: 'the process, its streams with it (data path included)', arithmetic: `the entry-streams line at ${format(streams)}`, value: readSlope(process, streams) })
+  if (process !== undefined) rows.push({ label: 'the process, its streams with it (data path included)', arithmetic: `the entry-streams line at ${format(streams)}`, value: estimateAt(process, streams) })
   return rows
 }
 
-function formatRows (rows: readonly Row[], unit: string, bound: number | null): string {
+function formatRows (rows: readonly TableRow[], unit: string, bound: number | null): string {
   const sum = rows.reduce((total, row) => total + row.value, 0)
   const lines = [`| part | arithmetic | ${unit} |`, '|---|---|---|']
-  for (const row of rows) lines.push(`| ${row.what} | ${row.arithmetic} | ${format(row.value)} |`)
+  for (const row of rows) lines.push(`| ${row.label} | ${row.arithmetic} | ${format(row.value)} |`)
   lines.push(`| **sum** | | **${format(sum)}** |`)
   if (bound !== null) {
     const verdict = sum <= bound ? `${format((1 - sum / bound) * 100)}% left` : `**over by ${format((sum / bound - 1) * 100)}%**`
@@ -192,13 +192,13 @@
   return lines.join('\n')
 }
 
-function read (measured: Measured, name: string, size: number): number {
+function estimate (measured: Measured, name: string, size: number): number {
   const slope = measured.slopes.get(name)
   if (slope === undefined) throw new Error(`slope ${name} was not measured`)
-  return readSlope(slope, size)
+  return estimateAt(slope, size)
 }
 
-function slopeOf (measured: Measured, name: string): number {
+function findSlope (measured: Measured, name: string): number {
   return measured.slopes.get(name)?.fit.slope ?? 0
 }
 
--- a/src/capacity/slope.ts
+++ b/src/capacity/slope.ts
@@ -19,12 +19,12 @@
 }
 
 /** What is expected at a size: between two measured points the line through them, outside them the fit. */
-export function readSlope (slope: Slope, size: number): number {
+export function estimateAt (slope: Slope, size: number): number {
   const points = [...slope.points].sort((a, b) => a.x - b.x)
-  const after = points.findIndex(point => point.x >= size)
-  if (after < 0 || (after === 0 && points[0].x > size)) return slope.fit.base + slope.fit.slope * size
-  const right = points[after]
+  const rightIndex = points.findIndex(point => point.x >= size)
+  if (rightIndex < 0 || (rightIndex === 0 && points[0].x > size)) return slope.fit.base + slope.fit.slope * size
+  const right = points[rightIndex]
   if (right.x === size) return right.y
-  const left = points[after - 1]
+  const left = points[rightIndex - 1]
   return left.y + (right.y - left.y) * (size - left.x) / (right.x - left.x)
 }
--- a/src/capacity/timing.ts
+++ b/src/capacity/timing.ts
@@ -1,27 +1,27 @@
 import { performance } from 'node:perf_hooks'
 
-const rounds = 5
+const repetitions = 5
 
 /** Median time of `run` over a few rounds, in microseconds for each of its `count` parts. */
-export function timeEach (count: number, run: () => void): number {
+export function measureMedianUs (count: number, run: () => void): number {
   const times: number[] = []
-  for (let i = 0; i < rounds; i++) {
-    const began = performance.now()
+  for (let i = 0; i < repetitions; i++) {
+    const startedAt = performance.now()
     run()
-    times.push((performance.now() - began) * 1000 / count)
+    times.push((performance.now() - startedAt) * 1000 / count)
   }
   times.sort((a, b) => a - b)
-  return times[rounds >> 1]
+  return times[repetitions >> 1]
 }
 
 /** Bytes of heap that what `build` returns holds on to. Needs `--expose-gc`. */
-export function weigh (build: () => unknown): number {
-  const collect = (globalThis as { gc?: () => void }).gc
-  if (collect === undefined) throw new Error('run node with --expose-gc')
-  collect()
-  const before = process.memoryUsage().heapUsed
-  const held = build()
-  collect()
-  const after = process.memoryUsage().heapUsed
-  return held === undefined ? 0 : Math.max(0, after - before)
+export function measureHeapBytes (build: () => unknown): number {
+  const collectGarbage = (globalThis as { gc?: () => void }).gc
+  if (collectGarbage === undefined) throw new Error('run node with --expose-gc')
+  collectGarbage()
+  const bytesBefore = process.memoryUsage().heapUsed
+  const retained = build()
+  collectGarbage()
+  const bytesAfter = process.memoryUsage().heapUsed
+  return retained === undefined ? 0 : Math.max(0, bytesAfter - bytesBefore)
 }
--- a/src/measure/direct-policies.ts
+++ b/src/measure/direct-policies.ts
@@ -4,14 +4,14 @@
 import type { SimEngine } from './sim-engine.js'
 import type { SimRequest } from './sim-request.js'
 
-type Choose = (engines: readonly SimEngine[], request: SimRequest) => SimEngine
+type ChooseEngine = (engines: readonly SimEngine[], request: SimRequest) => SimEngine
 
 /** Sends by a choice of engine; engines queue first come, first served. */
 class DirectPolicy implements Policy {
   protected host: PolicyHost
-  #choose: Choose
+  #choose: ChooseEngine
 
-  constructor (host: PolicyHost, choose: Choose) {
+  constructor (host: PolicyHost, choose: ChooseEngine) {
     this.host = host
     this.#choose = choose
   }
@@ -24,22 +24,22 @@
 
   noteFailed (request: SimRequest): boolean {
     if (request.attempts >= 3) return false
-    request.lost += request.effort
-    request.given = 0
+    request.wastedEffort += request.effort
+    request.receivedTokens = 0
     this.arrive(request)
     return true
   }
 
   noteFirstToken (): void {}
   noteFinished (_request: SimRequest): void {}
-  noteLeft (_request: SimRequest): void {}
+  noteCancelled (_request: SimRequest): void {}
   report (_engine: EngineId, _report: LoadReport): void {}
   tick (): void {}
   noteBoxLost (_box: BoxId): void {}
 }
 
 /** Each box takes the engines in turn. */
-export function createRoundRobin (host: PolicyHost): Policy {
+export function createRoundRobinPolicy (host: PolicyHost): Policy {
   const turns = new Map<BoxId, number>()
   return new DirectPolicy(host, (engines, request) => {
     const turn = turns.get(request.box) ?? Math.floor(host.random() * engines.length)
@@ -49,12 +49,12 @@
 }
 
 /** Any engine. */
-export function createRandomChoice (host: PolicyHost): Policy {
+export function createRandomPolicy (host: PolicyHost): Policy {
   return new DirectPolicy(host, engines => engines[Math.floor(host.random() * engines.length)])
 }
 
 /** The engine with the fewest streams by its last report. */
-class LeastReported extends DirectPolicy {
+class LeastReportedLoadPolicy extends DirectPolicy {
   #reported: Map<EngineId, number>
 
   constructor (host: PolicyHost, reported: Map<EngineId, number>) {
@@ -67,43 +67,43 @@
   }
 }
 
-export function createLeastReported (host: PolicyHost): Policy {
-  return new LeastReported(host, new Map())
+export function createLeastReportedLoadPolicy (host: PolicyHost): Policy {
+  return new LeastReportedLoadPolicy(host, new Map())
 }
 
 /** Two engines by lot, the one with fewer streams by report and by what this box sent since. */
-class PowerOfTwo extends DirectPolicy {
-  #load: Map<EngineId, number>
-  #own: Map<string, number>
+class PowerOfTwoPolicy extends DirectPolicy {
+  #reportedLoad: Map<EngineId, number>
+  #sentSinceReport: Map<string, number>
 
-  constructor (host: PolicyHost, load: Map<EngineId, number>, own: Map<string, number>) {
+  constructor (host: PolicyHost, reportedLoad: Map<EngineId, number>, sentSinceReport: Map<string, number>) {
     super(host, (engines, request) => {
       const pair = [0, 1].map(() => engines[Math.floor(host.random() * engines.length)])
-      const chosen = findLeast(pair, engine => (load.get(engine.id) ?? 0) + (own.get(`${request.box} ${engine.id}`) ?? 0), host)
+      const chosen = findLeast(pair, engine => (reportedLoad.get(engine.id) ?? 0) + (sentSinceReport.get(`${request.box} ${engine.id}`) ?? 0), host)
       const key = `${request.box} ${chosen.id}`
-      own.set(key, (own.get(key) ?? 0) + 1)
+      sentSinceReport.set(key, (sentSinceReport.get(key) ?? 0) + 1)
       return chosen
     })
-    this.#load = load
-    this.#own = own
+    this.#reportedLoad = reportedLoad
+    this.#sentSinceReport = sentSinceReport
   }
 
   override report (engine: EngineId, report: LoadReport): void {
-    this.#load.set(engine, report.running + report.waiting)
-    for (const { id } of this.host.boxes) this.#own.delete(`${id} ${engine}`)
+    this.#reportedLoad.set(engine, report.running + report.waiting)
+    for (const { id } of this.host.boxes) this.#sentSinceReport.delete(`${id} ${engine}`)
   }
 }
 
-export function createPowerOfTwo (host: PolicyHost): Policy {
-  return new PowerOfTwo(host, new Map(), new Map())
+export function createPowerOfTwoPolicy (host: PolicyHost): Policy {
+  return new PowerOfTwoPolicy(host, new Map(), new Map())
 }
 
-function findLeast (engines: readonly SimEngine[], measure: (engine: SimEngine) => number, host: PolicyHost): SimEngine {
-  const start = Math.floor(host.random() * engines.length)
-  let best = engines[start]
+function findLeast (engines: readonly SimEngine[], getLoad: (engine: SimEngine) => number, host: PolicyHost): SimEngine {
+  const startIndex = Math.floor(host.random() * engines.length)
+  let best = engines[startIndex]
   for (let i = 1; i < engines.length; i++) {
-    const engine = engines[(start + i) % engines.length]
-    if (measure(engine) < measure(best)) best = engine
+    const engine = engines[(startIndex + i) % engines.length]
+    if (getLoad(engine) < getLoad(best)) best = engine
   }
   return best
 }
@@ -114,35 +114,35 @@
  */
 class FifoPolicy implements Policy {
   #host: PolicyHost
-  #waiting: SimRequest[] = []
+  #queue: SimRequest[] = []
   #load = new Map<EngineId, number>()
-  #down = new Map<EngineId, number>()
+  #downUntil = new Map<EngineId, number>()
 
   constructor (host: PolicyHost) {
     this.#host = host
   }
 
   arrive (request: SimRequest): void {
-    this.#waiting.push(request)
+    this.#queue.push(request)
     this.#dispatch()
   }
 
   noteFirstToken (): void {}
-  noteFinished (request: SimRequest): void { this.#free(request.engine) }
+  noteFinished (request: SimRequest): void { this.#releasePlace(request.engine) }
 
-  noteLeft (request: SimRequest): void {
-    const at = this.#waiting.indexOf(request)
-    if (at >= 0) this.#waiting.splice(at, 1)
-    else this.#free(request.engine)
+  noteCancelled (request: SimRequest): void {
+    const index = this.#queue.indexOf(request)
+    if (index >= 0) this.#queue.splice(index, 1)
+    else this.#releasePlace(request.engine)
   }
 
   noteFailed (request: SimRequest, engine: EngineId): boolean {
-    this.#free(engine)
-    this.#down.set(engine, this.#host.now() + 2000)
+    this.#releasePlace(engine)
+    this.#downUntil.set(engine, this.#host.now() + 2000)
     if (request.attempts >= 3) return false
-    request.lost += request.effort
-    request.given = 0
-    this.#waiting.unshift(request)
+    request.wastedEffort += request.effort
+    request.receivedTokens = 0
+    this.#queue.unshift(request)
     this.#dispatch()
     return true
   }
@@ -151,37 +151,37 @@
   tick (): void { this.#dispatch() }
   noteBoxLost (): void {}
 
-  #free (engine: EngineId | null): void {
+  #releasePlace (engine: EngineId | null): void {
     if (engine === null) return
     this.#load.set(engine, (this.#load.get(engine) ?? 1) - 1)
     this.#dispatch()
   }
 
   #dispatch (): void {
-    while (this.#waiting.length > 0) {
-      const [next] = this.#waiting
-      const engine = this.#findFree(next)
+    while (this.#queue.length > 0) {
+      const [first] = this.#queue
+      const engine = this.#findFreeEngine(first)
       if (engine === undefined) return
-      this.#waiting.shift()
+      this.#queue.shift()
       this.#load.set(engine.id, (this.#load.get(engine.id) ?? 0) + 1)
-      this.#host.send(next, engine.id, 0)
+      this.#host.send(first, engine.id, 0)
     }
   }
 
-  #findFree (request: SimRequest): SimEngine | undefined {
+  #findFreeEngine (request: SimRequest): SimEngine | undefined {
     let best: SimEngine | undefined
-    let least = this.#host.user.shape.batch
+    let minLoad = this.#host.user.shape.batch
     for (const engine of this.#host.engines) {
       const load = this.#load.get(engine.id) ?? 0
-      if (load >= least || (this.#down.get(engine.id) ?? 0) > this.#host.now()) continue
+      if (load >= minLoad || (this.#downUntil.get(engine.id) ?? 0) > this.#host.now()) continue
       if (!this.#host.canReach(request.box, this.#host.zoneOf(engine.id))) continue
       best = engine
-      least = load
+      minLoad = load
     }
     return best
   }
 }
 
-export function createFifo (host: PolicyHost): Policy {
+export function createFifoPolicy (host: PolicyHost): Policy {
   return new FifoPolicy(host)
 }
--- a/src/measure/event-queue.ts
+++ b/src/measure/event-queue.ts
@@ -1,4 +1,4 @@
-interface Entry {
+interface ScheduledEvent {
   readonly at: number
   readonly order: number
   readonly run: () => void
@@ -6,8 +6,8 @@
 
 /** A queue of things to do in virtual time: earliest first, equal ones in order of arrival. */
 export class EventQueue {
-  #heap: Entry[] = []
-  #order = 0
+  #heap: ScheduledEvent[] = []
+  #nextOrder = 0
   #now = 0
 
   /** Virtual time, ms. */
@@ -15,8 +15,8 @@
 
   /** Does `run` after `delayMs`. */
   after (delayMs: number, run: () => void): void {
-    this.#push({ at: this.#now + delayMs, order: this.#order, run })
-    this.#order += 1
+    this.#push({ at: this.#now + delayMs, order: this.#nextOrder, run })
+    this.#nextOrder += 1
   }
 
   /** Does everything due up to `until`. */
@@ -29,38 +29,38 @@
     this.#now = until
   }
 
-  #push (entry: Entry): void {
+  #push (entry: ScheduledEvent): void {
     const heap = this.#heap
-    let at = heap.length
+    let index = heap.length
     heap.push(entry)
-    while (at > 0) {
-      const parent = (at - 1) >> 1
+    while (index > 0) {
+      const parent = (index - 1) >> 1
       if (!isBefore(entry, heap[parent])) break
-      heap[at] = heap[parent]
-      at = parent
+      heap[index] = heap[parent]
+      index = parent
     }
-    heap[at] = entry
+    heap[index] = entry
   }
 
-  #pop (): Entry {
+  #pop (): ScheduledEvent {
     const heap = this.#heap
     const top = heap[0]
-    const last = heap.pop() as Entry
+    const last = heap.pop() as ScheduledEvent
     if (heap.length === 0) return top
-    let at = 0
+    let index = 0
     for (;;) {
-      let child = at * 2 + 1
+      let child = index * 2 + 1
       if (child >= heap.length) break
       if (child + 1 < heap.length && isBefore(heap[child + 1], heap[child])) child += 1
       if (!isBefore(heap[child], last)) break
-      heap[at] = heap[child]
-      at = child
+      heap[index] = heap[child]
+      index = child
     }
-    heap[at] = last
+    heap[index] = last
     return top
   }
 }
 
-function isBefore (a: Entry, b: Entry): boolean {
+function isBefore (a: ScheduledEvent, b: ScheduledEvent): boolean {
   return a.at < b.at || (a.at === b.at && a.order < b.order)
 }
--- a/src/measure/experiment.ts
+++ b/src/measure/experiment.ts
@@ -1,6 +1,6 @@
 /** Runs of every user, scenario, policy and seed that is asked for, as rows. */
-import { createFifo, createLeastReported, createPowerOfTwo, createRandomChoice, createRoundRobin } from './direct-policies.js'
-import type { PolicyMaker } from './policy.js'
+import { createFifoPolicy, createLeastReportedLoadPolicy, createPowerOfTwoPolicy, createRandomPolicy, createRoundRobinPolicy } from './direct-policies.js'
+import type { PolicyFactory } from './policy.js'
 import { longBurst, scenarios } from './scenario.js'
 import type { Scenario } from './scenario.js'
 import { createShardPolicy } from './shard-policy.js'
@@ -33,25 +33,25 @@
   readonly unfinished: number
 }
 
-const perShard = 32
+const defaultEnginesPerShard = 32
 
 /** The product's policy is `wrenlane`; the others are to compare with. */
-export const policies: Readonly<Record<string, PolicyMaker>> = {
-  wrenlane: createShardPolicy({ way: 'owned', perShard, floorPlaces: null }),
-  'round-robin': createRoundRobin,
-  random: createRandomChoice,
-  'least-reported': createLeastReported,
-  fifo: createFifo
+export const policies: Readonly<Record<string, PolicyFactory>> = {
+  wrenlane: createShardPolicy({ mode: 'owned', maxEnginesPerShard: defaultEnginesPerShard, floorPlaces: null }),
+  'round-robin': createRoundRobinPolicy,
+  random: createRandomPolicy,
+  'least-reported': createLeastReportedLoadPolicy,
+  fifo: createFifoPolicy
 }
 
 /** Ways for several boxes to share a pool, weighed against each other. */
-export const sharings: Readonly<Record<string, PolicyMaker>> = {
-  'owned-32': createShardPolicy({ way: 'owned', perShard: 32, floorPlaces: null }),
-  'owned-8': createShardPolicy({ way: 'owned', perShard: 8, floorPlaces: null }),
-  alone: createShardPolicy({ way: 'alone', perShard, floorPlaces: null }),
-  credits: createShardPolicy({ way: 'credits', perShard, floorPlaces: null }),
-  'power-of-two': createPowerOfTwo,
-  'no-floor': createShardPolicy({ way: 'owned', perShard, floorPlaces: 0 })
+export const sharings: Readonly<Record<string, PolicyFactory>> = {
+  'owned-32': createShardPolicy({ mode: 'owned', maxEnginesPerShard: 32, floorPlaces: null }),
+  'owned-8': createShardPolicy({ mode: 'owned', maxEnginesPerShard: 8, floorPlaces: null }),
+  alone: createShardPolicy({ mode: 'alone', maxEnginesPerShard: defaultEnginesPerShard, floorPlaces: null }),
+  credits: createShardPolicy({ mode: 'credits', maxEnginesPerShard: defaultEnginesPerShard, floorPlaces: null }),
+  'power-of-two': createPowerOfTwoPolicy,
+  'no-floor': createShardPolicy({ mode: 'owned', maxEnginesPerShard: defaultEnginesPerShard, floorPlaces: 0 })
 }
 
 /** What to run; a list left out means all. */
@@ -69,9 +69,9 @@
 
 /** Runs one combination. */
 export function runOnce (user: UserProfile, scenario: Scenario, policy: string, seed: number): Row[] {
-  const make = policies[policy] ?? sharings[policy]
-  const notes = new Simulation(user, scenario, make, seed).run()
-  const { figures } = notes.tally
+  const createPolicy = policies[policy] ?? sharings[policy]
+  const result = new Simulation(user, scenario, createPolicy, seed).run()
+  const { figures } = result.tally
   const effort = figures.reduce((sum, one) => sum + one.effort, 0)
   return figures.map(one => ({
     user: user.name,
@@ -81,21 +81,21 @@
     class: one.class,
     offered: one.offered,
     finished: one.finished,
-    attainment: round(one.met / Math.max(1, one.offered)),
-    goodput: round(one.met * 1000 / scenario.durationMs),
-    wasted: round(one.wasted / Math.max(1, effort)),
+    attainment: roundTo4Decimals(one.metTargets / Math.max(1, one.offered)),
+    goodput: roundTo4Decimals(one.metTargets * 1000 / scenario.durationMs),
+    wasted: roundTo4Decimals(one.wasted / Math.max(1, effort)),
     worstWaitMs: Math.round(one.worstWaitMs),
     shed: one.refused,
     left: one.left,
     failed: one.failed,
-    preempted: notes.paused,
-    violations: notes.violations.length,
-    unfinished: notes.unfinished
+    preempted: result.preempted,
+    violations: result.violations.length,
+    unfinished: result.unfinished
   }))
 }
 
 /** Runs everything chosen, giving each row as it comes. */
-export function runExperiment (choice: ExperimentChoice, take: (row: Row) => void): void {
+export function runExperiment (choice: ExperimentChoice, handleRow: (row: Row) => void): void {
   const names = choice.scenarios ?? scenarios.map(one => one.name)
   for (const user of userProfiles) {
     if (choice.users !== undefined && !choice.users.includes(user.name)) continue
@@ -103,13 +103,13 @@
       const scenario = findScenario(name)
       if (scenario === undefined) continue
       for (const seed of choice.seeds) {
-        for (const policy of choice.policies) runOnce(user, scenario, policy, seed).forEach(take)
+        for (const policy of choice.policies) runOnce(user, scenario, policy, seed).forEach(handleRow)
       }
     }
   }
 }
 
-function round (value: number): number {
+function roundTo4Decimals (value: number): number {
   return Math.round(value * 10_000) / 10_000
 }
 
--- a/src/measure/policy.ts
+++ b/src/measure/policy.ts
@@ -18,7 +18,7 @@
   zoneOf (engine: EngineId): number
   send (request: SimRequest, engine: EngineId, priority: number): void
   refuse (request: SimRequest): void
-  notePaused (): void
+  notePreempted (): void
   /** A request was handed to a shard, over the wire or on the same box. */
   noteSubmitted (isRemote: boolean): void
   noteViolation (rule: string, detail: string): void
@@ -30,7 +30,7 @@
   noteFirstToken (request: SimRequest): void
   noteFinished (request: SimRequest): void
   /** The caller left; the engine was told already. */
-  noteLeft (request: SimRequest): void
+  noteCancelled (request: SimRequest): void
   /** The engine failed; true where the policy tries again. */
   noteFailed (request: SimRequest, engine: EngineId, wasReached: boolean): boolean
   report (engine: EngineId, report: LoadReport): void
@@ -39,4 +39,4 @@
 }
 
 /** Makes a policy for a run. */
-export type PolicyMaker = (host: PolicyHost) => Policy
+export type PolicyFactory = (host: PolicyHost) => Policy
--- a/src/measure/shard-policy.ts
+++ b/src/measure/shard-policy.ts
@@ -4,25 +4,25 @@
 import type { Policy, PolicyHost } from './policy.js'
 import type { SimRequest } from './sim-request.js'
 
-const nearMs = 0.5
-const farMs = 1
+const sameZoneDelayMs = 0.5
+const crossZoneDelayMs = 1
 const loadsEveryMs = 250
-const lossNoticedMs = 2500
+const failureDetectionMs = 2500
 // As chat-exchange.ts has it.
-const attemptsApart = 100
+const attemptStride = 100
 const model = brandId<ModelName>('model')
 const pool = brandId<PoolName>('pool')
 
 /** How engines are shared among boxes. */
-export interface Sharing {
+export interface SharingOptions {
   /** Engines of a shard at most. */
-  readonly perShard: number
+  readonly maxEnginesPerShard: number
   /** `owned`: each shard has one owner. `alone`: every box schedules all engines by itself. `credits`: likewise, on an even part of the places. */
-  readonly way: 'owned' | 'alone' | 'credits'
+  readonly mode: 'owned' | 'alone' | 'credits'
   readonly floorPlaces: number | null
 }
 
-interface Owned {
+interface OwnedShard {
   readonly shard: Shard
   readonly scheduler: Scheduler
   owner: BoxId | undefined
@@ -30,27 +30,27 @@
 
 class ShardPolicy implements Policy {
   #host: PolicyHost
-  #sharing: Sharing
-  #shards = new Map<ShardId, Owned>()
+  #sharing: SharingOptions
+  #shards = new Map<ShardId, OwnedShard>()
   #placers = new Map<BoxId, Placer>()
   #zones = new Map<BoxId, number>()
   #requests = new Map<string, SimRequest>()
-  #placed = new Set<SimRequest>()
+  #granted = new Set<SimRequest>()
   #excluded = new Map<SimRequest, EngineId[]>()
-  #budget = new RetryBudget()
-  #loadsAt = 0
-  #alive: BoxId[]
+  #retryBudget = new RetryBudget()
+  #nextLoadsAt = 0
+  #liveBoxes: BoxId[]
 
-  constructor (host: PolicyHost, sharing: Sharing) {
+  constructor (host: PolicyHost, sharing: SharingOptions) {
     this.#host = host
     this.#sharing = sharing
-    this.#alive = host.boxes.map(box => box.id)
+    this.#liveBoxes = host.boxes.map(box => box.id)
     for (const { id, zone } of host.boxes) {
       this.#zones.set(id, zone)
       this.#placers.set(id, this.#createPlacer(id, zone))
     }
     this.#createShards()
-    this.#tellShards()
+    this.#publishShards()
   }
 
   arrive (request: SimRequest): void {
@@ -63,25 +63,25 @@
   }
 
   noteFinished (request: SimRequest): void {
-    this.#budget.noteSuccess()
-    this.#end(request, 'done')
-    this.#forget(request)
+    this.#retryBudget.noteSuccess()
+    this.#endAttempt(request, 'done')
+    this.#removeRequest(request)
   }
 
-  noteLeft (request: SimRequest): void {
-    if (this.#placed.has(request)) this.#end(request, 'cancelled')
+  noteCancelled (request: SimRequest): void {
+    if (this.#granted.has(request)) this.#endAttempt(request, 'cancelled')
     else this.#placers.get(request.box)?.cancel(request.id)
-    this.#forget(request)
+    this.#removeRequest(request)
   }
 
   noteFailed (request: SimRequest, engine: EngineId, wasReached: boolean): boolean {
-    this.#end(request, wasReached ? 'engine-failed' : 'engine-unreachable')
+    this.#endAttempt(request, wasReached ? 'engine-failed' : 'engine-unreachable')
     this.#excluded.set(request, [...this.#excluded.get(request) ?? [], engine])
-    if (request.attempts < (wasReached ? 3 : 8) && (request.given > 0 || this.#budget.take())) {
+    if (request.attempts < (wasReached ? 3 : 8) && (request.receivedTokens > 0 || this.#retryBudget.take())) {
       this.#place(request)
       return true
     }
-    this.#forget(request)
+    this.#removeRequest(request)
     return false
   }
 
@@ -95,18 +95,18 @@
     const at = this.#host.now()
     for (const owned of this.#shards.values()) this.#step(owned, { type: 'tick', at })
     for (const placer of this.#placers.values()) placer.tick()
-    if (at < this.#loadsAt) return
-    this.#loadsAt = at + loadsEveryMs
-    this.#tellLoads()
+    if (at < this.#nextLoadsAt) return
+    this.#nextLoadsAt = at + loadsEveryMs
+    this.#publishLoads()
   }
 
   noteBoxLost (box: BoxId): void {
-    this.#alive = this.#alive.filter(id => id !== box)
-    this.#host.after(lossNoticedMs, () => {
+    this.#liveBoxes = this.#liveBoxes.filter(id => id !== box)
+    this.#host.after(failureDetectionMs, () => {
       for (const owned of this.#shards.values()) {
         if (owned.owner !== box) this.#step(owned, { type: 'boxLost', at: this.#host.now(), box })
       }
-      this.#moveOwners(box)
+      this.#reassignShards(box)
     })
   }
 
@@ -123,142 +123,142 @@
   }
 
   #createShards (): void {
-    const { way, perShard } = this.#sharing
+    const { mode, maxEnginesPerShard } = this.#sharing
     const engines = this.#host.engines.map(engine => ({ id: engine.id, pool, zone: engine.zone }))
-    if (way === 'owned') {
-      const shards = partEngines(engines, () => [model], perShard)
-      const owners = this.#assign(shards)
+    if (mode === 'owned') {
+      const shards = partEngines(engines, () => [model], maxEnginesPerShard)
+      const owners = this.#assignOwners(shards)
       for (const shard of shards) this.#addShard(shard, owners.get(shard.id), 1)
       return
     }
     for (const { id, zone } of this.#host.boxes) {
       const shard: Shard = { id: brandId<ShardId>(`all/${id}`), pool, zone: nameZone(zone), engines: engines.map(one => one.id), models: [model] }
-      this.#addShard(shard, id, way === 'credits' ? 1 / this.#host.boxes.length : 1)
+      this.#addShard(shard, id, mode === 'credits' ? 1 / this.#host.boxes.length : 1)
     }
   }
 
-  #addShard (shard: Shard, owner: BoxId | undefined, part: number): void {
+  #addShard (shard: Shard, owner: BoxId | undefined, placeShare: number): void {
     const { places, floorPlaces, shape } = this.#host.user
-    const own = new Set(shard.engines)
+    const shardEngines = new Set(shard.engines)
     const engines: EngineSpec[] = []
     for (const { id } of this.#host.engines) {
-      if (!own.has(id)) continue
-      engines.push({ id, models: [model], places: Math.max(1, Math.round(places * part)), floorPlaces: this.#sharing.floorPlaces ?? floorPlaces, prefillMs: shape.prefillMs })
+      if (!shardEngines.has(id)) continue
+      engines.push({ id, models: [model], places: Math.max(1, Math.round(places * placeShare)), floorPlaces: this.#sharing.floorPlaces ?? floorPlaces, prefillMs: shape.prefillMs })
     }
     const classes = this.#host.user.traffic.map(one => one.class)
     const scheduler = new Scheduler({ ...defaultTuning, classes, engines }, () => this.#host.random())
     this.#shards.set(shard.id, { shard, scheduler, owner })
   }
 
-  #assign (shards: readonly Shard[]): Map<ShardId, BoxId> {
-    return assignOwners(shards, this.#alive.map(id => ({ id, zone: nameZone(this.#zones.get(id) ?? 0) })))
+  #assignOwners (shards: readonly Shard[]): Map<ShardId, BoxId> {
+    return assignOwners(shards, this.#liveBoxes.map(id => ({ id, zone: nameZone(this.#zones.get(id) ?? 0) })))
   }
 
   // A new owner begins without the old one's queue: boxes tell it what they have.
-  #moveOwners (lost: BoxId): void {
-    const owners = this.#assign([...this.#shards.values()].map(owned => owned.shard))
+  #reassignShards (failedBox: BoxId): void {
+    const owners = this.#assignOwners([...this.#shards.values()].map(owned => owned.shard))
     for (const [id, owned] of [...this.#shards]) {
-      if (this.#sharing.way === 'owned') {
+      if (this.#sharing.mode === 'owned') {
         if (owned.owner !== owners.get(id)) this.#addShard(owned.shard, owners.get(id), 1)
-      } else if (owned.owner === lost) {
+      } else if (owned.owner === failedBox) {
         this.#shards.delete(id)
       }
     }
-    this.#tellShards()
+    this.#publishShards()
   }
 
-  #tellShards (): void {
+  #publishShards (): void {
     for (const [box, placer] of this.#placers) {
-      const shards = [...this.#shards.values()].filter(one => this.#sharing.way === 'owned' || one.owner === box)
+      const shards = [...this.#shards.values()].filter(one => this.#sharing.mode === 'owned' || one.owner === box)
       placer.setShards(shards.map(({ shard, owner }) => ({ id: shard.id, zone: shard.zone, models: shard.models, owner })))
     }
   }
 
-  #tellLoads (): void {
+  #publishLoads (): void {
     for (const [box, placer] of this.#placers) {
       for (const { shard, scheduler, owner } of this.#shards.values()) {
         if (owner === undefined || !this.#isReachable(box, owner)) continue
         const { load } = scheduler
-        this.#host.after(owner === box ? 0 : farMs, () => placer.noteLoads(owner, [[shard.id, load]]))
+        this.#host.after(owner === box ? 0 : crossZoneDelayMs, () => placer.noteLoads(owner, [[shard.id, load]]))
       }
     }
   }
 
   #isReachable (box: BoxId, owner: BoxId): boolean {
-    return this.#alive.includes(owner) && (box === owner || this.#host.canReach(box, this.#zones.get(owner) ?? 0))
+    return this.#liveBoxes.includes(owner) && (box === owner || this.#host.canReach(box, this.#zones.get(owner) ?? 0))
   }
 
   #place (request: SimRequest): void {
     const now = this.#host.now()
-    const { class: wanted } = request
+    const { class: requestClass } = request
     const submission: Submission = {
       request: request.id,
-      attempt: (request.attempts + 1) * attemptsApart,
+      attempt: (request.attempts + 1) * attemptStride,
       box: request.box,
-      class: wanted.name,
+      class: requestClass.name,
       workspace: request.workspace,
       model,
-      promptTokens: request.promptTokens + request.given,
+      promptTokens: request.promptTokens + request.receivedTokens,
       prefix: request.prefix,
-      deadline: request.attempts === 0 ? request.arrivedAt + wanted.firstTokenMs : now + wanted.firstTokenMs,
+      deadline: request.attempts === 0 ? request.arrivedAt + requestClass.firstTokenMs : now + requestClass.firstTokenMs,
       exclude: this.#excluded.get(request) ?? [],
-      resumed: request.given > 0
+      resumed: request.receivedTokens > 0
     }
-    this.#placers.get(request.box)?.place(submission, wanted.mayWait, placement => this.#takePlacement(request, placement))
+    this.#placers.get(request.box)?.place(submission, requestClass.mayWait, placement => this.#handlePlacement(request, placement))
   }
 
-  #takePlacement (request: SimRequest, placement: Placement): void {
-    if (request.end !== null) return
+  #handlePlacement (request: SimRequest, placement: Placement): void {
+    if (request.outcome !== null) return
     switch (placement.type) {
       case 'granted':
-        this.#placed.add(request)
+        this.#granted.add(request)
         return this.#host.send(request, placement.engine, placement.priority)
       case 'refused':
-        this.#forget(request)
+        this.#removeRequest(request)
         return this.#host.refuse(request)
     }
   }
 
-  #end (request: SimRequest, how: StreamEnd): void {
-    this.#placed.delete(request)
-    this.#placers.get(request.box)?.end(request.id, how, request.given)
+  #endAttempt (request: SimRequest, how: StreamEnd): void {
+    this.#granted.delete(request)
+    this.#placers.get(request.box)?.end(request.id, how, request.receivedTokens)
   }
 
-  #forget (request: SimRequest): void {
-    this.#placed.delete(request)
+  #removeRequest (request: SimRequest): void {
+    this.#granted.delete(request)
     this.#excluded.delete(request)
     this.#requests.delete(request.id)
   }
 
-  #deliver (from: BoxId, owner: BoxId, shard: ShardId, word: ShardWord): boolean {
+  #deliver (from: BoxId, owner: BoxId, shard: ShardId, message: ShardWord): boolean {
     const owned = this.#shards.get(shard)
     if (owned === undefined || owned.owner !== owner || !this.#isReachable(from, owner)) return false
-    if (word.type === 'submit') this.#host.noteSubmitted(from !== owner)
+    if (message.type === 'submit') this.#host.noteSubmitted(from !== owner)
     if (from === owner) {
-      this.#take(owned, word)
+      this.#handleMessage(owned, message)
       return true
     }
     this.#host.after(this.#measureDelay(from, owner), () => {
-      if (this.#shards.get(shard) === owned && this.#isReachable(from, owner)) this.#take(owned, word)
+      if (this.#shards.get(shard) === owned && this.#isReachable(from, owner)) this.#handleMessage(owned, message)
     })
     return true
   }
 
   #measureDelay (from: BoxId, to: BoxId): number {
-    return this.#zones.get(from) === this.#zones.get(to) ? nearMs : farMs
+    return this.#zones.get(from) === this.#zones.get(to) ? sameZoneDelayMs : crossZoneDelayMs
   }
 
-  #take (owned: Owned, word: ShardWord): void {
+  #handleMessage (owned: OwnedShard, message: ShardWord): void {
     const at = this.#host.now()
-    if (word.type === 'submit') this.#step(owned, { type: 'submit', at, submission: { ...word.submission, deadline: at + word.leftMs } })
-    else this.#step(owned, { ...word, at })
+    if (message.type === 'submit') this.#step(owned, { type: 'submit', at, submission: { ...message.submission, deadline: at + message.leftMs } })
+    else this.#step(owned, { ...message, at })
   }
 
-  #step (owned: Owned, event: SchedulerEvent): void {
+  #step (owned: OwnedShard, event: SchedulerEvent): void {
     for (const action of owned.scheduler.step(event)) this.#perform(owned, action)
   }
 
-  #perform (owned: Owned, action: SchedulerAction): void {
+  #perform (owned: OwnedShard, action: SchedulerAction): void {
     switch (action.type) {
       case 'grant':
       case 'refuse': {
@@ -270,7 +270,7 @@
           if (this.#isReachable(action.box, owner)) placer.receive(owned.shard.id, action)
         })
       }
-      case 'yield': return this.#host.notePaused()
+      case 'yield': return this.#host.notePreempted()
       case 'violation': return this.#host.noteViolation(action.rule, action.detail)
     }
   }
@@ -281,6 +281,6 @@
 }
 
 /** A maker of the product's policy with one way of sharing engines. */
-export function createShardPolicy (sharing: Sharing): (host: PolicyHost) => Policy {
+export function createShardPolicy (sharing: SharingOptions): (host: PolicyHost) => Policy {
   return host => new ShardPolicy(host, sharing)
 }
--- a/src/measure/sim-engine.ts
+++ b/src/measure/sim-engine.ts
@@ -11,8 +11,8 @@
   noteFailed (request: SimRequest, engine: EngineId, wasReached: boolean): void
 }
 
-const promptWeight = 0.015
-const refuseMs = 1
+const promptTokenEffort = 0.015
+const connectionRefusedMs = 1
 
 /** An engine in virtual time. */
 export class SimEngine {
@@ -39,11 +39,11 @@
 
   /** Takes a request, or fails it where the engine is down. */
   add (request: SimRequest, priority: number): void {
-    if (this.#isDown) return this.#queue.after(refuseMs, () => this.#host.noteFailed(request, this.id, false))
+    if (this.#isDown) return this.#queue.after(connectionRefusedMs, () => this.#host.noteFailed(request, this.id, false))
     this.#streams.set(request.id, request)
-    request.effort += request.promptTokens * promptWeight
-    this.#model.add({ id: request.id, priority, promptTokens: request.promptTokens + request.given, prefix: request.prefix, tokens: request.tokens - request.given })
-    this.#wake()
+    request.effort += request.promptTokens * promptTokenEffort
+    this.#model.add({ id: request.id, priority, promptTokens: request.promptTokens + request.receivedTokens, prefix: request.prefix, tokens: request.tokens - request.receivedTokens })
+    this.#runNextStep()
   }
 
   cancel (request: SimRequest): void {
@@ -54,9 +54,9 @@
   /** Ends every stream; the engine takes nothing until it's back up. */
   crash (): void {
     this.#isDown = true
-    const lost = [...this.#streams.values()]
-    for (const request of lost) this.cancel(request)
-    for (const request of lost) this.#host.noteFailed(request, this.id, true)
+    const interrupted = [...this.#streams.values()]
+    for (const request of interrupted) this.cancel(request)
+    for (const request of interrupted) this.#host.noteFailed(request, this.id, true)
   }
 
   recover (): void {
@@ -67,27 +67,27 @@
     return { running: this.#model.running, waiting: this.#model.waiting, kvUsed: this.#model.kvUsed, stepMs: this.#lastStepMs, leaving: false }
   }
 
-  #wake (): void {
+  #runNextStep (): void {
     if (this.#isStepping || this.#model.isIdle || this.#isDown) return
     this.#isStepping = true
     const { ms, tokens, finished } = this.#model.step()
     this.#lastStepMs = ms
     this.#queue.after(ms, () => {
       this.#isStepping = false
-      for (const id of tokens) this.#give(id)
-      for (const id of finished) this.#finish(id)
-      this.#wake()
+      for (const id of tokens) this.#deliverToken(id)
+      for (const id of finished) this.#finishStream(id)
+      this.#runNextStep()
     })
   }
 
-  #give (id: string): void {
+  #deliverToken (id: string): void {
     const request = this.#streams.get(id)
     if (request === undefined) return
     request.effort += 1
     this.#host.noteToken(request)
   }
 
-  #finish (id: string): void {
+  #finishStream (id: string): void {
     const request = this.#streams.get(id)
     if (request === undefined) return
     this.#streams.delete(id)
--- a/src/measure/sim-request.ts
+++ b/src/measure/sim-request.ts
@@ -2,7 +2,7 @@
 import type { ClassTraffic } from './user-profile.js'
 
 /** How a request ended. */
-export type SimEnd = 'finished' | 'refused' | 'left' | 'failed'
+export type SimOutcome = 'finished' | 'refused' | 'left' | 'failed'
 
 /** A request in a run, from arrival to end. */
 export interface SimRequest {
@@ -17,13 +17,13 @@
   readonly arrivedAt: number
   engine: EngineId | null
   /** Tokens that the caller has. */
-  given: number
-  firstAt: number | null
-  lastAt: number
+  receivedTokens: number
+  firstTokenAt: number | null
+  lastTokenAt: number
   lateGaps: number
   /** Engine effort so far, in tokens; and the part that was lost. */
   effort: number
-  lost: number
+  wastedEffort: number
   attempts: number
-  end: SimEnd | null
+  outcome: SimOutcome | null
 }
--- a/src/measure/simulation.ts
+++ b/src/measure/simulation.ts
@@ -3,11 +3,11 @@
 import type { BoxId, EngineId, RequestId, WorkspaceName, ZoneName } from '../core/index.js'
 import { createRandom } from '../runtime/index.js'
 import { EventQueue } from './event-queue.js'
-import type { Policy, PolicyHost, PolicyMaker } from './policy.js'
+import type { Policy, PolicyHost, PolicyFactory } from './policy.js'
 import { computeBurstFactor } from './scenario.js'
 import type { Scenario } from './scenario.js'
 import { SimEngine } from './sim-engine.js'
-import type { SimEnd, SimRequest } from './sim-request.js'
+import type { SimOutcome, SimRequest } from './sim-request.js'
 import { Tally } from './tally.js'
 import type { ClassTraffic, UserProfile } from './user-profile.js'
 
@@ -15,12 +15,12 @@
 const callerDelayMs = 1
 const tickMs = 15
 const reportEveryMs = 1000
-const settleMs = 600_000
+const maxDrainMs = 600_000
 
 /** What went on beside the classes' figures. */
-export interface RunNotes {
+export interface RunResult {
   readonly tally: Tally
-  readonly paused: number
+  readonly preempted: number
   /** Submissions that crossed between boxes, and those that did not. */
   readonly submitted: { readonly remote: number, readonly local: number }
   readonly violations: readonly string[]
@@ -40,14 +40,14 @@
   #boxZones = new Map<BoxId, number>()
   #policy: Policy
   #tally: Tally
-  #open = new Set<SimRequest>()
-  #counter = 0
-  #paused = 0
+  #openRequests = new Set<SimRequest>()
+  #requestCount = 0
+  #preempted = 0
   #submitted = { remote: 0, local: 0 }
   #violations: string[] = []
-  #lostBox: BoxId | null = null
+  #failedBox: BoxId | null = null
 
-  constructor (user: UserProfile, scenario: Scenario, make: PolicyMaker, seed: number) {
+  constructor (user: UserProfile, scenario: Scenario, createPolicy: PolicyFactory, seed: number) {
     this.#user = user
     this.#scenario = scenario
     this.#random = createRandom(seed)
@@ -55,19 +55,19 @@
     this.#tally = new Tally(user)
     this.#createEngines()
     this.#createBoxes()
-    this.#policy = make(this.#createHost())
+    this.#policy = createPolicy(this.#createHost())
   }
 
   /** Runs the scenario to its end, and then until what was accepted has ended. */
-  run (): RunNotes {
+  run (): RunResult {
     for (const traffic of this.#user.traffic) this.#scheduleArrival(traffic)
     this.#scheduleFaults()
     this.#repeat(tickMs, () => this.#policy.tick())
-    this.#repeat(reportEveryMs, () => this.#report())
+    this.#repeat(reportEveryMs, () => this.#sendReports())
     this.#queue.runUntil(this.#scenario.durationMs)
-    const until = this.#scenario.durationMs + settleMs
-    while (this.#open.size > 0 && this.#queue.now < until) this.#queue.runUntil(this.#queue.now + 1000)
-    return { tally: this.#tally, paused: this.#paused, submitted: this.#submitted, violations: this.#violations, unfinished: this.#open.size }
+    const until = this.#scenario.durationMs + maxDrainMs
+    while (this.#openRequests.size > 0 && this.#queue.now < until) this.#queue.runUntil(this.#queue.now + 1000)
+    return { tally: this.#tally, preempted: this.#preempted, submitted: this.#submitted, violations: this.#violations, unfinished: this.#openRequests.size }
   }
 
   #createEngines (): void {
@@ -104,17 +104,17 @@
       zoneOf: engine => this.#zones.get(engine) ?? 0,
       send: (request, engine, priority) => this.#send(request, engine, priority),
       refuse: request => this.#end(request, 'refused'),
-      notePaused: () => { this.#paused += 1 },
+      notePreempted: () => { this.#preempted += 1 },
       noteSubmitted: isRemote => { this.#submitted[isRemote ? 'remote' : 'local'] += 1 },
       noteViolation: (rule, detail) => { this.#violations.push(`${rule}: ${detail}`) }
     }
   }
 
   #canReach (box: BoxId, zone: number): boolean {
-    const { cut } = this.#scenario
+    const { partition } = this.#scenario
     const { now } = this.#queue
-    if (cut === null || now < cut.fromMs || now >= cut.untilMs) return true
-    return (this.#boxZones.get(box) === cut.zone) === (zone === cut.zone)
+    if (partition === null || now < partition.fromMs || now >= partition.untilMs) return true
+    return (this.#boxZones.get(box) === partition.zone) === (zone === partition.zone)
   }
 
   #repeat (everyMs: number, run: () => void): void {
@@ -128,16 +128,16 @@
 
   #scheduleArrival (traffic: ClassTraffic): void {
     const waitMs = -Math.log(1 - this.#random()) * 1000 / this.#findRate(traffic)
-    const next = this.#cutAtChange(waitMs)
+    const next = this.#truncateAtRateChange(waitMs)
     if (this.#queue.now + next.waitMs >= this.#scenario.durationMs) return
     this.#queue.after(next.waitMs, () => {
-      if (next.arrives) this.#arrive(traffic)
+      if (next.arrives) this.#handleArrival(traffic)
       this.#scheduleArrival(traffic)
     })
   }
 
   // A wait that reaches past a change of rate is drawn anew from there.
-  #cutAtChange (waitMs: number): { readonly waitMs: number, readonly arrives: boolean } {
+  #truncateAtRateChange (waitMs: number): { readonly waitMs: number, readonly arrives: boolean } {
     const { burst } = this.#scenario
     const { now } = this.#queue
     for (const change of burst === null ? [] : [burst.fromMs, burst.untilMs]) {
@@ -149,17 +149,17 @@
   #findRate (traffic: ClassTraffic): number {
     const { burst } = this.#scenario
     const { now } = this.#queue
-    if (burst === null || traffic.class.name !== this.#user.burst || now < burst.fromMs || now >= burst.untilMs) return traffic.rate
-    return traffic.rate * computeBurstFactor(this.#user, burst.times)
+    if (burst === null || traffic.class.name !== this.#user.burstingClass || now < burst.fromMs || now >= burst.untilMs) return traffic.rate
+    return traffic.rate * computeBurstFactor(this.#user, burst.capacityMultiple)
   }
 
-  #arrive (traffic: ClassTraffic): void {
-    this.#counter += 1
+  #handleArrival (traffic: ClassTraffic): void {
+    this.#requestCount += 1
     const box = this.#boxes[Math.floor(this.#random() * this.#boxes.length)]
     const workspace = this.#drawWorkspace()
     const tokens = Math.max(1, Math.round(traffic.tokens * Math.exp(traffic.spread * this.#drawNormal())))
     const request: SimRequest = {
-      id: brandId<RequestId>(`r${this.#counter}`),
+      id: brandId<RequestId>(`r${this.#requestCount}`),
       traffic,
       class: traffic.class,
       workspace: brandId<WorkspaceName>(workspace),
@@ -169,23 +169,23 @@
       prefix: `${workspace}/${traffic.class.name}/${Math.floor(this.#random() * 4)}`,
       arrivedAt: this.#queue.now,
       engine: null,
-      given: 0,
-      firstAt: null,
-      lastAt: 0,
+      receivedTokens: 0,
+      firstTokenAt: null,
+      lastTokenAt: 0,
       lateGaps: 0,
       effort: 0,
-      lost: 0,
+      wastedEffort: 0,
       attempts: 0,
-      end: null
+      outcome: null
     }
-    if (box.id === this.#lostBox) return this.#end(request, 'failed')
-    this.#open.add(request)
-    this.#queue.after(traffic.patienceMs, () => this.#loseCaller(request))
+    if (box.id === this.#failedBox) return this.#end(request, 'failed')
+    this.#openRequests.add(request)
+    this.#queue.after(traffic.callerTimeoutMs, () => this.#cancelOnTimeout(request))
     this.#policy.arrive(request)
   }
 
   #drawWorkspace (): string {
-    const isLarge = this.#random() < this.#scenario.largeShare
+    const isLarge = this.#random() < this.#scenario.largeWorkspaceShare
     const number = isLarge ? Math.floor(this.#random() * 2) : 2 + Math.floor(this.#random() * (this.#user.workspaces - 2))
     return `workspace-${number}`
   }
@@ -201,7 +201,7 @@
     request.attempts += 1
     const { attempts } = request
     this.#queue.after(engineDelayMs, () => {
-      if (request.end !== null || request.attempts !== attempts) return
+      if (request.outcome !== null || request.attempts !== attempts) return
       const zone = this.#zones.get(engine) ?? 0
       if (!this.#canReach(request.box, zone)) return this.#noteFailed(request, engine, false)
       this.#findEngine(engine).add(request, priority)
@@ -214,14 +214,14 @@
 
   #noteToken (request: SimRequest): void {
     const now = this.#queue.now + engineDelayMs + callerDelayMs
-    request.given += 1
-    if (request.firstAt === null) {
-      request.firstAt = now
+    request.receivedTokens += 1
+    if (request.firstTokenAt === null) {
+      request.firstTokenAt = now
       this.#policy.noteFirstToken(request)
-    } else if (now - request.lastAt > request.class.betweenTokenMs) {
+    } else if (now - request.lastTokenAt > request.class.betweenTokenMs) {
       request.lateGaps += 1
     }
-    request.lastAt = now
+    request.lastTokenAt = now
   }
 
   #noteFinished (request: SimRequest): void {
@@ -230,38 +230,38 @@
   }
 
   #noteFailed (request: SimRequest, engine: EngineId, wasReached: boolean): void {
-    if (request.end !== null) return
+    if (request.outcome !== null) return
     if (!this.#policy.noteFailed(request, engine, wasReached)) this.#end(request, 'failed')
   }
 
-  #loseCaller (request: SimRequest): void {
-    if (request.end !== null || request.firstAt !== null) return
+  #cancelOnTimeout (request: SimRequest): void {
+    if (request.outcome !== null || request.firstTokenAt !== null) return
     if (request.engine !== null) this.#findEngine(request.engine).cancel(request)
     this.#end(request, 'left')
-    this.#policy.noteLeft(request)
+    this.#policy.noteCancelled(request)
   }
 
-  #end (request: SimRequest, end: SimEnd): void {
-    if (request.end !== null) return
-    request.end = end
-    this.#open.delete(request)
+  #end (request: SimRequest, outcome: SimOutcome): void {
+    if (request.outcome !== null) return
+    request.outcome = outcome
+    this.#openRequests.delete(request)
     this.#tally.add(request, this.#queue.now)
   }
 
   // Faults.
 
   #scheduleFaults (): void {
-    const { slow, crashes, dead, boxLost } = this.#scenario
-    if (slow !== null) this.#queue.after(slow.fromMs, () => this.#pick(slow.share).forEach(engine => { engine.slowFactor = slow.factor }))
-    if (dead !== null) this.#queue.after(dead.fromMs, () => this.#pick(dead.share).forEach(engine => engine.crash()))
+    const { slow, crashes, dead, boxFailure } = this.#scenario
+    if (slow !== null) this.#queue.after(slow.fromMs, () => this.#sampleEngines(slow.share).forEach(engine => { engine.slowFactor = slow.factor }))
+    if (dead !== null) this.#queue.after(dead.fromMs, () => this.#sampleEngines(dead.share).forEach(engine => engine.crash()))
     if (crashes !== null) this.#repeatCrashes(crashes)
-    if (boxLost !== null) this.#queue.after(boxLost.atMs, () => this.#loseBox(this.#boxes[boxLost.box].id))
+    if (boxFailure !== null) this.#queue.after(boxFailure.atMs, () => this.#failBox(this.#boxes[boxFailure.box].id))
   }
 
   #repeatCrashes (crashes: NonNullable<Scenario['crashes']>): void {
     this.#queue.after(crashes.everyMs, () => {
       if (this.#queue.now >= this.#scenario.durationMs) return
-      for (const engine of this.#pick(crashes.share)) {
+      for (const engine of this.#sampleEngines(crashes.share)) {
         engine.crash()
         this.#queue.after(crashes.downMs, () => engine.recover())
       }
@@ -269,13 +269,13 @@
     })
   }
 
-  #pick (share: number): SimEngine[] {
+  #sampleEngines (share: number): SimEngine[] {
     return this.#engines.filter(() => this.#random() < share)
   }
 
-  #loseBox (box: BoxId): void {
-    this.#lostBox = box
-    for (const request of [...this.#open]) {
+  #failBox (box: BoxId): void {
+    this.#failedBox = box
+    for (const request of [...this.#openRequests]) {
       if (request.box !== box) continue
       if (request.engine !== null) this.#findEngine(request.engine).cancel(request)
       this.#end(request, 'failed')
@@ -283,7 +283,7 @@
     this.#policy.noteBoxLost(box)
   }
 
-  #report (): void {
+  #sendReports (): void {
     for (const engine of this.#engines) {
       const report = engine.report()
       this.#queue.after(this.#scenario.reportLagMs, () => this.#policy.report(engine.id, report))
--- a/src/measure/tally.ts
+++ b/src/measure/tally.ts
@@ -8,7 +8,7 @@
   offered: number
   finished: number
   /** Finished within every target of the class. */
-  met: number
+  metTargets: number
   refused: number
   left: number
   failed: number
@@ -20,7 +20,7 @@
   wasted: number
 }
 
-const lateShare = 0.05
+const maxLateShare = 0.05
 
 /** Counts how requests ended, by class. */
 export class Tally {
@@ -28,7 +28,7 @@
 
   constructor (user: UserProfile) {
     for (const { class: one } of user.traffic) {
-      this.#figures.set(one.name, { class: one.name, offered: 0, finished: 0, met: 0, refused: 0, left: 0, failed: 0, worstWaitMs: 0, effort: 0, wasted: 0 })
+      this.#figures.set(one.name, { class: one.name, offered: 0, finished: 0, metTargets: 0, refused: 0, left: 0, failed: 0, worstWaitMs: 0, effort: 0, wasted: 0 })
     }
   }
 
@@ -39,12 +39,12 @@
     if (figures === undefined) return
     figures.offered += 1
     figures.effort += request.effort
-    if (request.firstAt !== null) figures.worstWaitMs = Math.max(figures.worstWaitMs, request.firstAt - request.arrivedAt)
-    switch (request.end) {
+    if (request.firstTokenAt !== null) figures.worstWaitMs = Math.max(figures.worstWaitMs, request.firstTokenAt - request.arrivedAt)
+    switch (request.outcome) {
       case 'finished':
         figures.finished += 1
-        figures.wasted += request.lost
-        if (isMet(request, now)) figures.met += 1
+        figures.wasted += request.wastedEffort
+        if (hasMetTargets(request, now)) figures.metTargets += 1
         return
       case 'refused':
         figures.refused += 1
@@ -59,9 +59,9 @@
   }
 }
 
-function isMet (request: SimRequest, now: number): boolean {
-  const { class: wanted, firstAt, arrivedAt, lateGaps, tokens } = request
-  if (firstAt === null || firstAt - arrivedAt > wanted.firstTokenMs) return false
-  if (lateGaps > lateShare * tokens) return false
-  return wanted.wholeMs === null || now - arrivedAt <= wanted.wholeMs
+function hasMetTargets (request: SimRequest, now: number): boolean {
+  const { class: targets, firstTokenAt, arrivedAt, lateGaps, tokens } = request
+  if (firstTokenAt === null || firstTokenAt - arrivedAt > targets.firstTokenMs) return false
+  if (lateGaps > maxLateShare * tokens) return false
+  return targets.wholeMs === null || now - arrivedAt <= targets.wholeMs
 }
--- a/src/measure/user-profile.ts
+++ b/src/measure/user-profile.ts
@@ -13,7 +13,7 @@
   readonly spread: number
   readonly promptTokens: number
   /** How long a caller waits for the first token before leaving, ms. */
-  readonly patienceMs: number
+  readonly callerTimeoutMs: number
 }
 
 /** A user's deployment. */
@@ -28,7 +28,7 @@
   readonly shape: EngineShape
   readonly traffic: readonly ClassTraffic[]
   /** The class that bursts. */
-  readonly burst: ClassName
+  readonly burstingClass: ClassName
 }
 
 const shape: EngineShape = {
@@ -57,11 +57,11 @@
   places: 8,
   floorPlaces: 1,
   shape,
-  burst: brandId<ClassName>('pitch-question'),
+  burstingClass: brandId<ClassName>('pitch-question'),
   traffic: [
-    { class: describeClass('pitch-question', 0, 400, 80, false), rate: 60, tokens: 60, spread: 0.5, promptTokens: 500, patienceMs: 5000 },
-    { class: describeClass('ranger-lookup', 0, 600, 80, false), rate: 25, tokens: 40, spread: 0.4, promptTokens: 300, patienceMs: 5000 },
-    { class: describeClass('itinerary-draft', 4, 20_000, 500, true), rate: 4, tokens: 700, spread: 0.6, promptTokens: 800, patienceMs: 60 * minuteMs }
+    { class: describeClass('pitch-question', 0, 400, 80, false), rate: 60, tokens: 60, spread: 0.5, promptTokens: 500, callerTimeoutMs: 5000 },
+    { class: describeClass('ranger-lookup', 0, 600, 80, false), rate: 25, tokens: 40, spread: 0.4, promptTokens: 300, callerTimeoutMs: 5000 },
+    { class: describeClass('itinerary-draft', 4, 20_000, 500, true), rate: 4, tokens: 700, spread: 0.6, promptTokens: 800, callerTimeoutMs: 60 * minuteMs }
   ]
 }
 
@@ -74,11 +74,11 @@
   places: 8,
   floorPlaces: 1,
   shape,
-  burst: brandId<ClassName>('quick-question'),
+  burstingClass: brandId<ClassName>('quick-question'),
   traffic: [
-    { class: describeClass('quick-question', 0, 400, 80, false), rate: 50, tokens: 50, spread: 0.5, promptTokens: 250, patienceMs: 5000 },
-    { class: describeClass('fitting-quote', 1, 1500, 100, false, 45_000), rate: 10, tokens: 350, spread: 0.5, promptTokens: 1200, patienceMs: 10_000 },
-    { class: describeClass('claim-tag', 5, 30_000, 500, true), rate: 20, tokens: 25, spread: 0.3, promptTokens: 600, patienceMs: 60 * minuteMs }
+    { class: describeClass('quick-question', 0, 400, 80, false), rate: 50, tokens: 50, spread: 0.5, promptTokens: 250, callerTimeoutMs: 5000 },
+    { class: describeClass('fitting-quote', 1, 1500, 100, false, 45_000), rate: 10, tokens: 350, spread: 0.5, promptTokens: 1200, callerTimeoutMs: 10_000 },
+    { class: describeClass('claim-tag', 5, 30_000, 500, true), rate: 20, tokens: 25, spread: 0.3, promptTokens: 600, callerTimeoutMs: 60 * minuteMs }
   ]
 }
 
--- a/src/report/group.ts
+++ b/src/report/group.ts
@@ -10,10 +10,10 @@
 }
 
 /** A mean over seeds with its least and largest. */
-export interface Spread {
+export interface SeedSpread {
   readonly mean: number
-  readonly least: number
-  readonly most: number
+  readonly min: number
+  readonly max: number
 }
 
 /** Groups rows over their seeds, in the order in which they come. */
@@ -32,7 +32,7 @@
 }
 
 /** The spread of one column. */
-export function readSpread (group: Group, column: 'attainment' | 'goodput' | 'wasted' | 'worstWaitMs' | 'offered' | 'finished' | 'shed' | 'left' | 'failed'): Spread {
+export function computeSpread (group: Group, column: 'attainment' | 'goodput' | 'wasted' | 'worstWaitMs' | 'offered' | 'finished' | 'shed' | 'left' | 'failed'): SeedSpread {
   const values = group.rows.map(row => row[column])
-  return { mean: values.reduce((sum, value) => sum + value, 0) / values.length, least: Math.min(...values), most: Math.max(...values) }
+  return { mean: values.reduce((sum, value) => sum + value, 0) / values.length, min: Math.min(...values), max: Math.max(...values) }
 }
--- a/src/report/tables.ts
+++ b/src/report/tables.ts
@@ -30,14 +30,14 @@
       lines.push(`| \`${path}.NAME\` | table | | ${field.about} |`)
       return addFields(lines, inner.fields, `${path}.NAME.`)
     case 'table':
-      lines.push(`| \`${path}\` | ${field.type === 'list' ? 'list of tables' : 'table'} | ${formatFallback(field)} | ${field.about} |`)
+      lines.push(`| \`${path}\` | ${field.type === 'list' ? 'list of tables' : 'table'} | ${formatDefault(field)} | ${field.about} |`)
       return addFields(lines, inner.fields, `${path}.`)
     default:
-      lines.push(`| \`${path}\` | ${describe(field)} | ${formatFallback(field)} | ${field.about} |`)
+      lines.push(`| \`${path}\` | ${describe(field)} | ${formatDefault(field)} | ${field.about} |`)
   }
 }
 
-function formatFallback (field: Field): string {
+function formatDefault (field: Field): string {
   if (field.fallback === undefined) return field.type === 'named' ? '' : 'required'
   if (field.fallback === null) return 'none'
   return `\`${JSON.stringify(field.fallback)}\``
--- a/src/standin/answer-text.ts
+++ b/src/standin/answer-text.ts
@@ -2,7 +2,7 @@
 import { createHash } from 'node:crypto'
 import type { ChatRequest } from '../protocol/index.js'
 
-const longestAnswer = 60
+const maxAnswerWords = 60
 
 /** An answer that any stand-in would give to a request, word by word. */
 export interface StandinAnswer {
@@ -17,9 +17,9 @@
   const messages = isResumed ? chat.messages.slice(0, -1) : chat.messages
   const digest = createHash('sha256').update(JSON.stringify([chat.model, messages])).digest()
   const limit = chat.max_completion_tokens ?? chat.max_tokens
-  const count = limit ?? 1 + digest.readUInt16LE(0) % longestAnswer
-  const stem = digest.subarray(2, 5).toString('hex')
-  const words = Array.from({ length: count }, (_, i) => `${stem}-${i} `)
+  const count = limit ?? 1 + digest.readUInt16LE(0) % maxAnswerWords
+  const wordPrefix = digest.subarray(2, 5).toString('hex')
+  const words = Array.from({ length: count }, (_, i) => `${wordPrefix}-${i} `)
   const partial = isResumed ? String(chat.messages.at(-1)?.content ?? '') : ''
   return { words, given: partial.split(' ').length - 1 }
 }
--- a/src/standin/engine-loop.ts
+++ b/src/standin/engine-loop.ts
@@ -4,13 +4,13 @@
 /** What becomes of an engine's steps. */
 export interface EngineLoopHost {
   /** A stream got a token. */
-  give (id: string): void
+  noteToken (id: string): void
   /** A stream's answer is whole; its last token was given. */
-  finish (id: string): void
+  noteFinished (id: string): void
 }
 
 /** Below this a step's end is not waited for by a timer, ms: timers are no finer. */
-const leastTimerMs = 0.5
+const minTimerMs = 0.5
 
 /** Drives an engine's model by the clock, for as long as it has streams. */
 export class EngineLoop {
@@ -26,20 +26,20 @@
   }
 
   /** Goes on with the next step; to be called when a stream was added. */
-  wake (): void {
+  runNextStep (): void {
     if (this.#isStepping || this.#model.isIdle) return
     this.#isStepping = true
-    const began = performance.now()
+    const startedAt = performance.now()
     const { ms, tokens, finished } = this.#model.step()
     this.lastStepMs = ms
     const deliver = (): void => {
       this.#isStepping = false
-      for (const id of tokens) this.#host.give(id)
-      for (const id of finished) this.#host.finish(id)
-      this.wake()
+      for (const id of tokens) this.#host.noteToken(id)
+      for (const id of finished) this.#host.noteFinished(id)
+      this.runNextStep()
     }
-    const left = ms - (performance.now() - began)
-    if (left < leastTimerMs) setImmediate(deliver)
-    else setTimeout(deliver, left)
+    const remainingMs = ms - (performance.now() - startedAt)
+    if (remainingMs < minTimerMs) setImmediate(deliver)
+    else setTimeout(deliver, remainingMs)
   }
 }
--- a/src/standin/engine-model.ts
+++ b/src/standin/engine-model.ts
@@ -33,9 +33,9 @@
 
 interface ModelStream {
   readonly request: StreamRequest
-  readonly order: number
-  prefillLeft: number
-  given: number
+  readonly arrivalIndex: number
+  remainingPrefill: number
+  generatedTokens: number
   hasKv: boolean
 }
 
@@ -48,16 +48,16 @@
   readonly finished: readonly string[]
 }
 
-const prefillChunk = 2048
+const maxPrefillTokensPerStep = 2048
 
 export class EngineModel {
   #shape: EngineShape
   #streams = new Map<string, ModelStream>()
   #batch: ModelStream[] = []
-  #isStale = false
-  #order = 0
-  #prefixes = new Map<string, true>()
-  #evicted: string[] = []
+  #isBatchStale = false
+  #nextArrivalIndex = 0
+  #cachedPrefixes = new Map<string, true>()
+  #evictedPrefixes: string[] = []
   slowFactor = 1
   /** Steps' time so far, and the part of it spent on each stream by id. */
   busyMs = 0
@@ -71,17 +71,17 @@
   get isIdle (): boolean { return this.#streams.size === 0 }
   get kvUsed (): number {
     let used = 0
-    for (const stream of this.#streams.values()) if (stream.hasKv) used += measureContext(stream)
+    for (const stream of this.#streams.values()) if (stream.hasKv) used += countContextTokens(stream)
     return Math.min(1, used / this.#shape.kvTokens)
   }
 
   add (request: StreamRequest): void {
-    const cached = request.prefix !== null && this.#prefixes.has(request.prefix) ? this.#shape.prefixTokens : 0
-    if (request.prefix !== null) this.#keepPrefix(request.prefix)
-    const prefillLeft = Math.max(1, request.promptTokens - cached)
-    this.#streams.set(request.id, { request, order: this.#order, prefillLeft, given: 0, hasKv: false })
-    this.#order += 1
-    this.#isStale = true
+    const cached = request.prefix !== null && this.#cachedPrefixes.has(request.prefix) ? this.#shape.prefixTokens : 0
+    if (request.prefix !== null) this.#cachePrefix(request.prefix)
+    const remainingPrefill = Math.max(1, request.promptTokens - cached)
+    this.#streams.set(request.id, { request, arrivalIndex: this.#nextArrivalIndex, remainingPrefill, generatedTokens: 0, hasKv: false })
+    this.#nextArrivalIndex += 1
+    this.#isBatchStale = true
   }
 
   /** Ends a stream; its tokens given so far, or undefined where it isn't here. */
@@ -89,28 +89,28 @@
     const stream = this.#streams.get(id)
     if (stream === undefined) return undefined
     this.#streams.delete(id)
-    this.#isStale = true
-    return stream.given
+    this.#isBatchStale = true
+    return stream.generatedTokens
   }
 
   /** Runs one step. */
   step (): StepResult {
-    if (this.#isStale) this.#chooseBatch()
+    if (this.#isBatchStale) this.#chooseBatch()
     const tokens: string[] = []
     const finished: string[] = []
     let prefill = 0
     let context = 0
     for (const stream of this.#batch) {
-      if (stream.prefillLeft > 0) {
-        const chunk = Math.min(stream.prefillLeft, prefillChunk - prefill)
-        stream.prefillLeft -= chunk
+      if (stream.remainingPrefill > 0) {
+        const chunk = Math.min(stream.remainingPrefill, maxPrefillTokensPerStep - prefill)
+        stream.remainingPrefill -= chunk
         prefill += chunk
-        if (stream.prefillLeft > 0) continue
+        if (stream.remainingPrefill > 0) continue
       }
-      context += measureContext(stream)
-      stream.given += 1
+      context += countContextTokens(stream)
+      stream.generatedTokens += 1
       tokens.push(stream.request.id)
-      if (stream.given >= stream.request.tokens) finished.push(stream.request.id)
+      if (stream.generatedTokens >= stream.request.tokens) finished.push(stream.request.id)
     }
     for (const id of finished) this.remove(id)
     const { baseMs, streamMs, contextMs, prefillMs } = this.#shape
@@ -120,43 +120,43 @@
   }
 
   /** Prefixes dropped from the cache since the last call. */
-  takeEvicted (): string[] {
-    const evicted = this.#evicted
-    this.#evicted = []
+  drainEvicted (): string[] {
+    const evicted = this.#evictedPrefixes
+    this.#evictedPrefixes = []
     return evicted
   }
 
   #chooseBatch (): void {
-    this.#isStale = false
+    this.#isBatchStale = false
     const all = [...this.#streams.values()]
-    all.sort((a, b) => a.request.priority - b.request.priority || a.order - b.order)
+    all.sort((a, b) => a.request.priority - b.request.priority || a.arrivalIndex - b.arrivalIndex)
     this.#batch = all.slice(0, this.#shape.batch)
     let kv = 0
     for (const stream of all) {
-      kv += measureContext(stream)
+      kv += countContextTokens(stream)
       if (kv <= this.#shape.kvTokens) continue
-      this.#dropKv(stream)
+      this.#evictKv(stream)
     }
     for (const stream of this.#batch) stream.hasKv = true
   }
 
   // A stream that lost its KV takes in its prompt and answer once more.
-  #dropKv (stream: ModelStream): void {
+  #evictKv (stream: ModelStream): void {
     if (!stream.hasKv) return
     stream.hasKv = false
-    stream.prefillLeft = measureContext(stream)
+    stream.remainingPrefill = countContextTokens(stream)
   }
 
-  #keepPrefix (prefix: string): void {
-    this.#prefixes.delete(prefix)
-    this.#prefixes.set(prefix, true)
-    if (this.#prefixes.size <= this.#shape.prefixEntries) return
-    const [oldest] = this.#prefixes.keys()
-    this.#prefixes.delete(oldest)
-    this.#evicted.push(oldest)
+  #cachePrefix (prefix: string): void {
+    this.#cachedPrefixes.delete(prefix)
+    this.#cachedPrefixes.set(prefix, true)
+    if (this.#cachedPrefixes.size <= this.#shape.prefixEntries) return
+    const [oldest] = this.#cachedPrefixes.keys()
+    this.#cachedPrefixes.delete(oldest)
+    this.#evictedPrefixes.push(oldest)
   }
 }
 
-function measureContext (stream: ModelStream): number {
-  return stream.request.promptTokens + stream.given
+function countContextTokens (stream: ModelStream): number {
+  return stream.request.promptTokens + stream.generatedTokens
 }
--- a/src/standin/order-desk.ts
+++ b/src/standin/fenced-order-handler.ts
@@ -10,21 +10,21 @@
   | { readonly ok: false, readonly newest: number }
 
 /** Takes orders; where it checks, an order with a lower number is refused. */
-export class OrderDesk {
-  #checks: boolean
-  #newest = 0
-  readonly taken: OrderBody[] = []
+export class FencedOrderHandler {
+  #checksFencing: boolean
+  #highestFence = 0
+  readonly acceptedOrders: OrderBody[] = []
   readonly models: Set<string>
 
-  constructor (checks: boolean, models: readonly string[]) {
-    this.#checks = checks
+  constructor (checksFencing: boolean, models: readonly string[]) {
+    this.#checksFencing = checksFencing
     this.models = new Set(models)
   }
 
-  take (order: OrderBody): OrderAnswer {
-    if (this.#checks && order.fence < this.#newest) return { ok: false, newest: this.#newest }
-    this.#newest = Math.max(this.#newest, order.fence)
-    this.taken.push(order)
+  handle (order: OrderBody): OrderAnswer {
+    if (this.#checksFencing && order.fence < this.#highestFence) return { ok: false, newest: this.#highestFence }
+    this.#highestFence = Math.max(this.#highestFence, order.fence)
+    this.acceptedOrders.push(order)
     const { type, model } = order.action
     if (model !== undefined && type === 'load') this.models.add(model)
     if (model !== undefined && type === 'unload') this.models.delete(model)
--- a/src/standin/http-tools.ts
+++ b/src/standin/http-tools.ts
@@ -1,12 +1,12 @@
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 
 /** Reads a whole body; rejects where the sender leaves or it is too large. */
-export async function readBody (request: IncomingMessage, most = 16 * 2 ** 20): Promise<Buffer> {
+export async function readBody (request: IncomingMessage, maxBytes = 16 * 2 ** 20): Promise<Buffer> {
   const chunks: Buffer[] = []
   let size = 0
   for await (const chunk of request as AsyncIterable<Buffer>) {
     size += chunk.length
-    if (size > most) throw new RangeError('the body is too large')
+    if (size > maxBytes) throw new RangeError('the body is too large')
     chunks.push(chunk)
   }
   return Buffer.concat(chunks)
--- a/src/standin/paced-engine.ts
+++ b/src/standin/paced-engine.ts
@@ -8,10 +8,10 @@
 }
 
 interface PacedStream {
-  given: number
+  generatedTokens: number
   /** Events that were taken already. */
-  taken: number
-  wake: (() => void) | null
+  requestedEvents: number
+  resolveWait: (() => void) | null
 }
 
 /**
@@ -27,39 +27,39 @@
   constructor (shape: PacedEngineShape) {
     this.#shape = shape
     this.#model = new EngineModel(shape)
-    this.#loop = new EngineLoop(this.#model, { give: id => this.#give(id), finish: () => {} })
+    this.#loop = new EngineLoop(this.#model, { noteToken: id => this.#noteToken(id), noteFinished: () => {} })
   }
 
   /** Begins with a stream; `id` must be new. */
-  begin (id: string, promptTokens: number, events: number): void {
-    this.#streams.set(id, { given: 0, taken: 0, wake: null })
+  startStream (id: string, promptTokens: number, events: number): void {
+    this.#streams.set(id, { generatedTokens: 0, requestedEvents: 0, resolveWait: null })
     this.#model.add({ id, priority: 0, promptTokens, prefix: null, tokens: events * this.#shape.tokensPerEvent })
-    this.#loop.wake()
+    this.#loop.runNextStep()
   }
 
   /** Resolves once the next event of a stream is made, or the stream was dropped. */
   async awaitEvent (id: string): Promise<void> {
     const stream = this.#streams.get(id)
     if (stream === undefined) return
-    stream.taken += 1
-    while (this.#streams.has(id) && stream.given < stream.taken * this.#shape.tokensPerEvent) {
-      await new Promise<void>(resolve => { stream.wake = resolve })
+    stream.requestedEvents += 1
+    while (this.#streams.has(id) && stream.generatedTokens < stream.requestedEvents * this.#shape.tokensPerEvent) {
+      await new Promise<void>(resolve => { stream.resolveWait = resolve })
     }
   }
 
   /** Ends a stream; does nothing for one that is over. */
-  drop (id: string): void {
+  cancelStream (id: string): void {
     const stream = this.#streams.get(id)
     if (stream === undefined) return
     this.#streams.delete(id)
     this.#model.remove(id)
-    stream.wake?.()
+    stream.resolveWait?.()
   }
 
-  #give (id: string): void {
+  #noteToken (id: string): void {
     const stream = this.#streams.get(id)
     if (stream === undefined) return
-    stream.given += 1
-    stream.wake?.()
+    stream.generatedTokens += 1
+    stream.resolveWait?.()
   }
 }
--- a/src/standin/standin-endpoint.ts
+++ b/src/standin/standin-endpoint.ts
@@ -94,9 +94,9 @@
   isCalledOff: boolean
 }
 
-interface Pace {
-  before (): Promise<void>
-  after (): Promise<void>
+interface EventPacing {
+  awaitBeforeEvent (): Promise<void>
+  awaitAfterEvent (): Promise<void>
 }
 
 /** Number of a stream's events; a path ending in `/events-N` asks for N. */
@@ -133,10 +133,10 @@
   #sockets = new Set<Socket>()
   #isDown = false
   /** When its new life's first word was taken; null once it has had work since. */
-  #knownAt: number | null = null
+  #registeredAt: number | null = null
   #isClosed = false
   #engine: PacedEngine | null
-  #begun = 0
+  #streamCount = 0
 
   /** `engine`: how an engine reads and writes; null where events come by the clock. */
   constructor (id: string, headers: EndpointHeaders, engine: PacedEngineShape | null = null) {
@@ -177,7 +177,7 @@
   }
 
   /** Takes word that a box has taken the first word of its new life. */
-  noteKnown (): void { this.#knownAt = performance.now() }
+  noteKnown (): void { this.#registeredAt = performance.now() }
 
   /** True from its end under a request until it listens again. */
   get isDown (): boolean { return this.#isDown }
@@ -203,8 +203,8 @@
     }
     const run: EndpointRun = { requestId, method: request.method ?? '', path: request.url ?? '', headers: request.headers, body, isCalledOff: false }
     this.runs.push(run)
-    if (this.#knownAt !== null) this.backMs.push(performance.now() - this.#knownAt)
-    this.#knownAt = null
+    if (this.#registeredAt !== null) this.backMs.push(performance.now() - this.#registeredAt)
+    this.#registeredAt = null
     response.on('close', () => { if (!response.writableFinished) run.isCalledOff = true })
     const { crash } = this
     const isCrash = crash !== null && body.startsWith(crashMark)
@@ -216,24 +216,24 @@
     if (isCrash && !run.path.includes('/events')) return
     if (fault.type === 'lose') return void request.socket.destroy()
     if (fault.type === 'hang') return
-    if (fault.type === 'error') return this.#finish(response, requestId, 500, 'failed')
+    if (fault.type === 'error') return this.#sendAnswer(response, requestId, 500, 'failed')
     if (run.path.includes('/events')) return await this.#stream(run, request, response)
-    this.#finish(response, requestId, 200, composeWhole(run))
+    this.#sendAnswer(response, requestId, 200, composeWhole(run))
   }
 
-  #refuse (response: ServerResponse, requestId: string, status: number, more: Record<string, string> = {}): void {
-    response.writeHead(status, { ...this.#composeNotices(), ...more, [this.#headers.requestId]: requestId, [this.#headers.notRun]: '1', 'content-length': 0 })
+  #refuse (response: ServerResponse, requestId: string, status: number, extraHeaders: Record<string, string> = {}): void {
+    response.writeHead(status, { ...this.#composeNoticeHeaders(), ...extraHeaders, [this.#headers.requestId]: requestId, [this.#headers.notRun]: '1', 'content-length': 0 })
     response.end()
   }
 
-  #compose (requestId: string): Record<string, string> {
+  #composeHeaders (requestId: string): Record<string, string> {
     const { mark } = this.#headers
-    const headers: Record<string, string> = { ...this.#composeNotices(), [this.#headers.requestId]: this.fault.type === 'foreign' ? 'another' : requestId }
+    const headers: Record<string, string> = { ...this.#composeNoticeHeaders(), [this.#headers.requestId]: this.fault.type === 'foreign' ? 'another' : requestId }
     if (mark !== '' && this.fault.type !== 'unmarked') headers[mark] = `mark of ${this.id}`
     return headers
   }
 
-  #composeNotices (): Record<string, string> {
+  #composeNoticeHeaders (): Record<string, string> {
     const { limit, leaving } = this.#headers
     return {
       ...limit !== undefined && this.limit !== null ? { [limit]: String(this.limit) } : {},
@@ -241,8 +241,8 @@
     }
   }
 
-  #finish (response: ServerResponse, requestId: string, status: number, body: string): void {
-    const headers = this.#compose(requestId)
+  #sendAnswer (response: ServerResponse, requestId: string, status: number, body: string): void {
+    const headers = this.#composeHeaders(requestId)
     if (this.fault.type === 'unframed-reset') {
       const head = Object.entries(headers).map(([name, value]) => `${name}: ${value}\r\n`).join('')
       const { socket } = response
@@ -266,10 +266,10 @@
   async #stream (run: EndpointRun, request: IncomingMessage, response: ServerResponse): Promise<void> {
     const last = Number(request.headers[this.#headers.lastEvent.toLowerCase()] ?? 0)
     const count = Number(/events-(\d+)/.exec(run.path)?.[1] ?? defaultEvents)
-    const pace = this.#beginPace(request, response, count - last)
-    response.writeHead(200, { ...this.#compose(run.requestId), 'content-type': 'text/event-stream' })
+    const pacing = this.#createPacing(request, response, count - last)
+    response.writeHead(200, { ...this.#composeHeaders(run.requestId), 'content-type': 'text/event-stream' })
     for (let id = last + 1; id <= count; id++) {
-      await pace.before()
+      await pacing.awaitBeforeEvent()
       if (response.destroyed) return
       const event = composeEvent(run.path, id)
       if (this.fault.type === 'break' && id > this.fault.afterEvents) {
@@ -278,21 +278,21 @@
         return void response.destroy()
       }
       response.write(event)
-      await pace.after()
+      await pacing.awaitAfterEvent()
     }
     response.end()
   }
 
   // What a stream waits for before and after each of its events.
-  #beginPace (request: IncomingMessage, response: ServerResponse, events: number): Pace {
+  #createPacing (request: IncomingMessage, response: ServerResponse, events: number): EventPacing {
     const engine = this.#engine
-    if (engine === null) return { before: async () => {}, after: () => sleep(this.eventMs) }
-    this.#begun += 1
-    const stream = String(this.#begun)
+    if (engine === null) return { awaitBeforeEvent: async () => {}, awaitAfterEvent: () => sleep(this.eventMs) }
+    this.#streamCount += 1
+    const stream = String(this.#streamCount)
     const tokens = String(request.headers[this.#headers.tokens?.toLowerCase() ?? ''] ?? '')
-    engine.begin(stream, parseInt(tokens) || 1, events)
-    response.on('close', () => engine.drop(stream))
-    return { before: () => engine.awaitEvent(stream), after: async () => {} }
+    engine.startStream(stream, parseInt(tokens) || 1, events)
+    response.on('close', () => engine.cancelStream(stream))
+    return { awaitBeforeEvent: () => engine.awaitEvent(stream), awaitAfterEvent: async () => {} }
   }
 }
 
--- a/src/standin/standin-engine.ts
+++ b/src/standin/standin-engine.ts
@@ -11,22 +11,22 @@
 import { composeAnswer } from './answer-text.js'
 import { EngineLoop } from './engine-loop.js'
 import { EngineModel } from './engine-model.js'
-import { parseFault } from './fault-plan.js'
-import type { Fault } from './fault-plan.js'
+import { parseFault } from './engine-fault.js'
+import type { Fault } from './engine-fault.js'
 import { listenOn, readBody, sendJson } from './http-tools.js'
-import { OrderDesk } from './order-desk.js'
-import type { OrderBody } from './order-desk.js'
+import { FencedOrderHandler } from './fenced-order-handler.js'
+import type { OrderBody } from './fenced-order-handler.js'
 
 interface OpenStream {
   readonly chat: ChatRequest
   readonly response: ServerResponse
   readonly words: readonly string[]
-  readonly first: number
+  readonly firstWord: number
   readonly promptTokens: number
-  next: number
+  nextWord: number
 }
 
-interface StampedReport {
+interface TimestampedReport {
   readonly at: number
   readonly report: unknown
 }
@@ -37,7 +37,7 @@
 const prefixEntries = 64
 
 /** What an engine's record tells a checker: who asked, and how much was given. */
-export interface RanRecord {
+export interface RunRecord {
   readonly id: string
   given: number
   end: 'running' | 'whole' | 'cancelled' | 'crashed'
@@ -45,7 +45,7 @@
 
 export class StandinEngine {
   readonly settings: StandinEngineSettings
-  readonly ran = new Map<string, RanRecord>()
+  readonly ran = new Map<string, RunRecord>()
   port = 0
   #model: EngineModel
   #loop: EngineLoop
@@ -53,19 +53,19 @@
   #streams = new Map<string, OpenStream>()
   #fault: Fault = { type: 'none' }
   #counter = 0
-  #desk: OrderDesk
-  #reports: StampedReport[] = []
+  #orders: FencedOrderHandler
+  #reports: TimestampedReport[] = []
   #cacheEvents: string[] = []
-  #leaving = false
+  #isLeaving = false
   #timer: NodeJS.Timeout
 
   constructor (settings: StandinEngineSettings) {
     this.settings = settings
     const { batch, baseMs, streamMs, prefillMs, kvTokens } = settings
     this.#model = new EngineModel({ batch, baseMs, streamMs, prefillMs, kvTokens, contextMs, prefixTokens, prefixEntries })
-    this.#loop = new EngineLoop(this.#model, { give: id => this.#give(id), finish: id => this.#finish(id) })
-    this.#desk = new OrderDesk(settings.checksFencing, settings.models)
-    this.#timer = setInterval(() => this.#report(), reportEveryMs)
+    this.#loop = new EngineLoop(this.#model, { noteToken: id => this.#sendToken(id), noteFinished: id => this.#finishStream(id) })
+    this.#orders = new FencedOrderHandler(settings.checksFencing, settings.models)
+    this.#timer = setInterval(() => this.#recordReport(), reportEveryMs)
     this.#server.keepAliveTimeout = 60_000
   }
 
@@ -87,7 +87,7 @@
   }
 
   /** Says in its reports that it is leaving. */
-  leave (): void { this.#leaving = true }
+  leave (): void { this.#isLeaving = true }
 
   async #serve (request: IncomingMessage, response: ServerResponse): Promise<void> {
     try {
@@ -101,101 +101,101 @@
     const [path] = (request.url ?? '').split('?')
     switch (`${request.method} ${path}`) {
       case 'GET /health': return sendJson(response, 200, { ok: true })
-      case 'GET /v1/models': return sendJson(response, 200, { object: 'list', data: [...this.#desk.models].map(id => ({ id, object: 'model' })) })
-      case 'GET /v1/load': return sendJson(response, 200, this.#findReport())
+      case 'GET /v1/models': return sendJson(response, 200, { object: 'list', data: [...this.#orders.models].map(id => ({ id, object: 'model' })) })
+      case 'GET /v1/load': return sendJson(response, 200, this.#findDelayedReport())
       case 'GET /v1/cache/events': return sendJson(response, 200, { evicted: this.#cacheEvents.splice(0) })
       case 'GET /ran': return sendJson(response, 200, [...this.ran.values()])
-      case 'POST /v1/orders': return this.#order(await readBody(request), response)
-      case 'POST /fault': return this.#takeFault(await readBody(request), response)
-      case 'POST /v1/chat/completions': return await this.#chat(request, response)
+      case 'POST /v1/orders': return this.#handleOrder(await readBody(request), response)
+      case 'POST /fault': return this.#handleFault(await readBody(request), response)
+      case 'POST /v1/chat/completions': return await this.#handleChat(request, response)
       default: return sendJson(response, 404, { error: { message: `no ${path}` } })
     }
   }
 
-  #order (body: Buffer, response: ServerResponse): void {
-    const answer = this.#desk.take(JSON.parse(body.toString()) as OrderBody)
+  #handleOrder (body: Buffer, response: ServerResponse): void {
+    const answer = this.#orders.handle(JSON.parse(body.toString()) as OrderBody)
     sendJson(response, answer.ok ? 200 : 409, answer)
   }
 
-  #takeFault (body: Buffer, response: ServerResponse): void {
+  #handleFault (body: Buffer, response: ServerResponse): void {
     const fault = parseFault(JSON.parse(body.toString()))
     if (fault === null) return sendJson(response, 400, { error: { message: 'not a fault' } })
     this.setFault(fault)
     sendJson(response, 200, { ok: true })
   }
 
-  async #chat (request: IncomingMessage, response: ServerResponse): Promise<void> {
+  async #handleChat (request: IncomingMessage, response: ServerResponse): Promise<void> {
     if (this.#fault.type === 'reset') return void request.socket.destroy()
     const body = await readBody(request)
     if (this.#fault.type === 'hang') return
     if (this.#fault.type === 'refuse') return sendJson(response, 503, { error: { message: 'refused' } })
     const chat = parseChat(body)
     if (isBadChat(chat)) return sendJson(response, 400, { error: { message: chat.text } })
-    if (!this.#desk.models.has(chat.model)) return sendJson(response, 404, { error: { message: 'model not loaded' } })
-    this.#open(chat, body, String(request.headers['x-request-id'] ?? ''), response)
+    if (!this.#orders.models.has(chat.model)) return sendJson(response, 404, { error: { message: 'model not loaded' } })
+    this.#startStream(chat, body, String(request.headers['x-request-id'] ?? ''), response)
   }
 
-  #open (chat: ChatRequest, body: Buffer, asked: string, response: ServerResponse): void {
+  #startStream (chat: ChatRequest, body: Buffer, requestId: string, response: ServerResponse): void {
     this.#counter += 1
-    const id = `${asked}/${this.#counter}`
+    const id = `${requestId}/${this.#counter}`
     const { words, given } = composeAnswer(chat)
     const promptTokens = estimatePrompt(body)
-    const stream: OpenStream = { chat, response, words, first: given, promptTokens, next: given }
+    const stream: OpenStream = { chat, response, words, firstWord: given, promptTokens, nextWord: given }
     this.#streams.set(id, stream)
     this.ran.set(id, { id, given: 0, end: 'running' })
     const priority = typeof chat.priority === 'number' ? chat.priority : 0
     this.#model.add({ id, priority, promptTokens, prefix: digestPrefix('', chat), tokens: Math.max(1, words.length - given) })
-    response.on('close', () => this.#leave(id))
+    response.on('close', () => this.#cancelStream(id))
     if (chat.stream === true) response.writeHead(200, { 'content-type': 'text/event-stream' })
-    this.#loop.wake()
+    this.#loop.runNextStep()
   }
 
-  #leave (id: string): void {
+  #cancelStream (id: string): void {
     if (!this.#streams.delete(id)) return
     this.#model.remove(id)
-    this.#note(id, 'cancelled')
+    this.#recordEnd(id, 'cancelled')
   }
 
-  #note (id: string, end: RanRecord['end']): void {
+  #recordEnd (id: string, end: RunRecord['end']): void {
     const record = this.ran.get(id)
     if (record !== undefined) record.end = end
   }
 
-  #give (id: string): void {
+  #sendToken (id: string): void {
     const stream = this.#streams.get(id)
     if (stream === undefined) return
-    const word = stream.words[stream.next]
+    const word = stream.words[stream.nextWord]
     if (word === undefined) return
-    stream.next += 1
+    stream.nextWord += 1
     const record = this.ran.get(id)
     if (record !== undefined) record.given += 1
     if (stream.chat.stream === true) stream.response.write(formatEventData(formatChunk(id, stream.chat.model, { content: word }, null)))
-    this.#breakAfter(id, stream)
+    this.#injectFault(id, stream)
   }
 
-  #breakAfter (id: string, stream: OpenStream): void {
-    const given = stream.next - stream.first
+  #injectFault (id: string, stream: OpenStream): void {
+    const given = stream.nextWord - stream.firstWord
     const fault = this.#fault
     if ((fault.type === 'crash' || fault.type === 'short') && given === fault.afterTokens) {
       this.#streams.delete(id)
       this.#model.remove(id)
-      this.#note(id, 'crashed')
+      this.#recordEnd(id, 'crashed')
       if (fault.type === 'short') stream.response.end()
       else stream.response.destroy()
     }
     if (fault.type === 'garble' && given === fault.afterTokens) stream.response.write('data: {"choices": [}\n\n')
   }
 
-  #finish (id: string): void {
+  #finishStream (id: string): void {
     const stream = this.#streams.get(id)
     if (stream === undefined) return
     this.#streams.delete(id)
-    this.#note(id, 'whole')
+    this.#recordEnd(id, 'whole')
     const { chat, response, promptTokens } = stream
-    const completion = stream.next
+    const completion = stream.nextWord
     const usage = { prompt_tokens: promptTokens, completion_tokens: completion, total_tokens: promptTokens + completion }
     if (chat.stream !== true) {
-      const message = { role: 'assistant', content: stream.words.slice(stream.first).join('') }
+      const message = { role: 'assistant', content: stream.words.slice(stream.firstWord).join('') }
       return sendJson(response, 200, { id, object: 'chat.completion', model: chat.model, created: 0, choices: [{ index: 0, message, finish_reason: 'stop' }], usage })
     }
     response.write(formatEventData(formatChunk(id, chat.model, {}, 'stop')))
@@ -206,14 +206,14 @@
   }
 
   // Reports and cache events are given late: what was true `reportLagMs` ago.
-  #report (): void {
-    const report = { running: this.#model.running, waiting: this.#model.waiting, kvUsed: this.#model.kvUsed, stepMs: this.#loop.lastStepMs, leaving: this.#leaving }
+  #recordReport (): void {
+    const report = { running: this.#model.running, waiting: this.#model.waiting, kvUsed: this.#model.kvUsed, stepMs: this.#loop.lastStepMs, leaving: this.#isLeaving }
     this.#reports.push({ at: performance.now(), report })
     if (this.#reports.length > 1000) this.#reports.shift()
-    for (const prefix of this.#model.takeEvicted()) this.#cacheEvents.push(prefix)
+    for (const prefix of this.#model.drainEvicted()) this.#cacheEvents.push(prefix)
   }
 
-  #findReport (): unknown {
+  #findDelayedReport (): unknown {
     const until = performance.now() - this.settings.reportLagMs
     const found = this.#reports.findLast(one => one.at <= until) ?? this.#reports[0]
     return found?.report ?? { running: 0, waiting: 0, kvUsed: 0, stepMs: 0, leaving: false }
