--- a/src/capacity/entry-samples.ts
+++ b/src/capacity/entry-samples.ts
@@ -2,16 +2,16 @@
 import { fitLine } from './fit.js'
 import type { Slope } from './slope.js'
 
-/** One measured load of an entry process, as scripts/capacity.sh writes it. */
+/** One measurement of an entry process under load, as written by scripts/capacity.sh. */
 export interface EntrySample {
   readonly kind: 'requests' | 'tokens' | 'streams' | 'idle-engines'
-  /** Requests or tokens a second, open streams, or engines known. */
+  /** Requests or tokens a second, open streams, or configured engines. */
   readonly x: number
-  /** Core seconds a second, or resident MB. */
+  /** CPU seconds a second, or resident MB. */
   readonly y: number
 }
 
-/** Reads samples, a JSON object a line. */
+/** Reads samples from a file with one JSON object a line. */
 export function readSamples (path: string): EntrySample[] {
   return readFileSync(path, 'utf8').split('\n').filter(line => line !== '').map(line => JSON.parse(line) as EntrySample)
 }
@@ -23,7 +23,7 @@
   'idle-engines': { name: 'entry-idle', by: 'engines scheduled, no callers', unit: 'cores' }
 }
 
-/** The slopes of an entry process. */
+/** Fits one slope per kind; kinds with fewer than two samples are left out. */
 export function fitSamples (samples: readonly EntrySample[]): Slope[] {
   const slopes: Slope[] = []
   for (const [kind, { name, by, unit }] of Object.entries(slopeTexts)) {
--- a/src/capacity/fit.ts
+++ b/src/capacity/fit.ts
@@ -1,22 +1,22 @@
-/** One measurement: how much of `y` at a size of `x`. */
+/** One measurement: `y` at size `x`. */
 export interface Point {
   readonly x: number
   readonly y: number
 }
 
-/** A straight line through measurements, and how far they lie from it. */
+/** A line fitted to measurements, with the residual. */
 export interface Fit {
-  /** `y` at no size. */
+  /** `y` at size 0. */
   readonly base: number
-  /** `y` for each one more. */
+  /** Increase of `y` per unit of `x`. */
   readonly slope: number
-  /** The largest distance of a point from the line, as a share of the largest `y`. */
+  /** Largest absolute residual as a fraction of the largest absolute `y`. */
   readonly spread: number
 }
 
-/** Fits a line by least squares. Needs two points or more. */
+/** Fits a line by least squares. Throws for fewer than two points. */
 export function fitLine (points: readonly Point[]): Fit {
-  if (points.length < 2) throw new RangeError('a line needs two points')
+  if (points.length < 2) throw new RangeError('fitting a line needs at least two points')
   const mean = (of: (point: Point) => number): number => points.reduce((sum, point) => sum + of(point), 0) / points.length
   const [mx, my] = [mean(point => point.x), mean(point => point.y)]
   const sumXY = points.reduce((sum, point) => sum + (point.x - mx) * (point.y - my), 0)
--- a/src/capacity/index.ts
+++ b/src/capacity/index.ts
@@ -1,4 +1,4 @@
-/** Measured slopes, and what they come to at the size to design for. */
+/** Measures how costs grow with size, and extrapolates them to the target size. */
 export * from './fit.js'
 export * from './slope.js'
 export * from './entry-samples.js'
--- a/src/capacity/measure-core.ts
+++ b/src/capacity/measure-core.ts
@@ -1,4 +1,4 @@
-/** Slopes of the decision core: its time and its memory. */
+/** Time and memory of the scheduling core by size. */
 import { Placer, Scheduler, brandId, defaultTuning, partEngines } from '../core/index.js'
 import type { BoxId, ClassName, EngineId, EngineSpec, ModelName, PoolName, RequestClass, RequestId, ShardId, Submission, WorkspaceName, ZoneName } from '../core/index.js'
 import { createRandom } from '../runtime/index.js'
@@ -37,7 +37,7 @@
   return scheduler
 }
 
-/** Time to place a request and to end it, by engines of a shard, µs. */
+/** Time to schedule a request and to end it by engines of a shard, µs. */
 export function measureDecision (sizes: readonly number[]): Slope {
   return measureSlope('decision', 'engines of a shard', 'µs a request', sizes, engines => {
     const scheduler = createLoadedScheduler(engines)
@@ -52,12 +52,12 @@
   })
 }
 
-/** Memory of a shard's state by its engines, bytes. */
+/** Heap of a loaded scheduler by engines of its shard, bytes. */
 export function measureEngineMemory (sizes: readonly number[]): Slope {
   return measureSlope('engine-memory', 'engines of a shard', 'bytes', sizes, engines => measureHeapBytes(() => createLoadedScheduler(engines)))
 }
 
-/** Time to part all engines into shards, by engines in all, µs. */
+/** Time to partition all engines into shards by total number of engines, µs. */
 export function measureParting (sizes: readonly number[]): Slope {
   return measureSlope('parting', 'engines in all', 'µs', sizes, count => {
     const engines = Array.from({ length: count }, (_, i) => ({ id: brandId<EngineId>(`engine-${i}`), pool: brandId<PoolName>(`pool-${i % 19}`), zone: brandId<ZoneName>(`zone-${i % 15}`) }))
@@ -65,7 +65,7 @@
   })
 }
 
-/** Memory of open requests in the placer of a box, bytes. */
+/** Heap of the placer of a box by open requests, bytes. */
 export function measureRequestMemory (sizes: readonly number[]): Slope {
   return measureSlope('request-memory', 'requests in flight', 'bytes', sizes, count => measureHeapBytes(() => {
     const placer = new Placer({ box: brandId<BoxId>('b'), zone: brandId<ZoneName>('z'), now: () => 0, random: () => 0.5, send: () => true, isReachable: () => true, noteViolation: () => {} })
--- a/src/capacity/measure-documents.ts
+++ b/src/capacity/measure-documents.ts
@@ -1,4 +1,4 @@
-/** Slopes of routing documents on their way from a registry to a gateway, by routes. */
+/** Size and processing time of routing documents sent from registries to gateways, by number of routes. */
 import { createHash } from 'node:crypto'
 import type { VersionedText } from '../coordination/index.js'
 import { encodeValue, nativeDialect, packDocument, unpackDocument } from '../protocol/index.js'
@@ -6,12 +6,12 @@
 import type { Slope } from './slope.js'
 import { measureMedianUs } from './timing.js'
 
-/** Times that each step is done for a figure of time. */
+/** Operations per timed run. */
 const repetitions = 10
 
 function hashName (seed: string): string { return createHash('sha256').update(seed).digest('hex').slice(0, 10) }
 
-/** A document whose names are as little alike as an operator's; `changed` routes have another time-out. */
+/** A document with hashed names, as similar names would compress unrealistically well; the first `changedCount` routes have another time-out. */
 function composeDocument (version: number, count: number, changedCount: number): VersionedText {
   const routes = Array.from({ length: count }, (_, i) => ({
     name: `r-${hashName(`name ${i}`)}`,
@@ -30,7 +30,7 @@
   return { version, text: JSON.stringify({ version, routes, services: [{ name: 'assistant' }], workspaces: [{ name: 'camp', keys: ['a key'] }] }) }
 }
 
-/** Bytes over a gateway's link, and time of one change at both ends, by routes. */
+/** Bytes of a whole document and of one change on the link, and the time to pack and to apply a change. */
 export function measureDocuments (sizes: readonly number[]): Slope[] {
   const composeVersions = (size: number) => {
     const older = composeDocument(1, size, 0)
--- a/src/capacity/measure-keeper.ts
+++ b/src/capacity/measure-keeper.ts
@@ -1,4 +1,4 @@
-/** Slopes of a keeper: disk, memory, time of a command, time of a restart. */
+/** Costs of a keeper: log size, memory, and time of commands, restarts and snapshots. */
 import { mkdtempSync, rmSync, statSync } from 'node:fs'
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
@@ -38,17 +38,17 @@
   return state
 }
 
-/** Memory of claims that are kept, bytes. */
+/** Heap of the state machine by settled claims that it keeps, bytes. */
 export function measureClaimMemory (sizes: readonly number[]): Slope {
   return measureSlope('claim-memory', 'claims kept', 'bytes', sizes, count => measureHeapBytes(() => buildState(count, composeClaimCommands)))
 }
 
-/** Memory of changes that were made, bytes. */
+/** Heap of the state machine by configuration changes, bytes. */
 export function measureChangeMemory (sizes: readonly number[]): Slope {
   return measureSlope('change-memory', 'changes in a day', 'bytes', sizes, count => measureHeapBytes(() => buildState(count, composeChangeCommands)))
 }
 
-/** Time of a claim and its settling in the state machine, by claims kept, µs. */
+/** Time to apply a claim and its settlement by claims kept, µs. */
 export function measureClaimTime (sizes: readonly number[]): Slope {
   return measureSlope('claim-time', 'claims kept', 'µs a claim', sizes, count => {
     const state = buildState(count, composeClaimCommands)
@@ -62,7 +62,7 @@
   })
 }
 
-/** Bytes of log for one change of configuration, planned and confirmed; and for one claim, settled. */
+/** Log bytes of one configuration change (plan and confirmation) and of one claim (claim and settlement). */
 export function measureLogBytes (): { readonly change: number, readonly claim: number } {
   const measure = (commands: readonly KeeperCommand[]): number => commands.reduce((sum, command) => {
     const entry: LogEntry = { index: 100_000, term: 12, time: 1_796_213_637_769, content: { type: 'command', command } }
@@ -71,7 +71,7 @@
   return { change: measure(composeChangeCommands(1)), claim: measure(composeClaimCommands(1)) }
 }
 
-/** Time from an open disk to a state that is up to date, by changes since the last snapshot, ms. */
+/** Time to open the log and replay it by changes since the last snapshot, ms. Each change is two log entries. */
 export async function measureRestart (sizes: readonly number[]): Promise<Slope> {
   const points = []
   for (const count of sizes) points.push({ x: count, y: await timeRestart(count) })
@@ -106,7 +106,7 @@
   return ms
 }
 
-/** Time and size of a snapshot by changes of a day, ms and bytes; and of a start from it, ms. */
+/** Time to write a snapshot after `changes` configuration changes, its size, and the time to restore from it. */
 export async function measureSnapshot (changes: number): Promise<{ readonly writeMs: number, readonly bytes: number, readonly readMs: number }> {
   const folder = mkdtempSync(join(tmpdir(), 'wrenlane-capacity-'))
   try {
@@ -122,14 +122,14 @@
     const restored = new KeeperState(defaultBounds, reopened.stored.snapshot?.state as KeeperSnapshot)
     const readMs = performance.now() - reopenedAt
     await reopened.close()
-    if (restored.config.revision !== changes) throw new Error('the snapshot did not give back every change')
+    if (restored.config.revision !== changes) throw new Error('restored snapshot has the wrong revision')
     return { writeMs, bytes, readMs }
   } finally {
     rmSync(folder, { recursive: true, force: true })
   }
 }
 
-/** Syncs a second of this disk, each of one small batch. */
+/** Disk syncs a second, each for one small entry, in the directory for temporary files. */
 export async function measureSyncs (): Promise<number> {
   const folder = mkdtempSync(join(tmpdir(), 'wrenlane-capacity-'))
   try {
--- a/src/capacity/measure-messages.ts
+++ b/src/capacity/measure-messages.ts
@@ -1,4 +1,4 @@
-/** Slopes of what boxes tell each other: membership, loads, requests placed elsewhere, configuration. */
+/** Costs of messages between boxes: membership, loads, requests placed by other boxes, and configuration. */
 import { Membership, defaultMembershipTuning } from '../coordination/index.js'
 import type { Change, Member, MemberEffect, MemberMessage } from '../coordination/index.js'
 import { ConfigFollower } from '../tasks/index.js'
@@ -24,7 +24,7 @@
   readonly coreShare: number
 }
 
-/** A steady group of members in virtual time: what one node sends and receives, and its processor time. */
+/** Runs a stable group of members in virtual time; returns the traffic (in and out) and CPU time of one node. */
 function simulateGroup (size: number): GroupCost {
   const random = createRandom(size)
   const nodes: Membership[] = []
@@ -57,7 +57,7 @@
   return { bytesPerSecond: 2 * bytes / size / (measuredMs / 1000), coreShare: (performance.now() - startedAt) / size / measuredMs }
 }
 
-/** Traffic and processor time of a node by members. */
+/** Membership traffic and CPU time of a node by number of members. */
 export function measureMembers (sizes: readonly number[]): readonly [Slope, Slope] {
   const costs = new Map(sizes.map(size => [size, simulateGroup(size)]))
   const findCost = (size: number): GroupCost => costs.get(size) as GroupCost
@@ -74,7 +74,7 @@
 const shard = brandId<ShardId>('steppe/zone-12/3')
 const request = brandId<RequestId>('entry-123-mx63812v-1a2')
 
-/** Bytes of one word of loads by the workspaces that are active on a box. */
+/** Bytes of one `loads` message by workspaces that are active on a box. */
 export function measureLoads (sizes: readonly number[]): Slope {
   return measureSlope('loads-bytes', 'active workspaces of a box', 'bytes a message', sizes, count => {
     const demands = Array.from({ length: count }, (_, i) => [brandId<WorkspaceName>(`workspace-${i}`), 1.234] as const)
@@ -83,7 +83,7 @@
   })
 }
 
-/** Bytes of all words for one request that is placed by another box. */
+/** Bytes of all messages for one request that is placed by another box. */
 export function measureRemoteRequest (): number {
   const submission: Submission = {
     request,
@@ -123,7 +123,7 @@
   return follower
 }
 
-/** Time of one change of configuration on a box by workspaces, µs. */
+/** Time to apply one configuration change on a box by workspaces, µs. */
 export function measureChangeTime (sizes: readonly number[]): Slope {
   return measureSlope('change-time', 'workspaces', 'µs a change', sizes, count => {
     const follower = createFollower(count)
@@ -137,12 +137,12 @@
   })
 }
 
-/** Memory of the configuration on a box by workspaces, with 2.5 engines for each, bytes. */
+/** Heap of the configuration on a box by workspaces, with 2.5 engines per workspace, bytes. */
 export function measureConfigMemory (sizes: readonly number[]): Slope {
   return measureSlope('config-memory', 'workspaces', 'bytes', sizes, count => measureHeapBytes(() => createFollower(count)))
 }
 
-/** Bytes of a box's word to one keeper: its revision alone, and with the status of its engines. */
+/** Bytes of a `watch` message from a box to a keeper: with the revision alone, and with the status of `engines` engines. */
 export function measureWatch (engines: number): { readonly light: number, readonly full: number } {
   const status: BoxStatus = {
     id: 'entry-123',
@@ -161,7 +161,7 @@
   return { light: measure(null), full: measure(status) }
 }
 
-/** Bytes of one change on its way to one box. */
+/** Bytes of the `revisions` message with one change. */
 export function measureChangeBytes (): number {
   return countFrameBytes({ type: 'revisions', revisions: [{ revision: 29_000, changes: [composeChange(1)], operator: 'ana', time: 1_796_213_637_769 }] })
 }
--- a/src/capacity/measure-poll.ts
+++ b/src/capacity/measure-poll.ts
@@ -4,7 +4,7 @@
 const tcpOverheadBytes = 44
 const packetsPerPoll = 3
 
-/** Bytes of one load report of an engine over a kept-alive connection, both ways, headers of TCP with them. */
+/** Bytes of one poll of an engine's load report over a kept-alive connection, in both directions, including TCP overhead. */
 export async function measurePollBytes (): Promise<number> {
   const engine = new StandinEngine({ id: 'e', host: '127.0.0.1', port: 0, models: ['m'], batch: 1, baseMs: 1, streamMs: 1, prefillMs: 1, kvTokens: 1000, reportLagMs: 0, checksFencing: true })
   const port = await engine.listen()
--- a/src/capacity/page.ts
+++ b/src/capacity/page.ts
@@ -1,17 +1,17 @@
-/** The tables of docs/CAPACITY.md, worked out from measured slopes. */
+/** The tables of docs/CAPACITY.md, computed from measured slopes. */
 import { estimateAt } from './slope.js'
 import type { Slope } from './slope.js'
 import { daySeconds, target } from './target.js'
 
-/** Figures that are not slopes. */
+/** Scalar measurements. */
 export interface Singles {
   readonly remoteRequestBytes: number
-  /** Of one load report over HTTP, both ways. */
+  /** One poll of a load report over HTTP, in both directions. */
   readonly pollBytes: number
-  /** Share of requests that another box placed, in a run with a shard for each box. */
+  /** Share of requests that are placed by another box, simulated with about one shard per box. */
   readonly remoteShare: number
   readonly changeBytes: number
-  /** A box's word to a keeper: its revision alone, and with the status of a node's engines. */
+  /** A `watch` message to a keeper: with the revision alone, and with the status of a node's engines. */
   readonly watch: { readonly light: number, readonly full: number }
   readonly logChangeBytes: number
   readonly logClaimBytes: number
@@ -19,7 +19,7 @@
   readonly snapshot: { readonly writeMs: number, readonly bytes: number, readonly readMs: number }
 }
 
-/** Everything that was measured. */
+/** All measurements, with the machine and commit they were taken on. */
 export interface Measured {
   readonly slopes: ReadonlyMap<string, Slope>
   readonly singles: Singles
@@ -28,7 +28,7 @@
   readonly commit: string
 }
 
-// As in entry-box.ts and engine-watch.ts.
+// Same values as in src/tasks.
 const subsetLinks = 18
 const peersPerRound = 4
 const loadsEverySeconds = 0.25
@@ -40,12 +40,12 @@
 const pollsPerEventRead = 3
 const activeWorkspaces = 24
 
-/** The table of slopes. */
+/** The tables of slopes and scalar measurements. */
 export function formatSlopes (measured: Measured): string {
   const lines = [
     `Measured on ${measured.machine}, ${measured.date}, commit ${measured.commit}.`,
     '',
-    '| slope | along | measured | fit | spread |',
+    '| slope | by | measured | fit | largest residual |',
     '|---|---|---|---|---|'
   ]
   for (const slope of measured.slopes.values()) {
@@ -53,15 +53,15 @@
     lines.push(`| ${slope.name} (${slope.unit}) | ${slope.by} | ${points} | ${format(slope.fit.base)} + ${format(slope.fit.slope)} × size | ${Math.round(slope.fit.spread * 100)}% |`)
   }
   const { singles } = measured
-  lines.push('', '| single figure | measured |', '|---|---|')
-  lines.push(`| bytes of all words for a request that another box places | ${format(singles.remoteRequestBytes)} |`)
-  lines.push(`| bytes of one load report over HTTP, both ways | ${format(singles.pollBytes)} |`)
-  lines.push(`| share of requests that another box placed (virtual time, a shard for each box, ordinary day) | ${format(singles.remoteShare)} |`)
+  lines.push('', '| scalar | measured |', '|---|---|')
+  lines.push(`| bytes of all messages for a request that another box places | ${format(singles.remoteRequestBytes)} |`)
+  lines.push(`| bytes of one load report over HTTP, both directions | ${format(singles.pollBytes)} |`)
+  lines.push(`| share of requests that another box places (simulation, one shard per box, ordinary scenario) | ${format(singles.remoteShare)} |`)
   lines.push(`| bytes of one change to one box | ${format(singles.changeBytes)} |`)
-  lines.push(`| bytes of log for a change, planned and confirmed | ${format(singles.logChangeBytes)} |`)
-  lines.push(`| bytes of log for a claim, settled with an answer of 200 bytes | ${format(singles.logClaimBytes)} |`)
-  lines.push(`| syncs a second of this disk | ${format(singles.syncsPerSecond)} |`)
-  lines.push(`| snapshot after ${format(target.changesPerDay)} changes: written, size, read | ${format(singles.snapshot.writeMs)} ms, ${format(singles.snapshot.bytes)} bytes, ${format(singles.snapshot.readMs)} ms |`)
+  lines.push(`| log bytes of a change, planned and confirmed | ${format(singles.logChangeBytes)} |`)
+  lines.push(`| log bytes of a claim, settled with an answer of 200 bytes | ${format(singles.logClaimBytes)} |`)
+  lines.push(`| disk syncs a second | ${format(singles.syncsPerSecond)} |`)
+  lines.push(`| snapshot after ${format(target.changesPerDay)} changes: write, size, restore | ${format(singles.snapshot.writeMs)} ms, ${format(singles.snapshot.bytes)} bytes, ${format(singles.snapshot.readMs)} ms |`)
   return lines.join('\n')
 }
 
@@ -77,7 +77,7 @@
   return formatRows(rows, 'bytes/s', target.boundBytesPerSecond)
 }
 
-/** The table of a node's control processor time. */
+/** The table of a node's CPU time for control. */
 export function formatNodeCore (measured: Measured): string {
   return formatRows(listNodeCore(measured), '% of a core', target.boundCorePercent)
 }
@@ -87,7 +87,7 @@
   return formatRows(listNodeMemory(measured), 'MB', target.boundMegabytes)
 }
 
-/** The table of the data path, which is not control. */
+/** The table of the data path, which doesn't count as control overhead. */
 export function formatDataPath (measured: Measured): string {
   const requests = target.requestsPerSecond / target.nodes
   const tokens = target.tokensPerSecond / target.nodes
@@ -99,35 +99,35 @@
   return formatRows(rows, '% of a core', null)
 }
 
-/** The table of the keepers. */
+/** The table of keeper costs. */
 export function formatKeepers (measured: Measured): string {
   const { singles } = measured
   const changes = target.changesPerDay / daySeconds
   const rows = [
     ['changes', `${format(target.changesPerDay)} a day / ${format(daySeconds)} s`, `${format(changes)}/s`],
     ['log', `${format(singles.logChangeBytes)} bytes × ${format(changes)}/s`, `${format(singles.logChangeBytes * changes)} bytes/s to each replica`],
-    ['spreading', `${format(singles.changeBytes)} bytes × ${format(changes)}/s × ${target.nodes} boxes`, `${format(singles.changeBytes * changes * target.nodes / 1000)} KB/s from each keeper, as every box watches every keeper`],
-    ['state', `${format(estimate(measured, 'change-memory', target.changesPerDay) / 1e6)} MB after a day of changes`, 'MB of heap, first answers of 24 h with it'],
+    ['distribution', `${format(singles.changeBytes)} bytes × ${format(changes)}/s × ${target.nodes} boxes`, `${format(singles.changeBytes * changes * target.nodes / 1000)} KB/s from each keeper, as every box watches every keeper`],
+    ['state', `${format(estimate(measured, 'change-memory', target.changesPerDay) / 1e6)} MB after a day of changes`, 'MB of heap, including the results kept for 24 h'],
     ['restart', `${format(estimate(measured, 'restart', 20_000 / 2))} ms for 20,000 entries since a snapshot + ${format(singles.snapshot.readMs)} ms for the snapshot`, `${format(estimate(measured, 'restart', 20_000 / 2) + singles.snapshot.readMs)} ms`],
     ['restart after 100,000 changes without a snapshot', 'the restart slope × 100,000', `${format(estimate(measured, 'restart', 100_000))} ms`],
-    ['claims', `one sync serves many; ${format(singles.syncsPerSecond)} syncs/s here`, `${format(singles.logClaimBytes)} bytes of log and ${format(findSlope(measured, 'claim-time'))} µs more a claim for each claim kept`]
+    ['claims', `one sync commits many; ${format(singles.syncsPerSecond)} syncs/s on this disk`, `${format(singles.logClaimBytes)} bytes of log and ${format(findSlope(measured, 'claim-time'))} µs more per claim for each claim kept`]
   ]
   return ['| what | arithmetic | result |', '|---|---|---|', ...rows.map(row => `| ${row.join(' | ')} |`)].join('\n')
 }
 
-/** The table of what fails. */
+/** The table of failures and their effects. */
 export function formatFailures (measured: Measured): string {
   const events = target.failuresPerDay + 2 * target.restartsPerDay
   const transmissions = 3 * Math.ceil(Math.log2(target.nodes + 2))
   const partitionMs = estimate(measured, 'parting', target.runners) / 1000
   const rows = [
-    ['a box fails or restarts', `${target.failuresPerDay} + 2 × ${target.restartsPerDay} a day`, `one in ${format(daySeconds / events)} s; its news is told ${transmissions} times by each node, on probes that go anyway`, 'found in 3 to 5 s (membership tests, virtual time); its shards are taken over as soon as each box knows', 'requests in flight on that box; its queued ones are asked again elsewhere'],
-    ['a rack', 'once a week, 40 boxes at a time', 'as above, 40 times', 'as above: each node finds out by its own probe or by news', 'as above'],
-    ['a zone cut off', 'every other month', `${target.nodes / target.zones} boxes on one side`, 'both sides serve on with what they hold; healed in a few probes of a gone box every 4 s', 'claims and changes on the side without a quorum, as not run'],
-    ['regions apart', 'an hour now and then', 'no message crosses', 'each region serves its own engines', 'changes and claims on the side without a quorum'],
-    ['owners move', 'at each of these', `owners of ${Math.ceil(target.runners / 32)} shards or more, each box for itself; parting ${format(partitionMs)} ms only when engines change`, 'at once on each box', 'nothing: running streams are adopted by the new owner']
+    ['a box fails or restarts', `${target.failuresPerDay} + 2 × ${target.restartsPerDay} a day`, `one in ${format(daySeconds / events)} s; each node sends the update ${transmissions} times, piggybacked on probes`, 'detected in 3 to 5 s (membership tests, virtual time); each box then reassigns its shards at once', 'requests in flight on that box; requests queued there are resubmitted elsewhere'],
+    ['a rack', 'once a week, 40 boxes at a time', 'as above, 40 times', 'as above: each node learns of it by its own probe or by an update', 'as above'],
+    ['a zone partitioned', 'every other month', `${target.nodes / target.zones} boxes on one side`, 'both sides keep serving with their own engines; reconnected within a few probes of gone boxes, sent every 4 s', 'claims and changes on the side without a quorum, as not run'],
+    ['regions partitioned', 'occasionally, for an hour', 'none between regions', 'each region serves its own engines', 'changes and claims on the side without a quorum'],
+    ['shard owners change', 'at each of these events', `each box assigns the owners of ${Math.ceil(target.runners / 32)} shards or more itself; partitioning takes ${format(partitionMs)} ms, only when engines change`, 'immediate on each box', 'nothing: the new owner adopts running streams']
   ]
-  return ['| event | how often | messages | time to settle | refused meanwhile |', '|---|---|---|---|---|', ...rows.map(row => `| ${row.join(' | ')} |`)].join('\n')
+  return ['| event | frequency | messages | recovery | refused meanwhile |', '|---|---|---|---|---|', ...rows.map(row => `| ${row.join(' | ')} |`)].join('\n')
 }
 
 function listNodeBytes (measured: Measured): TableRow[] {
@@ -146,7 +146,7 @@
     { label: 'requests placed by another box', arithmetic: `${format(singles.remoteRequestBytes)} bytes × ${format(requests)}/s × ${format(singles.remoteShare)} × 2`, value: singles.remoteRequestBytes * requests * singles.remoteShare * 2 },
     { label: 'configuration', arithmetic: `${format(singles.changeBytes)} bytes × ${format(changes)}/s × ${keepers} keepers`, value: singles.changeBytes * changes * keepers },
     { label: 'revision and status to keepers', arithmetic: `${format(singles.watch.light)} bytes × ${keepers} / ${watchEverySeconds} s + ${format(singles.watch.full)} bytes / ${statusEverySeconds} s`, value: singles.watch.light * keepers / watchEverySeconds + singles.watch.full / statusEverySeconds },
-    { label: 'load reports of engines', arithmetic: `${format(singles.pollBytes)} bytes × ${format(polls)}/s × ${enginesPerNode} runners`, value: singles.pollBytes * polls * enginesPerNode }
+    { label: 'load reports of engines', arithmetic: `${format(singles.pollBytes)} bytes × ${format(polls)}/s × ${enginesPerNode} engines`, value: singles.pollBytes * polls * enginesPerNode }
   ]
 }
 
@@ -163,7 +163,7 @@
   const idle = measured.slopes.get('entry-idle')
   if (idle !== undefined) {
     const enginesPerNode = target.runners / target.nodes
-    rows.push({ label: 'everything of an entry process without callers: ticks, loads, polls, links', arithmetic: `the entry-idle line at ${enginesPerNode} engines`, value: estimateAt(idle, enginesPerNode) * 100 })
+    rows.push({ label: 'idle entry process: ticks, loads, polls, links', arithmetic: `the entry-idle line at ${enginesPerNode} engines`, value: estimateAt(idle, enginesPerNode) * 100 })
   }
   return rows
 }
@@ -176,7 +176,7 @@
     { label: 'requests in flight', arithmetic: `${format(findSlope(measured, 'request-memory'))} bytes × ${format(streams)} streams (tokens/s × 65 ms)`, value: findSlope(measured, 'request-memory') * streams / 1e6 }
   ]
   const process = measured.slopes.get('entry-streams')
-  if (process !== undefined) rows.push({ label: 'the process, its streams with it (data path included)', arithmetic: `the entry-streams line at ${format(streams)}`, value: estimateAt(process, streams) })
+  if (process !== undefined) rows.push({ label: 'the process with its streams (data path included)', arithmetic: `the entry-streams line at ${format(streams)}`, value: estimateAt(process, streams) })
   return rows
 }
 
@@ -186,8 +186,8 @@
   for (const row of rows) lines.push(`| ${row.label} | ${row.arithmetic} | ${format(row.value)} |`)
   lines.push(`| **sum** | | **${format(sum)}** |`)
   if (bound !== null) {
-    const verdict = sum <= bound ? `${format((1 - sum / bound) * 100)}% left` : `**over by ${format((sum / bound - 1) * 100)}%**`
-    lines.push(`| **the letter's bound** | | **${format(bound)}**, ${verdict} |`)
+    const verdict = sum <= bound ? `${format((1 - sum / bound) * 100)}% below the bound` : `**${format((sum / bound - 1) * 100)}% above the bound**`
+    lines.push(`| **required bound** | | **${format(bound)}**, ${verdict} |`)
   }
   return lines.join('\n')
 }
--- a/src/capacity/slope.ts
+++ b/src/capacity/slope.ts
@@ -1,10 +1,10 @@
 import { fitLine } from './fit.js'
 import type { Fit, Point } from './fit.js'
 
-/** A measured slope, with what it was measured of. */
+/** Measurements of a cost at several sizes, with a linear fit. */
 export interface Slope {
   readonly name: string
-  /** What is counted along. */
+  /** What the sizes count. */
   readonly by: string
   /** Unit of the measurements. */
   readonly unit: string
@@ -12,13 +12,13 @@
   readonly fit: Fit
 }
 
-/** Measures `y` at each size. */
+/** Measures the cost at each size and fits a line. */
 export function measureSlope (name: string, by: string, unit: string, sizes: readonly number[], measure: (size: number) => number): Slope {
   const points = sizes.map(x => ({ x, y: measure(x) }))
   return { name, by, unit, points, fit: fitLine(points) }
 }
 
-/** What is expected at a size: between two measured points the line through them, outside them the fit. */
+/** Estimates the cost at a size: by linear interpolation within the measured range, by the fit outside it. */
 export function estimateAt (slope: Slope, size: number): number {
   const points = [...slope.points].sort((a, b) => a.x - b.x)
   const rightIndex = points.findIndex(point => point.x >= size)
--- a/src/capacity/target.ts
+++ b/src/capacity/target.ts
@@ -1,4 +1,4 @@
-/** The size to design for, as the users' letter states it. */
+/** The deployment size to design for; `bound*` are the users' limits on the control overhead of a node. */
 export const target = {
   nodes: 600,
   runners: 12_000,
@@ -18,5 +18,4 @@
   boundControlBoxes: 38
 } as const
 
-/** Seconds of a day. */
 export const daySeconds = 86_400
--- a/src/capacity/timing.ts
+++ b/src/capacity/timing.ts
@@ -2,7 +2,7 @@
 
 const repetitions = 5
 
-/** Median time of `run` over a few rounds, in microseconds for each of its `count` parts. */
+/** Median time of `run` over several repetitions, in µs per operation; `run` performs `count` operations. */
 export function measureMedianUs (count: number, run: () => void): number {
   const times: number[] = []
   for (let i = 0; i < repetitions; i++) {
@@ -14,10 +14,10 @@
   return times[repetitions >> 1]
 }
 
-/** Bytes of heap that what `build` returns holds on to. Needs `--expose-gc`. */
+/** Heap bytes retained by the return value of `build`. Needs `--expose-gc`. */
 export function measureHeapBytes (build: () => unknown): number {
   const collectGarbage = (globalThis as { gc?: () => void }).gc
-  if (collectGarbage === undefined) throw new Error('run node with --expose-gc')
+  if (collectGarbage === undefined) throw new Error('heap measurements need node --expose-gc')
   collectGarbage()
   const bytesBefore = process.memoryUsage().heapUsed
   const retained = build()
--- a/src/measure/direct-policies.ts
+++ b/src/measure/direct-policies.ts
@@ -1,4 +1,4 @@
-/** Naive ways: each box sends every request straight to an engine. */
+/** Baseline policies to compare with: each box sends every request directly to an engine. */
 import type { BoxId, EngineId, LoadReport } from '../core/index.js'
 import type { Policy, PolicyHost } from './policy.js'
 import type { SimEngine } from './sim-engine.js'
@@ -6,7 +6,7 @@
 
 type ChooseEngine = (engines: readonly SimEngine[], request: SimRequest) => SimEngine
 
-/** Sends by a choice of engine; engines queue first come, first served. */
+/** Sends each request to the engine that `choose` returns, without a queue of its own. Up to three attempts a request. */
 class DirectPolicy implements Policy {
   protected host: PolicyHost
   #choose: ChooseEngine
@@ -38,7 +38,7 @@
   noteBoxLost (_box: BoxId): void {}
 }
 
-/** Each box takes the engines in turn. */
+/** Each box cycles through the engines, starting at a random one. */
 export function createRoundRobinPolicy (host: PolicyHost): Policy {
   const turns = new Map<BoxId, number>()
   return new DirectPolicy(host, (engines, request) => {
@@ -48,12 +48,12 @@
   })
 }
 
-/** Any engine. */
+/** Sends each request to a random engine. */
 export function createRandomPolicy (host: PolicyHost): Policy {
   return new DirectPolicy(host, engines => engines[Math.floor(host.random() * engines.length)])
 }
 
-/** The engine with the fewest streams by its last report. */
+/** Chooses the engine with the fewest streams in its last load report. */
 class LeastReportedLoadPolicy extends DirectPolicy {
   #reported: Map<EngineId, number>
 
@@ -71,7 +71,7 @@
   return new LeastReportedLoadPolicy(host, new Map())
 }
 
-/** Two engines by lot, the one with fewer streams by report and by what this box sent since. */
+/** Draws two random engines and takes the one with fewer streams, counting its last report and what this box has sent since. */
 class PowerOfTwoPolicy extends DirectPolicy {
   #reportedLoad: Map<EngineId, number>
   #sentSinceReport: Map<string, number>
@@ -109,8 +109,8 @@
 }
 
 /**
- * One queue for everything, first come, first served, with perfect knowledge of
- * free places: the best that can be had without classes.
+ * One global FIFO queue with perfect knowledge of free places: an upper bound
+ * for policies that don't distinguish classes.
  */
 class FifoPolicy implements Policy {
   #host: PolicyHost
--- a/src/measure/event-queue.ts
+++ b/src/measure/event-queue.ts
@@ -4,22 +4,22 @@
   readonly run: () => void
 }
 
-/** A queue of things to do in virtual time: earliest first, equal ones in order of arrival. */
+/** Priority queue of callbacks in virtual time: earliest first, in insertion order where times are equal. */
 export class EventQueue {
   #heap: ScheduledEvent[] = []
   #nextOrder = 0
   #now = 0
 
-  /** Virtual time, ms. */
+  /** Current virtual time, ms. */
   get now (): number { return this.#now }
 
-  /** Does `run` after `delayMs`. */
+  /** Schedules `run` to be called `delayMs` from now. */
   after (delayMs: number, run: () => void): void {
     this.#push({ at: this.#now + delayMs, order: this.#nextOrder, run })
     this.#nextOrder += 1
   }
 
-  /** Does everything due up to `until`. */
+  /** Runs all callbacks that are due up to and including `until`, and advances the clock to it. */
   runUntil (until: number): void {
     while (this.#heap.length > 0 && this.#heap[0].at <= until) {
       const next = this.#pop()
--- a/src/measure/experiment.ts
+++ b/src/measure/experiment.ts
@@ -1,4 +1,4 @@
-/** Runs of every user, scenario, policy and seed that is asked for, as rows. */
+/** Simulates the chosen combinations of user, scenario, policy and seed; each gives one result row per class. */
 import { createFifoPolicy, createLeastReportedLoadPolicy, createPowerOfTwoPolicy, createRandomPolicy, createRoundRobinPolicy } from './direct-policies.js'
 import type { PolicyFactory } from './policy.js'
 import { longBurst, scenarios } from './scenario.js'
@@ -8,7 +8,7 @@
 import { userProfiles } from './user-profile.js'
 import type { UserProfile } from './user-profile.js'
 
-/** One row of results. */
+/** Results of one class in one run. */
 export interface Row {
   readonly user: string
   readonly scenario: string
@@ -17,17 +17,17 @@
   readonly class: string
   readonly offered: number
   readonly finished: number
-  /** Share of the offered that met its targets. */
+  /** Share of the offered requests that met their latency targets. */
   readonly attainment: number
-  /** Requests finished within target, a second. */
+  /** Requests a second that finished within their targets. */
   readonly goodput: number
-  /** Share of all engine effort of the run that this class wasted. */
+  /** Engine effort that this class wasted, as a share of all engine effort of the run. */
   readonly wasted: number
   readonly worstWaitMs: number
   readonly shed: number
   readonly left: number
   readonly failed: number
-  /** Streams paused in the whole run. */
+  /** Streams preempted in the whole run, over all classes. */
   readonly preempted: number
   readonly violations: number
   readonly unfinished: number
@@ -35,7 +35,7 @@
 
 const defaultEnginesPerShard = 32
 
-/** The product's policy is `wrenlane`; the others are to compare with. */
+/** Policies by name. `wrenlane` is the production policy, the others are baselines. */
 export const policies: Readonly<Record<string, PolicyFactory>> = {
   wrenlane: createShardPolicy({ mode: 'owned', maxEnginesPerShard: defaultEnginesPerShard, floorPlaces: null }),
   'round-robin': createRoundRobinPolicy,
@@ -44,7 +44,7 @@
   fifo: createFifoPolicy
 }
 
-/** Ways for several boxes to share a pool, weighed against each other. */
+/** Variants of how several boxes share a pool of engines, by name. */
 export const sharings: Readonly<Record<string, PolicyFactory>> = {
   'owned-32': createShardPolicy({ mode: 'owned', maxEnginesPerShard: 32, floorPlaces: null }),
   'owned-8': createShardPolicy({ mode: 'owned', maxEnginesPerShard: 8, floorPlaces: null }),
@@ -54,7 +54,7 @@
   'no-floor': createShardPolicy({ mode: 'owned', maxEnginesPerShard: defaultEnginesPerShard, floorPlaces: 0 })
 }
 
-/** What to run; a list left out means all. */
+/** What to run; an omitted list means all. */
 export interface ExperimentChoice {
   readonly users?: readonly string[]
   readonly scenarios?: readonly string[]
@@ -62,12 +62,12 @@
   readonly seeds: readonly number[]
 }
 
-/** Finds a scenario by name; undefined for none. */
+/** Finds a scenario by name; undefined where there is none. */
 export function findScenario (name: string): Scenario | undefined {
   return [...scenarios, longBurst].find(one => one.name === name)
 }
 
-/** Runs one combination. */
+/** Runs one combination. Throws for an unknown policy name. */
 export function runOnce (user: UserProfile, scenario: Scenario, policy: string, seed: number): Row[] {
   const createPolicy = policies[policy] ?? sharings[policy]
   const result = new Simulation(user, scenario, createPolicy, seed).run()
@@ -94,7 +94,7 @@
   }))
 }
 
-/** Runs everything chosen, giving each row as it comes. */
+/** Runs all chosen combinations and passes on each row as soon as its run ends. Unknown scenario names are skipped. */
 export function runExperiment (choice: ExperimentChoice, handleRow: (row: Row) => void): void {
   const names = choice.scenarios ?? scenarios.map(one => one.name)
   for (const user of userProfiles) {
@@ -113,7 +113,7 @@
   return Math.round(value * 10_000) / 10_000
 }
 
-/** Share of submissions that crossed between boxes on an ordinary day, with a shard for about each box. */
+/** Share of submissions that were sent to another box in the `ordinary` scenario, with about one shard per box. */
 export function measureRemoteShare (): number {
   const [user] = userProfiles
   const scenario = findScenario('ordinary') as Scenario
--- a/src/measure/index.ts
+++ b/src/measure/index.ts
@@ -1,4 +1,4 @@
-/** Measurement of the decisions in virtual time. */
+/** Simulation of scheduling policies in virtual time. */
 export * from './experiment.js'
 export { Simulation } from './simulation.js'
 export { scenarios, longBurst } from './scenario.js'
--- a/src/measure/policy.ts
+++ b/src/measure/policy.ts
@@ -4,7 +4,7 @@
 import type { UserProfile } from './user-profile.js'
 import type { Scenario } from './scenario.js'
 
-/** What a policy can do and see in a run. */
+/** The simulation as a policy sees it. */
 export interface PolicyHost {
   readonly user: UserProfile
   readonly scenario: Scenario
@@ -13,30 +13,30 @@
   now (): number
   after (delayMs: number, run: () => void): void
   random (): number
-  /** True where a box can reach a zone now. */
+  /** True where the network currently connects the box with the zone. */
   canReach (box: BoxId, zone: number): boolean
   zoneOf (engine: EngineId): number
   send (request: SimRequest, engine: EngineId, priority: number): void
   refuse (request: SimRequest): void
   notePreempted (): void
-  /** A request was handed to a shard, over the wire or on the same box. */
+  /** A request was submitted to the owner of a shard; `isRemote`: the owner is another box. */
   noteSubmitted (isRemote: boolean): void
   noteViolation (rule: string, detail: string): void
 }
 
-/** A way to decide who takes each request. Every box decides for its own. */
+/** Decides which engine runs each request. Every box decides for the requests that it received. */
 export interface Policy {
   arrive (request: SimRequest): void
   noteFirstToken (request: SimRequest): void
   noteFinished (request: SimRequest): void
-  /** The caller left; the engine was told already. */
+  /** The caller gave up; the stream has already been cancelled at its engine. */
   noteCancelled (request: SimRequest): void
-  /** The engine failed; true where the policy tries again. */
+  /** An attempt failed at an engine; true where the policy retries. `wasReached`: the engine had accepted the request. */
   noteFailed (request: SimRequest, engine: EngineId, wasReached: boolean): boolean
   report (engine: EngineId, report: LoadReport): void
   tick (): void
   noteBoxLost (box: BoxId): void
 }
 
-/** Makes a policy for a run. */
+/** Creates a policy for one run. */
 export type PolicyFactory = (host: PolicyHost) => Policy
--- a/src/measure/scenario.ts
+++ b/src/measure/scenario.ts
@@ -1,21 +1,21 @@
 import { computeCapacity } from './user-profile.js'
 import type { UserProfile } from './user-profile.js'
 
-/** What befalls a deployment in a run. Times in ms from its start. */
+/** Load and faults of one run. Times in ms from its start. */
 export interface Scenario {
   readonly name: string
   readonly durationMs: number
-  /** The bursting class's demand as a multiple of all engines' capacity. */
+  /** Raises the demand of the bursting class to a multiple of the capacity of all engines. */
   readonly burst: { readonly capacityMultiple: number, readonly fromMs: number, readonly untilMs: number } | null
   readonly slow: { readonly share: number, readonly factor: number, readonly fromMs: number } | null
-  /** Engines that crash, and come back after a while. */
+  /** Every `everyMs`, a random share of the engines crashes and recovers after `downMs`. */
   readonly crashes: { readonly share: number, readonly everyMs: number, readonly downMs: number } | null
-  /** A share of the engines that is dead from a moment on. */
+  /** A random share of the engines crashes at `fromMs` and doesn't recover. */
   readonly dead: { readonly share: number, readonly fromMs: number } | null
   readonly reportLagMs: number
   readonly partition: { readonly zone: number, readonly fromMs: number, readonly untilMs: number } | null
   readonly boxFailure: { readonly box: number, readonly atMs: number } | null
-  /** The share of requests that come from two large workspaces. */
+  /** Share of requests that come from the two largest workspaces. */
   readonly largeWorkspaceShare: number
 }
 
@@ -35,7 +35,7 @@
 
 const createBurst = (capacityMultiple: number) => ({ capacityMultiple, fromMs: 20 * secondMs, untilMs: 65 * secondMs })
 
-/** Every scenario by its name. */
+/** The scenarios of a full experiment. */
 export const scenarios: readonly Scenario[] = [
   ordinary,
   { ...ordinary, name: 'burst-1.5', burst: createBurst(1.5) },
@@ -60,7 +60,7 @@
   }
 ]
 
-/** The long burst: three times capacity for an hour. */
+/** Demand at three times the capacity for an hour. Not part of `scenarios`, as it runs much longer. */
 export const longBurst: Scenario = {
   ...ordinary,
   name: 'long-burst',
@@ -68,7 +68,7 @@
   burst: { capacityMultiple: 3, fromMs: 60 * secondMs, untilMs: 3660 * secondMs }
 }
 
-/** How often the bursting class's ordinary rate is multiplied. */
+/** Factor by which the ordinary rate of the bursting class is multiplied in a burst; at least 1. */
 export function computeBurstFactor (user: UserProfile, capacityMultiple: number): number {
   const traffic = user.traffic.find(one => one.class.name === user.burstingClass)
   if (traffic === undefined) return 1
--- a/src/measure/shard-policy.ts
+++ b/src/measure/shard-policy.ts
@@ -1,4 +1,4 @@
-/** The product's own decisions in a run: `Placer` in each box, `Scheduler` in each owner. */
+/** The production policy in a simulation: a `Placer` on each box and a `Scheduler` for each shard. */
 import { Placer, RetryBudget, Scheduler, assignOwners, brandId, defaultTuning, partEngines } from '../core/index.js'
 import type { BoxId, EngineId, EngineSpec, LoadReport, ModelName, Placement, PoolName, SchedulerAction, SchedulerEvent, Shard, ShardId, ShardWord, StreamEnd, Submission, ZoneName } from '../core/index.js'
 import type { Policy, PolicyHost } from './policy.js'
@@ -8,17 +8,18 @@
 const crossZoneDelayMs = 1
 const loadsEveryMs = 250
 const failureDetectionMs = 2500
-// As chat-exchange.ts has it.
+// Same as in src/tasks/chat-exchange.ts: the placer increments the attempt whenever it asks another owner.
 const attemptStride = 100
 const model = brandId<ModelName>('model')
 const pool = brandId<PoolName>('pool')
 
-/** How engines are shared among boxes. */
+/** How boxes share the engines. */
 export interface SharingOptions {
-  /** Engines of a shard at most. */
+  /** Only used by `owned`. */
   readonly maxEnginesPerShard: number
-  /** `owned`: each shard has one owner. `alone`: every box schedules all engines by itself. `credits`: likewise, on an even part of the places. */
+  /** `owned`: each shard has one owner. `alone`: every box schedules all engines independently. `credits`: likewise, with an equal share of the places. */
   readonly mode: 'owned' | 'alone' | 'credits'
+  /** Null takes the user profile's value. */
   readonly floorPlaces: number | null
 }
 
@@ -154,7 +155,7 @@
     return assignOwners(shards, this.#liveBoxes.map(id => ({ id, zone: nameZone(this.#zones.get(id) ?? 0) })))
   }
 
-  // A new owner begins without the old one's queue: boxes tell it what they have.
+  // A new owner starts with an empty scheduler; placers report running streams to it and resubmit pending requests.
   #reassignShards (failedBox: BoxId): void {
     const owners = this.#assignOwners([...this.#shards.values()].map(owned => owned.shard))
     for (const [id, owned] of [...this.#shards]) {
@@ -280,7 +281,7 @@
   return brandId<ZoneName>(`zone-${zone}`)
 }
 
-/** A maker of the product's policy with one way of sharing engines. */
+/** Creates a factory of the production policy with the given sharing of engines. */
 export function createShardPolicy (sharing: SharingOptions): (host: PolicyHost) => Policy {
   return host => new ShardPolicy(host, sharing)
 }
--- a/src/measure/sim-engine.ts
+++ b/src/measure/sim-engine.ts
@@ -4,13 +4,14 @@
 import type { EventQueue } from './event-queue.js'
 import type { SimRequest } from './sim-request.js'
 
-/** What a run learns from an engine. */
+/** Receives the events of a simulated engine. */
 export interface SimEngineHost {
   noteToken (request: SimRequest): void
   noteFinished (request: SimRequest, engine: EngineId): void
   noteFailed (request: SimRequest, engine: EngineId, wasReached: boolean): void
 }
 
+/** Engine effort of a prompt token, in generated tokens. */
 const promptTokenEffort = 0.015
 const connectionRefusedMs = 1
 
@@ -37,7 +38,7 @@
   set slowFactor (factor: number) { this.#model.slowFactor = factor }
   get slowFactor (): number { return this.#model.slowFactor }
 
-  /** Takes a request, or fails it where the engine is down. */
+  /** Starts a request. While the engine is down, it fails after `connectionRefusedMs` as not reached. */
   add (request: SimRequest, priority: number): void {
     if (this.#isDown) return this.#queue.after(connectionRefusedMs, () => this.#host.noteFailed(request, this.id, false))
     this.#streams.set(request.id, request)
@@ -51,7 +52,7 @@
     this.#model.remove(request.id)
   }
 
-  /** Ends every stream; the engine takes nothing until it's back up. */
+  /** Fails every stream. The engine refuses requests until `recover`. */
   crash (): void {
     this.#isDown = true
     const interrupted = [...this.#streams.values()]
--- a/src/measure/simulation.ts
+++ b/src/measure/simulation.ts
@@ -1,4 +1,4 @@
-/** One run in virtual time: arrivals, engines, faults, and a policy that decides. */
+/** Discrete-event simulation of a deployment: arrivals, engines, faults, and the policy under test. */
 import { brandId } from '../core/index.js'
 import type { BoxId, EngineId, RequestId, WorkspaceName, ZoneName } from '../core/index.js'
 import { createRandom } from '../runtime/index.js'
@@ -15,16 +15,17 @@
 const callerDelayMs = 1
 const tickMs = 15
 const reportEveryMs = 1000
+/** How long accepted requests may run on after the scenario's end. */
 const maxDrainMs = 600_000
 
-/** What went on beside the classes' figures. */
+/** Results of a run. */
 export interface RunResult {
   readonly tally: Tally
   readonly preempted: number
-  /** Submissions that crossed between boxes, and those that did not. */
+  /** Submissions to shards of other boxes, and to shards of the same box. */
   readonly submitted: { readonly remote: number, readonly local: number }
   readonly violations: readonly string[]
-  /** Requests that were accepted and had not ended when the run was over. */
+  /** Accepted requests that had no outcome when the run was over. */
   readonly unfinished: number
 }
 
@@ -58,7 +59,7 @@
     this.#policy = createPolicy(this.#createHost())
   }
 
-  /** Runs the scenario to its end, and then until what was accepted has ended. */
+  /** Runs the scenario to its end, and then until all accepted requests have an outcome, at most for `maxDrainMs`. */
   run (): RunResult {
     for (const traffic of this.#user.traffic) this.#scheduleArrival(traffic)
     this.#scheduleFaults()
@@ -124,7 +125,7 @@
     })
   }
 
-  // Arrivals: a Poisson process for each class, its rate raised in a burst.
+  // Arrivals: a Poisson process per class, with a higher rate during a burst.
 
   #scheduleArrival (traffic: ClassTraffic): void {
     const waitMs = -Math.log(1 - this.#random()) * 1000 / this.#findRate(traffic)
@@ -136,7 +137,7 @@
     })
   }
 
-  // A wait that reaches past a change of rate is drawn anew from there.
+  // Waits are memoryless: one that spans a change of rate ends there without an arrival, and the next is drawn at the new rate.
   #truncateAtRateChange (waitMs: number): { readonly waitMs: number, readonly arrives: boolean } {
     const { burst } = this.#scenario
     const { now } = this.#queue
@@ -194,7 +195,7 @@
     return Math.sqrt(-2 * Math.log(1 - this.#random())) * Math.cos(2 * Math.PI * this.#random())
   }
 
-  // A request's way.
+  // Lifecycle of a request.
 
   #send (request: SimRequest, engine: EngineId, priority: number): void {
     request.engine = engine
--- a/src/measure/tally.ts
+++ b/src/measure/tally.ts
@@ -2,27 +2,28 @@
 import type { SimRequest } from './sim-request.js'
 import type { UserProfile } from './user-profile.js'
 
-/** The figures of one class in one run. */
+/** Counters of one class in one run. */
 export interface ClassFigures {
   readonly class: ClassName
   offered: number
   finished: number
-  /** Finished within every target of the class. */
+  /** Finished requests that met every target of the class. */
   metTargets: number
   refused: number
   left: number
   failed: number
-  /** Longest time to a first token of a request that was served, ms. */
+  /** Longest time to first token, ms; 0 where no request got one. */
   worstWaitMs: number
-  /** Engine effort, in tokens. */
+  /** Engine effort, in generated tokens. */
   effort: number
-  /** Effort for answers that nobody received. */
+  /** Effort for output that no caller received in a finished answer. */
   wasted: number
 }
 
+/** Share of an answer's tokens that may exceed the gap target before the request misses it. */
 const maxLateShare = 0.05
 
-/** Counts how requests ended, by class. */
+/** Counts the outcomes of requests by class. */
 export class Tally {
   #figures = new Map<ClassName, ClassFigures>()
 
--- a/src/measure/user-profile.ts
+++ b/src/measure/user-profile.ts
@@ -1,22 +1,22 @@
-/** The users' deployments and workloads, as the brief tells them. */
+/** Deployments and workloads of the two example users. */
 import { brandId } from '../core/index.js'
 import type { ClassName, RequestClass } from '../core/index.js'
 import type { EngineShape } from '../standin/index.js'
 
-/** One class's traffic. */
+/** Traffic of one request class. */
 export interface ClassTraffic {
   readonly class: RequestClass
-  /** Requests a second on an ordinary day. */
+  /** Requests a second outside bursts. */
   readonly rate: number
-  /** Median tokens of an answer; lengths spread log-normally around it. */
+  /** Median tokens of an answer; lengths are log-normal with `spread` as their standard deviation in log space. */
   readonly tokens: number
   readonly spread: number
   readonly promptTokens: number
-  /** How long a caller waits for the first token before leaving, ms. */
+  /** How long a caller waits for the first token before it cancels, ms. */
   readonly callerTimeoutMs: number
 }
 
-/** A user's deployment. */
+/** Deployment and workload of a user. */
 export interface UserProfile {
   readonly name: 'campsites' | 'tyres'
   readonly zones: number
@@ -27,7 +27,7 @@
   readonly floorPlaces: number
   readonly shape: EngineShape
   readonly traffic: readonly ClassTraffic[]
-  /** The class that bursts. */
+  /** The class whose rate rises during a burst. */
   readonly burstingClass: ClassName
 }
 
@@ -82,10 +82,9 @@
   ]
 }
 
-/** Both users, by name. */
 export const userProfiles: readonly UserProfile[] = [campsites, tyres]
 
-/** Tokens a second that the engines can make, when every batch is full. */
+/** Tokens a second that all engines generate together with full batches; context and prefill time are not counted. */
 export function computeCapacity (user: UserProfile): number {
   const { batch, baseMs, streamMs } = user.shape
   return user.engines * batch * 1000 / (baseMs + streamMs * batch)
--- a/src/report/chart.ts
+++ b/src/report/chart.ts
@@ -1,7 +1,7 @@
 /** One bar of a chart. */
 export interface Bar {
   readonly label: string
-  /** 0 to 1. */
+  /** Fraction, 0 to 1. `min` and `max` are its range over seeds. */
   readonly value: number
   readonly min: number
   readonly max: number
@@ -14,7 +14,7 @@
 const rowHeight = 22
 const plotTop = 30
 
-/** A bar chart of shares as SVG, with the spread over seeds as a line on each bar. */
+/** Renders a bar chart of fractions as SVG, with a line on each bar for the range from `min` to `max`. */
 export function drawShares (title: string, bars: readonly Bar[]): string {
   const height = plotTop + bars.length * rowHeight + 10
   const scale = (value: number): number => plotLeft + value * (width - plotLeft - 60)
--- a/src/report/group.ts
+++ b/src/report/group.ts
@@ -1,6 +1,6 @@
 import type { Row } from '../measure/index.js'
 
-/** Rows of one user, scenario, policy and class over several seeds. */
+/** Rows that differ only in their seed. */
 export interface Group {
   readonly user: string
   readonly scenario: string
@@ -9,14 +9,14 @@
   readonly rows: readonly Row[]
 }
 
-/** A mean over seeds with its least and largest. */
+/** Mean and range of a value over seeds. */
 export interface SeedSpread {
   readonly mean: number
   readonly min: number
   readonly max: number
 }
 
-/** Groups rows over their seeds, in the order in which they come. */
+/** Groups rows by user, scenario, policy and class, in order of first occurrence. */
 export function groupRows (rows: readonly Row[]): Group[] {
   const groups = new Map<string, Row[]>()
   for (const row of rows) {
@@ -31,7 +31,7 @@
   })
 }
 
-/** The spread of one column. */
+/** Computes the mean and range of one column of a group. */
 export function computeSpread (group: Group, column: 'attainment' | 'goodput' | 'wasted' | 'worstWaitMs' | 'offered' | 'finished' | 'shed' | 'left' | 'failed'): SeedSpread {
   const values = group.rows.map(row => row[column])
   return { mean: values.reduce((sum, value) => sum + value, 0) / values.length, min: Math.min(...values), max: Math.max(...values) }
--- a/src/report/page.ts
+++ b/src/report/page.ts
@@ -1,4 +1,4 @@
-/** docs/MEASURED.md, from the rows of `npm run measure -- --json`. */
+/** Generates docs/MEASURED.md from the output of `npm run measure -- --json`. */
 import type { Row } from '../measure/index.js'
 import { drawShares } from './chart.js'
 import type { Bar } from './chart.js'
@@ -7,13 +7,13 @@
 
 const productPolicy = 'wrenlane'
 
-/** A page and the plots that it shows. */
+/** A Markdown page and its plots; `plots` maps file names to SVG. */
 export interface Report {
   readonly page: string
   readonly plots: ReadonlyMap<string, string>
 }
 
-/** Composes tables and plots, by user and scenario. */
+/** Composes a section with tables and a plot for each user and scenario. */
 export function composeReport (rows: readonly Row[]): Report {
   const groups = groupRows(rows)
   const plots = new Map<string, string>()
@@ -35,7 +35,7 @@
   return { label: `${group.policy}, ${group.class}`, value: mean, min, max, isHighlighted: group.policy === productPolicy }
 }
 
-// Goodput and waste of all classes together, beside the best of the naive ways.
+// Goodput and waste over all classes, per policy.
 function formatTotals (groups: readonly Group[]): string {
   const policies = listUnique(groups.map(group => group.policy))
   const total = (policy: string, column: 'goodput' | 'wasted'): number =>
@@ -47,7 +47,7 @@
 }
 
 function formatTable (groups: readonly Group[]): string {
-  const lines = ['| policy | class | offered | finished | attainment (least to most) | goodput/s | wasted | worst wait ms | shed | left | failed |', '|---|---|---|---|---|---|---|---|---|---|---|']
+  const lines = ['| policy | class | offered | finished | attainment (min to max) | goodput/s | wasted | worst wait ms | shed | left | failed |', '|---|---|---|---|---|---|---|---|---|---|---|']
   for (const group of groups) {
     const share = computeSpread(group, 'attainment')
     const cells = [
--- a/src/report/tables.ts
+++ b/src/report/tables.ts
@@ -1,9 +1,9 @@
-/** Pages that are made from tables in the code, so that they can't differ from it. */
+/** Reference tables generated from the definitions in the code, so that the two can't diverge. */
 import { describe } from '../config/index.js'
 import type { Field, FieldTable } from '../config/index.js'
 import { errorTable } from '../core/index.js'
 
-/** The table of `docs/ERRORS.md`. */
+/** Formats the table of `docs/ERRORS.md`. */
 export function formatErrors (): string {
   const lines = ['| kind | status | type | outcome | Retry-After | meaning |', '|---|---|---|---|---|---|']
   for (const [kind, answer] of Object.entries(errorTable)) {
@@ -12,7 +12,7 @@
   return lines.join('\n')
 }
 
-/** One section of `docs/CONFIG.md`. */
+/** Formats one table of `docs/CONFIG.md`; nested fields get dotted paths. */
 export function formatFields (fields: FieldTable): string {
   const lines = ['| key | type | default | about |', '|---|---|---|---|']
   addFields(lines, fields, '')
--- a/src/standin/answer-text.ts
+++ b/src/standin/answer-text.ts
@@ -1,17 +1,17 @@
-/** The answers of stand-in engines: a function of the request alone. */
+/** Answers of stand-in engines. They are a pure function of the request, so that any engine can resume an answer and tests can predict it. */
 import { createHash } from 'node:crypto'
 import type { ChatRequest } from '../protocol/index.js'
 
 const maxAnswerWords = 60
 
-/** An answer that any stand-in would give to a request, word by word. */
+/** The answer to a request, word by word. */
 export interface StandinAnswer {
   readonly words: readonly string[]
-  /** Words that the caller has already, where the request resumes an answer. */
+  /** Number of words that the caller already has, where the request resumes an answer; else 0. */
   readonly given: number
 }
 
-/** Works out the answer, and how much of it a resumed request has already. */
+/** Computes the answer, and how much of it the partial answer of a resumed request already contains. */
 export function composeAnswer (chat: ChatRequest): StandinAnswer {
   const isResumed = chat.continue_final_message === true
   const messages = isResumed ? chat.messages.slice(0, -1) : chat.messages
--- a/src/standin/engine-fault.ts
+++ b/src/standin/engine-fault.ts
@@ -1,24 +1,24 @@
-/** Faults that a stand-in brings about on command. */
+/** Faults that can be injected into a stand-in engine. */
 export type Fault =
   | { readonly type: 'none' }
-  /** Every step takes so many times as long. */
+  /** Multiplies the duration of every step. */
   | { readonly type: 'slow', readonly factor: number }
-  /** Connections are reset before the first byte of an answer. */
+  /** Closes the connection of each request before the first byte of an answer. */
   | { readonly type: 'reset' }
-  /** Requests are taken and never answered. */
+  /** Accepts requests and never answers. */
   | { readonly type: 'hang' }
-  /** Requests are answered with status 503. */
+  /** Answers requests with status 503. */
   | { readonly type: 'refuse' }
-  /** Every stream is cut after so many tokens, once each. */
+  /** Aborts each stream's connection after the given number of tokens. */
   | { readonly type: 'crash', readonly afterTokens: number }
-  /** Every stream ends after so many tokens as if it were whole, but for its last event. */
+  /** Ends each stream's response normally after the given number of tokens, but without the final events. */
   | { readonly type: 'short', readonly afterTokens: number }
-  /** An event that is not JSON is sent after so many tokens. */
+  /** Sends an event with invalid JSON after the given number of tokens. */
   | { readonly type: 'garble', readonly afterTokens: number }
 
 const faultTypes = ['none', 'slow', 'reset', 'hang', 'refuse', 'crash', 'short', 'garble']
 
-/** Reads a fault from a command's body; null where it is none. */
+/** Validates a parsed JSON value; null where it is not a fault. */
 export function parseFault (value: unknown): Fault | null {
   if (typeof value !== 'object' || value === null) return null
   const { type, factor, afterTokens } = value as { type?: string, factor?: number, afterTokens?: number }
--- a/src/standin/engine-loop.ts
+++ b/src/standin/engine-loop.ts
@@ -1,20 +1,20 @@
 import { performance } from 'node:perf_hooks'
 import type { EngineModel } from './engine-model.js'
 
-/** What becomes of an engine's steps. */
+/** Receives the results of an engine's steps. */
 export interface EngineLoopHost {
-  /** A stream got a token. */
+  /** A stream generated a token. */
   noteToken (id: string): void
-  /** A stream's answer is whole; its last token was given. */
+  /** A stream is complete; called after `noteToken` for its last token. */
   noteFinished (id: string): void
 }
 
-/** Below this a step's end is not waited for by a timer, ms: timers are no finer. */
+/** Shorter waits use `setImmediate`, ms: the resolution of timers is no finer. */
 const minTimerMs = 0.5
 
-/** Drives an engine's model by the clock, for as long as it has streams. */
+/** Runs the steps of an engine model in real time for as long as it has streams. */
 export class EngineLoop {
-  /** How long the last step took, ms. */
+  /** Duration of the last step, ms. */
   lastStepMs = 0
   #model: EngineModel
   #host: EngineLoopHost
@@ -25,7 +25,7 @@
     this.#host = host
   }
 
-  /** Goes on with the next step; to be called when a stream was added. */
+  /** Starts the next step unless one is in progress. Must be called after adding a stream. */
   runNextStep (): void {
     if (this.#isStepping || this.#model.isIdle) return
     this.#isStepping = true
--- a/src/standin/engine-model.ts
+++ b/src/standin/engine-model.ts
@@ -1,33 +1,33 @@
 /**
- * A model of an engine that batches continuously. Time is an argument: the
- * stand-in drives it by timers, measurements drive it in virtual time.
- * A step takes a base time, a time for each stream, for the context in the KV
- * memory and for prompt tokens taken in. Streams of a smaller priority number
- * run first; others are paused, and lose their KV where it doesn't fit.
+ * A model of an engine with continuous batching. It has no clock: `step` returns
+ * how long a step takes, and the caller waits in real or in virtual time.
+ * A step takes a base time, plus time per stream, per context token in the KV
+ * cache and per prefilled prompt token. Streams with a lower priority number
+ * run first; the others are preempted, and their KV is evicted where it doesn't fit.
  */
 
-/** How an engine behaves. Times in ms. */
+/** Size and speed of an engine. Times in ms. */
 export interface EngineShape {
   readonly batch: number
   readonly baseMs: number
   readonly streamMs: number
-  /** For each 1,000 tokens of context in the batch. */
+  /** Step time per 1,000 tokens of context in the batch. */
   readonly contextMs: number
-  /** For each 1,000 prompt tokens that are not cached. */
+  /** Step time per 1,000 prompt tokens that are not cached. */
   readonly prefillMs: number
   readonly kvTokens: number
-  /** Prompt tokens of a prefix that the cache can save. */
+  /** Prompt tokens that need no prefill where the prefix is cached. */
   readonly prefixTokens: number
   readonly prefixEntries: number
 }
 
-/** A stream as it is given to the engine. */
+/** A request to generate a stream of tokens. */
 export interface StreamRequest {
   readonly id: string
   readonly priority: number
   readonly promptTokens: number
   readonly prefix: string | null
-  /** Tokens of the answer that are still wanted. */
+  /** Number of tokens to generate. */
   readonly tokens: number
 }
 
@@ -39,12 +39,12 @@
   hasKv: boolean
 }
 
-/** What one step gave. */
+/** Result of one step. */
 export interface StepResult {
   readonly ms: number
-  /** Streams that got a token in this step. */
+  /** Ids of the streams that generated a token. */
   readonly tokens: readonly string[]
-  /** Streams whose answer is whole. */
+  /** Ids of the streams that are complete. */
   readonly finished: readonly string[]
 }
 
@@ -59,7 +59,7 @@
   #cachedPrefixes = new Map<string, true>()
   #evictedPrefixes: string[] = []
   slowFactor = 1
-  /** Steps' time so far, and the part of it spent on each stream by id. */
+  /** Total duration of all steps, ms. */
   busyMs = 0
 
   constructor (shape: EngineShape) {
@@ -84,7 +84,7 @@
     this.#isBatchStale = true
   }
 
-  /** Ends a stream; its tokens given so far, or undefined where it isn't here. */
+  /** Removes a stream. Returns the tokens generated so far, or undefined for an unknown stream. */
   remove (id: string): number | undefined {
     const stream = this.#streams.get(id)
     if (stream === undefined) return undefined
@@ -93,7 +93,6 @@
     return stream.generatedTokens
   }
 
-  /** Runs one step. */
   step (): StepResult {
     if (this.#isBatchStale) this.#chooseBatch()
     const tokens: string[] = []
@@ -119,7 +118,7 @@
     return { ms, tokens, finished }
   }
 
-  /** Prefixes dropped from the cache since the last call. */
+  /** Returns the prefixes that were evicted from the cache since the last call. */
   drainEvicted (): string[] {
     const evicted = this.#evictedPrefixes
     this.#evictedPrefixes = []
@@ -140,7 +139,7 @@
     for (const stream of this.#batch) stream.hasKv = true
   }
 
-  // A stream that lost its KV takes in its prompt and answer once more.
+  // A stream whose KV was evicted has to prefill its prompt and its tokens so far again.
   #evictKv (stream: ModelStream): void {
     if (!stream.hasKv) return
     stream.hasKv = false
--- a/src/standin/fenced-order-handler.ts
+++ b/src/standin/fenced-order-handler.ts
@@ -1,15 +1,15 @@
-/** What an engine does with fenced orders. */
+/** An order with its fencing token, as sent to an engine. */
 export interface OrderBody {
   readonly fence: number
   readonly action: { readonly type: string, readonly model?: string }
 }
 
-/** The answer to an order. */
+/** The answer to an order; `newest` is the highest fencing token seen. */
 export type OrderAnswer =
   | { readonly ok: true }
   | { readonly ok: false, readonly newest: number }
 
-/** Takes orders; where it checks, an order with a lower number is refused. */
+/** Handles an engine's orders to load and unload models. With `checksFencing`, orders with a lower fencing token than an earlier one are refused. */
 export class FencedOrderHandler {
   #checksFencing: boolean
   #highestFence = 0
--- a/src/standin/http-tools.ts
+++ b/src/standin/http-tools.ts
@@ -1,24 +1,23 @@
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 
-/** Reads a whole body; rejects where the sender leaves or it is too large. */
+/** Reads a whole body. Rejects where the sender aborts or the body is larger than `maxBytes`. */
 export async function readBody (request: IncomingMessage, maxBytes = 16 * 2 ** 20): Promise<Buffer> {
   const chunks: Buffer[] = []
   let size = 0
   for await (const chunk of request as AsyncIterable<Buffer>) {
     size += chunk.length
-    if (size > maxBytes) throw new RangeError('the body is too large')
+    if (size > maxBytes) throw new RangeError('request body is too large')
     chunks.push(chunk)
   }
   return Buffer.concat(chunks)
 }
 
-/** Answers with JSON. */
 export function sendJson (response: ServerResponse, status: number, value: unknown): void {
   response.writeHead(status, { 'content-type': 'application/json' })
   response.end(JSON.stringify(value))
 }
 
-/** Listens; resolves with the port. */
+/** Starts listening. Resolves with the actual port, rejects where the address can't be bound. */
 export function listenOn (server: Server, host: string, port: number): Promise<number> {
   return new Promise((resolve, reject) => {
     server.once('error', reject)
--- a/src/standin/index.ts
+++ b/src/standin/index.ts
@@ -1,4 +1,4 @@
-/** Stand-ins for engines and plain services. */
+/** Stand-ins for the systems around the router: engines, services, endpoints and the platform. */
 export { EngineModel } from './engine-model.js'
 export type { EngineShape, StepResult, StreamRequest } from './engine-model.js'
 export { StandinEngine } from './standin-engine.js'
--- a/src/standin/paced-engine.ts
+++ b/src/standin/paced-engine.ts
@@ -2,21 +2,21 @@
 import { EngineModel } from './engine-model.js'
 import type { EngineShape } from './engine-model.js'
 
-/** How an endpoint's engine behaves. */
+/** Size and speed of an endpoint's engine. */
 export interface PacedEngineShape extends EngineShape {
   readonly tokensPerEvent: number
 }
 
 interface PacedStream {
   generatedTokens: number
-  /** Events that were taken already. */
+  /** Number of events that were requested through `awaitEvent`. */
   requestedEvents: number
   resolveWait: (() => void) | null
 }
 
 /**
- * An engine of limited speed that reads prompts in the order in which they
- * came: streams wait for their turn, then for each of their events.
+ * Paces the events of an endpoint's streams like an engine of limited speed:
+ * prompts are prefilled in order of arrival, then each event waits for its tokens.
  */
 export class PacedEngine {
   #shape: PacedEngineShape
@@ -30,14 +30,14 @@
     this.#loop = new EngineLoop(this.#model, { noteToken: id => this.#noteToken(id), noteFinished: () => {} })
   }
 
-  /** Begins with a stream; `id` must be new. */
+  /** Starts a stream; `id` must be new. */
   startStream (id: string, promptTokens: number, events: number): void {
     this.#streams.set(id, { generatedTokens: 0, requestedEvents: 0, resolveWait: null })
     this.#model.add({ id, priority: 0, promptTokens, prefix: null, tokens: events * this.#shape.tokensPerEvent })
     this.#loop.runNextStep()
   }
 
-  /** Resolves once the next event of a stream is made, or the stream was dropped. */
+  /** Resolves once the tokens of a stream's next event are generated, or the stream is cancelled. */
   async awaitEvent (id: string): Promise<void> {
     const stream = this.#streams.get(id)
     if (stream === undefined) return
@@ -47,7 +47,7 @@
     }
   }
 
-  /** Ends a stream; does nothing for one that is over. */
+  /** Cancels a stream; a no-op for unknown streams. */
   cancelStream (id: string): void {
     const stream = this.#streams.get(id)
     if (stream === undefined) return
--- a/src/standin/standin-endpoint.ts
+++ b/src/standin/standin-endpoint.ts
@@ -1,7 +1,7 @@
 /**
- * A stand-in endpoint of a routed service: it answers whole or with numbered
- * events, records every run, and misbehaves on command. It speaks any dialect
- * whose header names it is given.
+ * A stand-in endpoint of a routed service: it answers with a single body or a
+ * stream of numbered events, records every request that it runs, and injects
+ * faults. It supports any dialect, given its header names.
  */
 import { createServer } from 'node:http'
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
@@ -12,85 +12,85 @@
 import { PacedEngine } from './paced-engine.js'
 import type { PacedEngineShape } from './paced-engine.js'
 
-/** How the endpoint misbehaves. */
+/** Faults that can be injected. */
 export type EndpointFault =
   | { readonly type: 'none' }
-  /** Turns requests away without running them. */
+  /** Refuses requests with 503 without running them. */
   | { readonly type: 'full' }
   /** Runs requests and answers 500. */
   | { readonly type: 'error' }
-  /** Runs requests and resets the connection in place of an answer. */
+  /** Runs requests and closes the connection instead of answering. */
   | { readonly type: 'lose' }
   /** Runs requests and never answers. */
   | { readonly type: 'hang' }
-  /** Ends answers in the middle; streams in the middle of the event after so many. */
+  /** Aborts answers halfway; streams in the middle of the event that follows `afterEvents`. */
   | { readonly type: 'break', readonly afterEvents: number }
-  /** Names another request in its answers. */
+  /** Answers with the id of another request. */
   | { readonly type: 'foreign' }
-  /** Leaves out its mark. */
+  /** Omits the mark header from answers. */
   | { readonly type: 'unmarked' }
-  /** Sends a second answer after each whole one. */
+  /** Sends a second response after each complete one. */
   | { readonly type: 'surplus' }
-  /** Answers without a length, ended by the connection's end. */
+  /** Answers without a content length; closing the connection ends the body. */
   | { readonly type: 'unframed' }
-  /** The same, but in the middle the connection is reset. */
+  /** Likewise, but resets the connection halfway through the body. */
   | { readonly type: 'unframed-reset' }
 
-/** What the endpoint does with a request whose body begins with `crashMark`. */
+/** How the endpoint crashes on a request whose body begins with `crashMark`. */
 export interface CrashShape {
-  /** From the start of such a run until the endpoint ends, ms. */
+  /** From the start of the run until the crash, ms. */
   readonly afterMs: number
-  /** Until it listens again at its address, ms. */
+  /** From the crash until it listens again on the same address, ms. */
   readonly downMs: number
 }
 
-/** Requests with such a body end the endpoint that runs them, where it has a `CrashShape`. */
+/** Prefix of bodies that crash the endpoint that runs them, where it has a `CrashShape`. */
 export const crashMark = 'ends its endpoint'
 
-/** The headers that the endpoint reads and writes. */
+/** Names of the headers that the endpoint reads and writes. */
 export interface EndpointHeaders {
   readonly requestId: string
   readonly expectedEndpoint: string
   readonly notRun: string
-  /** Empty where the dialect has no mark. */
+  /** Mark that every complete answer must carry. Empty where the dialect has none. */
   readonly mark: string
   readonly lastEvent: string
-  /** "PROMPT,MOST": tokens of the prompt and the most that may be generated; only engines look at it. */
+  /** "PROMPT,MAX": tokens of the prompt and the maximum to generate. Only read with a paced engine. */
   readonly tokens?: string
-  /** On answers: requests a second that the endpoint takes from all boxes together. */
+  /** On answers: requests a second that the endpoint accepts from all boxes together. */
   readonly limit?: string
-  /** On answers: "1" where the endpoint leaves. */
+  /** On answers: "1" where the endpoint is about to leave. */
   readonly leaving?: string
 }
 
-/** How an endpoint under load turns requests away. */
+/** How an overloaded endpoint refuses requests. */
 export interface BackoffShape {
-  /** Part of the requests that are turned away, 0 to 1. */
+  /** Probability that a request is refused, 0 to 1. */
   readonly share: number
-  /** For how long it then wants nothing from the box that sent it, s. */
+  /** Value of `retry-after` on refusals, s. */
   readonly seconds: number
 }
 
-/** One request that reached the endpoint, whether it ran or not. */
+/** A request that reached the endpoint, whether it ran or not. */
 export interface EndpointArrival {
   readonly requestId: string
-  /** On this process's rising clock, ms. */
+  /** On this process's monotonic clock, ms. */
   readonly at: number
-  /** What its answer was to say, as it stood then. */
+  /** Limit and leaving notice that applied when the request arrived. */
   readonly limit: number | null
   readonly isLeaving: boolean
-  /** For how long the endpoint asked the box to back off, ms; null where it didn't. */
+  /** Back-off time sent with a refusal, ms; null where there was none. */
   backoffMs: number | null
 }
 
-/** One request that the endpoint ran. */
+/** A request that the endpoint ran. */
 export interface EndpointRun {
   readonly requestId: string
   readonly method: string
   readonly path: string
   readonly headers: IncomingMessage['headers']
   readonly body: string
-  /** True once the caller's side closed the connection before the end. */
+  /** True once the connection was closed before the response was complete. */
   isCalledOff: boolean
 }
 
@@ -99,7 +99,7 @@
   awaitAfterEvent (): Promise<void>
 }
 
-/** Number of a stream's events; a path ending in `/events-N` asks for N. */
+/** Number of events of a stream, unless the path contains `events-N`. */
 const defaultEvents = 6
 
 export class StandinEndpoint {
@@ -107,38 +107,38 @@
   readonly runs: EndpointRun[] = []
   fault: EndpointFault = { type: 'none' }
   readonly arrivals: EndpointArrival[] = []
-  /** The limit that it names on its answers; null for none. */
+  /** Rate limit to announce on answers; null for none. */
   limit: number | null = null
-  /** True where its answers say that it leaves. */
+  /** Whether answers announce that the endpoint is leaving. */
   isLeaving = false
   backoff: BackoffShape | null = null
   eventMs = 5
   answerMs = 1
   port = 0
-  /** Null where no request ends it. */
+  /** Null where no request crashes it. */
   crash: CrashShape | null = null
-  /** The bodies under which it has ended, one for each time. */
+  /** Bodies of the requests that crashed it, in order. */
   readonly ends: string[] = []
-  /** When each of these was, on this process's rising clock, ms. */
+  /** Time of each crash in `ends`, on this process's monotonic clock, ms. */
   readonly endedAt: number[] = []
-  /** After each restart, from `noteKnown` to its first run, ms. */
+  /** Time from `noteKnown` to the next run after each restart, ms. */
   readonly backMs: number[] = []
-  /** Called as it ends under a request. */
+  /** Called when it crashes. */
   noteEnd: () => void = () => {}
-  /** Called once it listens again after it has ended. */
+  /** Called when it listens again after a crash. */
   noteRestart: () => void = () => {}
   #headers: EndpointHeaders
   #server: Server
   #host = ''
   #sockets = new Set<Socket>()
   #isDown = false
-  /** When its new life's first word was taken; null once it has had work since. */
+  /** Time of the last `noteKnown`; null once a request has run since. */
   #registeredAt: number | null = null
   #isClosed = false
   #engine: PacedEngine | null
   #streamCount = 0
 
-  /** `engine`: how an engine reads and writes; null where events come by the clock. */
+  /** `engine`: paces the events of streams; null sends them at intervals of `eventMs`. */
   constructor (id: string, headers: EndpointHeaders, engine: PacedEngineShape | null = null) {
     this.id = id
     this.#headers = headers
@@ -157,14 +157,14 @@
     return this.port
   }
 
-  /** Ends at once, as a crash does. */
+  /** Stops immediately and closes all connections. */
   close (): void {
     this.#isClosed = true
     this.#server.close()
     this.#server.closeAllConnections()
   }
 
-  /** Resets all connections and listens no more, as a process that dies does; it is back after `downMs`. */
+  /** Simulates a crash of the process: resets all connections and stops listening; restarts after `downMs`. */
   end (body: string, downMs: number): void {
     if (this.#isDown || this.#isClosed) return
     this.#isDown = true
@@ -176,10 +176,10 @@
     setTimeout(() => { if (!this.#isClosed) void this.#restart() }, downMs)
   }
 
-  /** Takes word that a box has taken the first word of its new life. */
+  /** To be called when a registry has accepted the registration that follows a restart. */
   noteKnown (): void { this.#registeredAt = performance.now() }
 
-  /** True from its end under a request until it listens again. */
+  /** True from a crash until it listens again. */
   get isDown (): boolean { return this.#isDown }
 
   async #restart (): Promise<void> {
@@ -209,10 +209,10 @@
     const { crash } = this
     const isCrash = crash !== null && body.startsWith(crashMark)
     if (isCrash) setTimeout(() => this.end(body, crash.downMs), crash.afterMs)
-    // As it was when the run began: a fault that is lifted meanwhile is not lifted for it.
+    // The fault that is active when the run starts applies to it, even if it is cleared meanwhile.
     const { fault } = this
     await sleep(this.answerMs)
-    // A stream may begin before; nothing else is ever answered.
+    // A stream may start before the crash; other requests get no answer.
     if (isCrash && !run.path.includes('/events')) return
     if (fault.type === 'lose') return void request.socket.destroy()
     if (fault.type === 'hang') return
@@ -283,7 +283,7 @@
     response.end()
   }
 
-  // What a stream waits for before and after each of its events.
+  // Returns the waits before and after each event of a stream.
   #createPacing (request: IncomingMessage, response: ServerResponse, events: number): EventPacing {
     const engine = this.#engine
     if (engine === null) return { awaitBeforeEvent: async () => {}, awaitAfterEvent: () => sleep(this.eventMs) }
@@ -296,12 +296,12 @@
   }
 }
 
-/** The whole answer to a run: a function of the request, so that a test can tell whose it is. */
+/** The body of a non-streamed answer: a function of the request, so that a test can tell which request it answers. */
 export function composeWhole (run: Pick<EndpointRun, 'requestId' | 'method' | 'path' | 'body'>): string {
   return JSON.stringify({ answers: run.requestId, method: run.method, path: run.path, body: run.body })
 }
 
-/** One event of a stream, the same at every endpoint. */
+/** One event of a stream. All endpoints send the same, so that a stream can be resumed at another. */
 export function composeEvent (path: string, id: number): string {
   return `id: ${id}\ndata: ${path} ${id}\n\n`
 }
--- a/src/standin/standin-engine.ts
+++ b/src/standin/standin-engine.ts
@@ -1,6 +1,6 @@
 /**
- * A stand-in engine: the published chat protocol over a model of continuous
- * batching. `docs/ENGINES.md` says what it does and what it leaves out.
+ * A stand-in engine that serves the published chat protocol from a model of
+ * continuous batching. `docs/ENGINES.md` lists what it implements and omits.
  */
 import { createServer } from 'node:http'
 import type { IncomingMessage, ServerResponse } from 'node:http'
@@ -36,7 +36,7 @@
 const prefixTokens = 256
 const prefixEntries = 64
 
-/** What an engine's record tells a checker: who asked, and how much was given. */
+/** Record of a stream for checks: request id, words sent and how it ended. */
 export interface RunRecord {
   readonly id: string
   given: number
@@ -80,13 +80,13 @@
     this.#server.closeAllConnections()
   }
 
-  /** Brings a fault about, or ends it. */
+  /** Injects a fault; `none` clears it. */
   setFault (fault: Fault): void {
     this.#fault = fault
     this.#model.slowFactor = fault.type === 'slow' ? fault.factor : 1
   }
 
-  /** Says in its reports that it is leaving. */
+  /** Announces in load reports that the engine is leaving. */
   leave (): void { this.#isLeaving = true }
 
   async #serve (request: IncomingMessage, response: ServerResponse): Promise<void> {
@@ -205,7 +205,7 @@
     response.end(formatEventData('[DONE]'))
   }
 
-  // Reports and cache events are given late: what was true `reportLagMs` ago.
+  // Load reports are served with a delay of `reportLagMs`; cache events as soon as they are collected here.
   #recordReport (): void {
     const report = { running: this.#model.running, waiting: this.#model.waiting, kvUsed: this.#model.kvUsed, stepMs: this.#loop.lastStepMs, leaving: this.#isLeaving }
     this.#reports.push({ at: performance.now(), report })
--- a/src/standin/standin-platform.ts
+++ b/src/standin/standin-platform.ts
@@ -1,25 +1,25 @@
 /**
- * A stand-in for whoever runs the platform below: it takes usage and orders of
- * endpoints, looks at no fence, records every call as it arrives, and misbehaves
- * on command. What its records must never show is said by `findBreaches`.
+ * A stand-in for the platform underneath. It accepts usage reports and orders of
+ * endpoints without checking fencing tokens, records every call, and injects
+ * faults. `findBreaches` checks the recorded calls for violations of fencing.
  */
 import { createServer } from 'node:http'
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import { resetSocket } from '../protocol/index.js'
 import { listenOn, readBody } from './http-tools.js'
 
-/** How the platform misbehaves; `lose`: it takes calls, and their answers get lost. */
+/** Faults that can be injected; `lose`: accepts calls, but resets the connection instead of answering. */
 export type PlatformFault = 'none' | 'busy' | 'error' | 'refuse' | 'silent' | 'garbage' | 'lose'
 
-/** One call as it arrived. */
+/** A recorded call. */
 export interface PlatformCall {
-  /** On the process's rising clock, ms. */
+  /** On the process's monotonic clock, ms. */
   readonly at: number
   readonly path: string
   readonly holder: string
   readonly fence: number
   readonly body: string
-  /** Whether it has taken the call, whatever it answered. */
+  /** Whether the call was accepted, even if its answer was lost. */
   readonly isTaken: boolean
 }
 
@@ -45,7 +45,7 @@
     this.#server.closeAllConnections()
   }
 
-  /** The bodies that it has taken at a path. */
+  /** Returns the bodies of the accepted calls to a path. */
   listTaken (path: string): string[] {
     return this.calls.filter(call => call.isTaken && call.path === path).map(({ body }) => body)
   }
@@ -65,9 +65,9 @@
 }
 
 /**
- * What calls show that must never be: a lower fence after a higher one, one fence
- * of two holders, and a holder that is back within `leaseMs` of its turn once
- * another has had one.
+ * Returns violations of fencing in a sequence of calls: a lower fencing token after
+ * a higher one, a token used by two holders, and a holder that returns within
+ * `leaseMs` of its last call although another holder has called since.
  */
 export function findBreaches (calls: readonly Pick<PlatformCall, 'at' | 'holder' | 'fence'>[], leaseMs: number): string[] {
   const breaches: string[] = []
@@ -75,15 +75,15 @@
   const turns: { readonly holder: string, last: number }[] = []
   let highest = 0
   for (const { at, holder, fence } of calls) {
-    if (fence < highest) breaches.push(`fence ${fence} of ${holder} after ${highest} at ${at}`)
+    if (fence < highest) breaches.push(`fence ${fence} of holder ${holder} used after fence ${highest}, at ${at}`)
     highest = Math.max(highest, fence)
-    if ((owners.get(fence) ?? holder) !== holder) breaches.push(`fence ${fence} of two holders at ${at}`)
+    if ((owners.get(fence) ?? holder) !== holder) breaches.push(`fence ${fence} used by two holders, at ${at}`)
     owners.set(fence, holder)
     const turn = turns.at(-1)
     if (turn?.holder === holder) turn.last = at
     else {
       const before = turns.findLast(one => one.holder === holder)
-      if (before !== undefined && at - before.last < leaseMs) breaches.push(`${holder} is back ${at - before.last} ms after its turn, at ${at}`)
+      if (before !== undefined && at - before.last < leaseMs) breaches.push(`holder ${holder} called again ${at - before.last} ms after its last call, with another holder in between, at ${at}`)
       turns.push({ holder, last: at })
     }
   }
--- a/src/standin/standin-service.ts
+++ b/src/standin/standin-service.ts
@@ -1,18 +1,18 @@
-/** A stand-in plain service that records what ran, for checkers to read. */
+/** A stand-in for a plain HTTP service. It records the calls that it ran and serves the record at `/served`. */
 import { createServer } from 'node:http'
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { setTimeout as sleep } from 'node:timers/promises'
 import type { StandinServiceSettings } from '../config/index.js'
 import { listenOn, readBody, sendJson } from './http-tools.js'
 
-/** A call that reached the service. */
+/** A call that the service ran. */
 export interface ServedCall {
   readonly path: string
   readonly key: string | null
   readonly body: string
 }
 
-/** How the service misbehaves. */
+/** Faults that can be injected, before or after the call is run. */
 export type ServiceFault = 'none' | 'hang-after-run' | 'reset-before-run' | 'reset-after-run'
 
 export class StandinService {
--- a/test/fenced-order-handler.test.ts
+++ b/test/fenced-order-handler.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test'
 import { FencedOrderHandler } from '../src/standin/index.js'
 
-test('an engine that checks refuses an order that was overtaken, one that does not takes it', () => {
+test('an engine that checks fencing refuses an order with a stale fence; one that does not accepts it', () => {
   const newer = { fence: 2, action: { type: 'load', model: 'm' } }
   const older = { fence: 1, action: { type: 'unload', model: 'm' } }
   const checking = new FencedOrderHandler(true, [])
