--- a/src/capacity/page.ts
+++ b/src/capacity/page.ts
@@ -123,7 +123,7 @@
   const rows = [
     ['a box fails or restarts', `${target.failuresPerDay} + 2 × ${target.restartsPerDay} a day`, `one in ${format(daySeconds / events)} s; each node sends the update ${transmissions} times, piggybacked on probes`, 'detected in 3 to 5 s (membership tests, virtual time); each box then reassigns its shards at once', 'requests in flight on that box; requests queued there are resubmitted elsewhere'],
     ['a rack', 'once a week, 40 boxes at a time', 'as above, 40 times', 'as above: each node learns of it by its own probe or by an update', 'as above'],
-    ['a zone partitioned', 'every other month', `${target.nodes / target.zones} boxes on one side`, 'both sides keep serving with their own engines; reconnected within a few probes of gone boxes, sent every 4 s', 'claims and changes on the side without a quorum, as not run'],
+    ['a zone partitioned', 'every other month', `${target.nodes / target.zones} boxes on one side`, 'both sides keep serving with what they have; reconnected within a few probes of gone boxes, sent every 4 s', 'claims and changes on the side without a quorum, as not run'],
     ['regions partitioned', 'occasionally, for an hour', 'none between regions', 'each region serves its own engines', 'changes and claims on the side without a quorum'],
     ['shard owners change', 'at each of these events', `each box assigns the owners of ${Math.ceil(target.runners / 32)} shards or more itself; partitioning takes ${format(partitionMs)} ms, only when engines change`, 'immediate on each box', 'nothing: the new owner adopts running streams']
   ]
--- a/src/capacity/timing.ts
+++ b/src/capacity/timing.ts
@@ -2,13 +2,13 @@
 
 const repetitions = 5
 
-/** Median time of `run` over several repetitions, in µs per operation; `run` performs `count` operations. */
-export function measureMedianUs (count: number, run: () => void): number {
+/** Median time of `run` over several repetitions, in µs per operation; `operations` is the number of operations in `run`. */
+export function measureMedianUs (operations: number, run: () => void): number {
   const times: number[] = []
   for (let i = 0; i < repetitions; i++) {
     const startedAt = performance.now()
     run()
-    times.push((performance.now() - startedAt) * 1000 / count)
+    times.push((performance.now() - startedAt) * 1000 / operations)
   }
   times.sort((a, b) => a - b)
   return times[repetitions >> 1]
--- a/src/measure/direct-policies.ts
+++ b/src/measure/direct-policies.ts
@@ -16,9 +16,9 @@
     this.#choose = choose
   }
 
-  arrive (request: SimRequest): void {
+  handleArrival (request: SimRequest): void {
     const { host } = this
-    const reachable = host.engines.filter(engine => host.canReach(request.box, host.zoneOf(engine.id)))
+    const reachable = host.engines.filter(engine => host.canReach(request.box, host.getZone(engine.id)))
     host.send(request, this.#choose(reachable, request).id, 0)
   }
 
@@ -26,16 +26,16 @@
     if (request.attempts >= 3) return false
     request.wastedEffort += request.effort
     request.receivedTokens = 0
-    this.arrive(request)
+    this.handleArrival(request)
     return true
   }
 
   noteFirstToken (): void {}
   noteFinished (_request: SimRequest): void {}
   noteCancelled (_request: SimRequest): void {}
-  report (_engine: EngineId, _report: LoadReport): void {}
+  noteReport (_engine: EngineId, _report: LoadReport): void {}
   tick (): void {}
-  noteBoxLost (_box: BoxId): void {}
+  noteBoxFailed (_box: BoxId): void {}
 }
 
 /** Each box cycles through the engines, starting at a random one. */
@@ -62,7 +62,7 @@
     this.#reported = reported
   }
 
-  override report (engine: EngineId, report: LoadReport): void {
+  override noteReport (engine: EngineId, report: LoadReport): void {
     this.#reported.set(engine, report.running + report.waiting)
   }
 }
@@ -88,7 +88,7 @@
     this.#sentSinceReport = sentSinceReport
   }
 
-  override report (engine: EngineId, report: LoadReport): void {
+  override noteReport (engine: EngineId, report: LoadReport): void {
     this.#reportedLoad.set(engine, report.running + report.waiting)
     for (const { id } of this.host.boxes) this.#sentSinceReport.delete(`${id} ${engine}`)
   }
@@ -122,7 +122,7 @@
     this.#host = host
   }
 
-  arrive (request: SimRequest): void {
+  handleArrival (request: SimRequest): void {
     this.#queue.push(request)
     this.#dispatch()
   }
@@ -147,9 +147,9 @@
     return true
   }
 
-  report (): void {}
+  noteReport (): void {}
   tick (): void { this.#dispatch() }
-  noteBoxLost (): void {}
+  noteBoxFailed (): void {}
 
   #releasePlace (engine: EngineId | null): void {
     if (engine === null) return
@@ -174,7 +174,7 @@
     for (const engine of this.#host.engines) {
       const load = this.#load.get(engine.id) ?? 0
       if (load >= minLoad || (this.#downUntil.get(engine.id) ?? 0) > this.#host.now()) continue
-      if (!this.#host.canReach(request.box, this.#host.zoneOf(engine.id))) continue
+      if (!this.#host.canReach(request.box, this.#host.getZone(engine.id))) continue
       best = engine
       minLoad = load
     }
--- a/src/measure/experiment.ts
+++ b/src/measure/experiment.ts
@@ -71,9 +71,9 @@
 export function runOnce (user: UserProfile, scenario: Scenario, policy: string, seed: number): Row[] {
   const createPolicy = policies[policy] ?? sharings[policy]
   const result = new Simulation(user, scenario, createPolicy, seed).run()
-  const { figures } = result.tally
-  const effort = figures.reduce((sum, one) => sum + one.effort, 0)
-  return figures.map(one => ({
+  const { counters } = result.tally
+  const effort = counters.reduce((sum, one) => sum + one.effort, 0)
+  return counters.map(one => ({
     user: user.name,
     scenario: scenario.name,
     policy,
--- a/src/measure/policy.ts
+++ b/src/measure/policy.ts
@@ -11,11 +11,11 @@
   readonly engines: readonly SimEngine[]
   readonly boxes: readonly { readonly id: BoxId, readonly zone: number }[]
   now (): number
-  after (delayMs: number, run: () => void): void
+  schedule (delayMs: number, run: () => void): void
   random (): number
   /** True where the network currently connects the box with the zone. */
   canReach (box: BoxId, zone: number): boolean
-  zoneOf (engine: EngineId): number
+  getZone (engine: EngineId): number
   send (request: SimRequest, engine: EngineId, priority: number): void
   refuse (request: SimRequest): void
   notePreempted (): void
@@ -26,16 +26,16 @@
 
 /** Decides which engine runs each request. Every box decides for the requests that it received. */
 export interface Policy {
-  arrive (request: SimRequest): void
+  handleArrival (request: SimRequest): void
   noteFirstToken (request: SimRequest): void
   noteFinished (request: SimRequest): void
   /** The caller gave up; the stream has already been cancelled at its engine. */
   noteCancelled (request: SimRequest): void
   /** An attempt failed at an engine; true where the policy retries. `wasReached`: the engine had accepted the request. */
   noteFailed (request: SimRequest, engine: EngineId, wasReached: boolean): boolean
-  report (engine: EngineId, report: LoadReport): void
+  noteReport (engine: EngineId, report: LoadReport): void
   tick (): void
-  noteBoxLost (box: BoxId): void
+  noteBoxFailed (box: BoxId): void
 }
 
 /** Creates a policy for one run. */
--- a/src/measure/scenario.ts
+++ b/src/measure/scenario.ts
@@ -7,11 +7,11 @@
   readonly durationMs: number
   /** Raises the demand of the bursting class to a multiple of the capacity of all engines. */
   readonly burst: { readonly capacityMultiple: number, readonly fromMs: number, readonly untilMs: number } | null
-  readonly slow: { readonly share: number, readonly factor: number, readonly fromMs: number } | null
+  readonly slowdown: { readonly share: number, readonly factor: number, readonly fromMs: number } | null
   /** Every `everyMs`, a random share of the engines crashes and recovers after `downMs`. */
   readonly crashes: { readonly share: number, readonly everyMs: number, readonly downMs: number } | null
   /** A random share of the engines crashes at `fromMs` and doesn't recover. */
-  readonly dead: { readonly share: number, readonly fromMs: number } | null
+  readonly permanentCrash: { readonly share: number, readonly fromMs: number } | null
   readonly reportLagMs: number
   readonly partition: { readonly zone: number, readonly fromMs: number, readonly untilMs: number } | null
   readonly boxFailure: { readonly box: number, readonly atMs: number } | null
@@ -24,9 +24,9 @@
   name: 'ordinary',
   durationMs: 90 * secondMs,
   burst: null,
-  slow: null,
+  slowdown: null,
   crashes: null,
-  dead: null,
+  permanentCrash: null,
   reportLagMs: secondMs,
   partition: null,
   boxFailure: null,
@@ -41,9 +41,9 @@
   { ...ordinary, name: 'burst-1.5', burst: createBurst(1.5) },
   { ...ordinary, name: 'burst-3', burst: createBurst(3) },
   { ...ordinary, name: 'burst-10', durationMs: 60 * secondMs, burst: { capacityMultiple: 10, fromMs: 20 * secondMs, untilMs: 35 * secondMs } },
-  { ...ordinary, name: 'slow-engines', slow: { share: 0.2, factor: 4, fromMs: 20 * secondMs } },
+  { ...ordinary, name: 'slow-engines', slowdown: { share: 0.2, factor: 4, fromMs: 20 * secondMs } },
   { ...ordinary, name: 'crashes', crashes: { share: 0.1, everyMs: 15 * secondMs, downMs: 8 * secondMs } },
-  { ...ordinary, name: 'half-dead', dead: { share: 0.5, fromMs: 20 * secondMs } },
+  { ...ordinary, name: 'half-dead', permanentCrash: { share: 0.5, fromMs: 20 * secondMs } },
   { ...ordinary, name: 'lagging-reports', reportLagMs: 5 * secondMs, burst: createBurst(0.6) },
   { ...ordinary, name: 'zone-cut', partition: { zone: 0, fromMs: 20 * secondMs, untilMs: 60 * secondMs }, burst: createBurst(0.5) },
   { ...ordinary, name: 'box-lost', boxFailure: { box: 1, atMs: 30 * secondMs }, burst: createBurst(0.5) },
@@ -52,7 +52,7 @@
     ...ordinary,
     name: 'all-together',
     burst: createBurst(1.5),
-    slow: { share: 0.1, factor: 4, fromMs: 10 * secondMs },
+    slowdown: { share: 0.1, factor: 4, fromMs: 10 * secondMs },
     crashes: { share: 0.05, everyMs: 15 * secondMs, downMs: 8 * secondMs },
     reportLagMs: 3 * secondMs,
     partition: { zone: 0, fromMs: 30 * secondMs, untilMs: 50 * secondMs },
--- a/src/measure/shard-policy.ts
+++ b/src/measure/shard-policy.ts
@@ -54,7 +54,7 @@
     this.#publishShards()
   }
 
-  arrive (request: SimRequest): void {
+  handleArrival (request: SimRequest): void {
     this.#requests.set(request.id, request)
     this.#place(request)
   }
@@ -86,7 +86,7 @@
     return false
   }
 
-  report (engine: EngineId, report: LoadReport): void {
+  noteReport (engine: EngineId, report: LoadReport): void {
     for (const owned of this.#shards.values()) {
       if (owned.shard.engines.includes(engine)) this.#step(owned, { type: 'report', at: this.#host.now(), engine, report })
     }
@@ -101,9 +101,9 @@
     this.#publishLoads()
   }
 
-  noteBoxLost (box: BoxId): void {
+  noteBoxFailed (box: BoxId): void {
     this.#liveBoxes = this.#liveBoxes.filter(id => id !== box)
-    this.#host.after(failureDetectionMs, () => {
+    this.#host.schedule(failureDetectionMs, () => {
       for (const owned of this.#shards.values()) {
         if (owned.owner !== box) this.#step(owned, { type: 'boxLost', at: this.#host.now(), box })
       }
@@ -114,7 +114,7 @@
   #createPlacer (box: BoxId, zone: number): Placer {
     return new Placer({
       box,
-      zone: nameZone(zone),
+      zone: formatZone(zone),
       now: () => this.#host.now(),
       random: () => this.#host.random(),
       send: (owner, shard, word) => this.#deliver(box, owner, shard, word),
@@ -133,7 +133,7 @@
       return
     }
     for (const { id, zone } of this.#host.boxes) {
-      const shard: Shard = { id: brandId<ShardId>(`all/${id}`), pool, zone: nameZone(zone), engines: engines.map(one => one.id), models: [model] }
+      const shard: Shard = { id: brandId<ShardId>(`all/${id}`), pool, zone: formatZone(zone), engines: engines.map(one => one.id), models: [model] }
       this.#addShard(shard, id, mode === 'credits' ? 1 / this.#host.boxes.length : 1)
     }
   }
@@ -152,7 +152,7 @@
   }
 
   #assignOwners (shards: readonly Shard[]): Map<ShardId, BoxId> {
-    return assignOwners(shards, this.#liveBoxes.map(id => ({ id, zone: nameZone(this.#zones.get(id) ?? 0) })))
+    return assignOwners(shards, this.#liveBoxes.map(id => ({ id, zone: formatZone(this.#zones.get(id) ?? 0) })))
   }
 
   // A new owner starts with an empty scheduler; placers report running streams to it and resubmit pending requests.
@@ -180,7 +180,7 @@
       for (const { shard, scheduler, owner } of this.#shards.values()) {
         if (owner === undefined || !this.#isReachable(box, owner)) continue
         const { load } = scheduler
-        this.#host.after(owner === box ? 0 : crossZoneDelayMs, () => placer.noteLoads(owner, [[shard.id, load]]))
+        this.#host.schedule(owner === box ? 0 : crossZoneDelayMs, () => placer.noteLoads(owner, [[shard.id, load]]))
       }
     }
   }
@@ -239,7 +239,7 @@
       this.#handleMessage(owned, message)
       return true
     }
-    this.#host.after(this.#measureDelay(from, owner), () => {
+    this.#host.schedule(this.#measureDelay(from, owner), () => {
       if (this.#shards.get(shard) === owned && this.#isReachable(from, owner)) this.#handleMessage(owned, message)
     })
     return true
@@ -267,7 +267,7 @@
         const placer = this.#placers.get(action.box)
         if (owner === undefined || placer === undefined) return
         if (owner === action.box) return placer.receive(owned.shard.id, action)
-        return this.#host.after(this.#measureDelay(owner, action.box), () => {
+        return this.#host.schedule(this.#measureDelay(owner, action.box), () => {
           if (this.#isReachable(action.box, owner)) placer.receive(owned.shard.id, action)
         })
       }
@@ -277,7 +277,7 @@
   }
 }
 
-function nameZone (zone: number): ZoneName {
+function formatZone (zone: number): ZoneName {
   return brandId<ZoneName>(`zone-${zone}`)
 }
 
--- a/src/measure/simulation.ts
+++ b/src/measure/simulation.ts
@@ -99,10 +99,10 @@
       engines: this.#engines,
       boxes: this.#boxes,
       now: () => this.#queue.now,
-      after: (delayMs, run) => this.#queue.after(delayMs, run),
+      schedule: (delayMs, run) => this.#queue.after(delayMs, run),
       random: this.#policyRandom,
       canReach: (box, zone) => this.#canReach(box, zone),
-      zoneOf: engine => this.#zones.get(engine) ?? 0,
+      getZone: engine => this.#zones.get(engine) ?? 0,
       send: (request, engine, priority) => this.#send(request, engine, priority),
       refuse: request => this.#end(request, 'refused'),
       notePreempted: () => { this.#preempted += 1 },
@@ -182,7 +182,7 @@
     if (box.id === this.#failedBox) return this.#end(request, 'failed')
     this.#openRequests.add(request)
     this.#queue.after(traffic.callerTimeoutMs, () => this.#cancelOnTimeout(request))
-    this.#policy.arrive(request)
+    this.#policy.handleArrival(request)
   }
 
   #drawWorkspace (): string {
@@ -252,9 +252,9 @@
   // Faults.
 
   #scheduleFaults (): void {
-    const { slow, crashes, dead, boxFailure } = this.#scenario
-    if (slow !== null) this.#queue.after(slow.fromMs, () => this.#sampleEngines(slow.share).forEach(engine => { engine.slowFactor = slow.factor }))
-    if (dead !== null) this.#queue.after(dead.fromMs, () => this.#sampleEngines(dead.share).forEach(engine => engine.crash()))
+    const { slowdown, crashes, permanentCrash, boxFailure } = this.#scenario
+    if (slowdown !== null) this.#queue.after(slowdown.fromMs, () => this.#sampleEngines(slowdown.share).forEach(engine => { engine.slowFactor = slowdown.factor }))
+    if (permanentCrash !== null) this.#queue.after(permanentCrash.fromMs, () => this.#sampleEngines(permanentCrash.share).forEach(engine => engine.crash()))
     if (crashes !== null) this.#repeatCrashes(crashes)
     if (boxFailure !== null) this.#queue.after(boxFailure.atMs, () => this.#failBox(this.#boxes[boxFailure.box].id))
   }
@@ -281,13 +281,13 @@
       if (request.engine !== null) this.#findEngine(request.engine).cancel(request)
       this.#end(request, 'failed')
     }
-    this.#policy.noteBoxLost(box)
+    this.#policy.noteBoxFailed(box)
   }
 
   #sendReports (): void {
     for (const engine of this.#engines) {
       const report = engine.report()
-      this.#queue.after(this.#scenario.reportLagMs, () => this.#policy.report(engine.id, report))
+      this.#queue.after(this.#scenario.reportLagMs, () => this.#policy.noteReport(engine.id, report))
     }
   }
 }
--- a/src/measure/tally.ts
+++ b/src/measure/tally.ts
@@ -3,7 +3,7 @@
 import type { UserProfile } from './user-profile.js'
 
 /** Counters of one class in one run. */
-export interface ClassFigures {
+export interface ClassCounters {
   readonly class: ClassName
   offered: number
   finished: number
@@ -25,38 +25,38 @@
 
 /** Counts the outcomes of requests by class. */
 export class Tally {
-  #figures = new Map<ClassName, ClassFigures>()
+  #counters = new Map<ClassName, ClassCounters>()
 
   constructor (user: UserProfile) {
     for (const { class: one } of user.traffic) {
-      this.#figures.set(one.name, { class: one.name, offered: 0, finished: 0, metTargets: 0, refused: 0, left: 0, failed: 0, worstWaitMs: 0, effort: 0, wasted: 0 })
+      this.#counters.set(one.name, { class: one.name, offered: 0, finished: 0, metTargets: 0, refused: 0, left: 0, failed: 0, worstWaitMs: 0, effort: 0, wasted: 0 })
     }
   }
 
-  get figures (): readonly ClassFigures[] { return [...this.#figures.values()] }
+  get counters (): readonly ClassCounters[] { return [...this.#counters.values()] }
 
   add (request: SimRequest, now: number): void {
-    const figures = this.#figures.get(request.class.name)
-    if (figures === undefined) return
-    figures.offered += 1
-    figures.effort += request.effort
-    if (request.firstTokenAt !== null) figures.worstWaitMs = Math.max(figures.worstWaitMs, request.firstTokenAt - request.arrivedAt)
+    const counters = this.#counters.get(request.class.name)
+    if (counters === undefined) return
+    counters.offered += 1
+    counters.effort += request.effort
+    if (request.firstTokenAt !== null) counters.worstWaitMs = Math.max(counters.worstWaitMs, request.firstTokenAt - request.arrivedAt)
     switch (request.outcome) {
       case 'finished':
-        figures.finished += 1
-        figures.wasted += request.wastedEffort
-        if (hasMetTargets(request, now)) figures.metTargets += 1
+        counters.finished += 1
+        counters.wasted += request.wastedEffort
+        if (hasMetTargets(request, now)) counters.metTargets += 1
         return
       case 'refused':
-        figures.refused += 1
+        counters.refused += 1
         break
       case 'left':
-        figures.left += 1
+        counters.left += 1
         break
       default:
-        figures.failed += 1
+        counters.failed += 1
     }
-    figures.wasted += request.effort
+    counters.wasted += request.effort
   }
 }
 
--- a/src/standin/standin-platform.ts
+++ b/src/standin/standin-platform.ts
@@ -20,7 +20,7 @@
   readonly fence: number
   readonly body: string
   /** Whether the call was accepted, even if its answer was lost. */
-  readonly isTaken: boolean
+  readonly isAccepted: boolean
 }
 
 const statuses = { none: 200, lose: 200, busy: 429, error: 500, refuse: 409, silent: 0, garbage: 0 }
@@ -47,7 +47,7 @@
 
   /** Returns the bodies of the accepted calls to a path. */
   listTaken (path: string): string[] {
-    return this.calls.filter(call => call.isTaken && call.path === path).map(({ body }) => body)
+    return this.calls.filter(call => call.isAccepted && call.path === path).map(({ body }) => body)
   }
 
   async #serve (request: IncomingMessage, response: ServerResponse): Promise<void> {
@@ -55,7 +55,7 @@
     const { fault } = this
     const status = statuses[fault]
     const { 'x-wrenlane-holder': holder, 'x-wrenlane-fence': fence } = request.headers
-    this.calls.push({ at: performance.now(), path: request.url ?? '', holder: String(holder), fence: Number(fence), body, isTaken: status === 200 })
+    this.calls.push({ at: performance.now(), path: request.url ?? '', holder: String(holder), fence: Number(fence), body, isAccepted: status === 200 })
     if (fault === 'silent') return
     if (fault === 'lose') return void resetSocket(request.socket)
     if (fault === 'garbage') return void request.socket.end('what is this\r\n\r\n')
