--- a/src/measure/shard-policy.ts
+++ b/src/measure/shard-policy.ts
@@ -117,7 +117,7 @@
       zone: formatZone(zone),
       now: () => this.#host.now(),
       random: () => this.#host.random(),
-      send: (owner, shard, word) => this.#deliver(box, owner, shard, word),
+      send: (owner, shard, message) => this.#deliver(box, owner, shard, message),
       isReachable: owner => this.#isReachable(box, owner),
       noteViolation: (rule, detail) => this.#host.noteViolation(rule, detail)
     })
