--- a/src/capacity/index.ts
+++ b/src/capacity/index.ts
@@ -1,4 +1,4 @@
-/** Measured slopes, and what they come to at the size to design for. */
+/** Measures how costs grow with size, and extrapolates them to the target size. */
 export * from './fit.js'
 export * from './slope.js'
 export * from './entry-samples.js'
@@ -6,6 +6,6 @@
 export { measureDocuments } from './measure-documents.js'
 export * from './measure-keeper.js'
 export * from './measure-poll.js'
-export * from './measure-spread.js'
+export * from './measure-messages.js'
 export * from './page.js'
 export { target } from './target.js'
--- a/src/capacity/slope.ts
+++ b/src/capacity/slope.ts
@@ -1,10 +1,10 @@
 import { fitLine } from './fit.js'
 import type { Fit, Point } from './fit.js'
 
-/** A measured slope, with what it was measured of. */
+/** Measurements of a cost at several sizes, with a linear fit. */
 export interface Slope {
   readonly name: string
-  /** What is counted along. */
+  /** What the sizes count. */
   readonly by: string
   /** Unit of the measurements. */
   readonly unit: string
@@ -12,19 +12,19 @@
   readonly fit: Fit
 }
 
-/** Measures `y` at each size. */
+/** Measures the cost at each size and fits a line. */
 export function measureSlope (name: string, by: string, unit: string, sizes: readonly number[], measure: (size: number) => number): Slope {
   const points = sizes.map(x => ({ x, y: measure(x) }))
   return { name, by, unit, points, fit: fitLine(points) }
 }
 
-/** What is expected at a size: between two measured points the line through them, outside them the fit. */
-export function readSlope (slope: Slope, size: number): number {
+/** Estimates the cost at a size: by linear interpolation within the measured range, by the fit outside it. */
+export function estimateAt (slope: Slope, size: number): number {
   const points = [...slope.points].sort((a, b) => a.x - b.x)
-  const after = points.findIndex(point => point.x >= size)
-  if (after < 0 || (after === 0 && points[0].x > size)) return slope.fit.base + slope.fit.slope * size
-  const right = points[after]
+  const rightIndex = points.findIndex(point => point.x >= size)
+  if (rightIndex < 0 || (rightIndex === 0 && points[0].x > size)) return slope.fit.base + slope.fit.slope * size
+  const right = points[rightIndex]
   if (right.x === size) return right.y
-  const left = points[after - 1]
+  const left = points[rightIndex - 1]
   return left.y + (right.y - left.y) * (size - left.x) / (right.x - left.x)
 }
--- a/src/measure/event-queue.ts
+++ b/src/measure/event-queue.ts
@@ -1,25 +1,25 @@
-interface Entry {
+interface ScheduledEvent {
   readonly at: number
   readonly order: number
   readonly run: () => void
 }
 
-/** A queue of things to do in virtual time: earliest first, equal ones in order of arrival. */
+/** Priority queue of callbacks in virtual time: earliest first, in insertion order where times are equal. */
 export class EventQueue {
-  #heap: Entry[] = []
-  #order = 0
+  #heap: ScheduledEvent[] = []
+  #nextOrder = 0
   #now = 0
 
-  /** Virtual time, ms. */
+  /** Current virtual time, ms. */
   get now (): number { return this.#now }
 
-  /** Does `run` after `delayMs`. */
+  /** Schedules `run` to be called `delayMs` from now. */
   after (delayMs: number, run: () => void): void {
-    this.#push({ at: this.#now + delayMs, order: this.#order, run })
-    this.#order += 1
+    this.#push({ at: this.#now + delayMs, order: this.#nextOrder, run })
+    this.#nextOrder += 1
   }
 
-  /** Does everything due up to `until`. */
+  /** Runs all callbacks that are due up to and including `until`, and advances the clock to it. */
   runUntil (until: number): void {
     while (this.#heap.length > 0 && this.#heap[0].at <= until) {
       const next = this.#pop()
@@ -29,38 +29,38 @@
     this.#now = until
   }
 
-  #push (entry: Entry): void {
+  #push (entry: ScheduledEvent): void {
     const heap = this.#heap
-    let at = heap.length
+    let index = heap.length
     heap.push(entry)
-    while (at > 0) {
-      const parent = (at - 1) >> 1
+    while (index > 0) {
+      const parent = (index - 1) >> 1
       if (!isBefore(entry, heap[parent])) break
-      heap[at] = heap[parent]
-      at = parent
+      heap[index] = heap[parent]
+      index = parent
     }
-    heap[at] = entry
+    heap[index] = entry
   }
 
-  #pop (): Entry {
+  #pop (): ScheduledEvent {
     const heap = this.#heap
     const top = heap[0]
-    const last = heap.pop() as Entry
+    const last = heap.pop() as ScheduledEvent
     if (heap.length === 0) return top
-    let at = 0
+    let index = 0
     for (;;) {
-      let child = at * 2 + 1
+      let child = index * 2 + 1
       if (child >= heap.length) break
       if (child + 1 < heap.length && isBefore(heap[child + 1], heap[child])) child += 1
       if (!isBefore(heap[child], last)) break
-      heap[at] = heap[child]
-      at = child
+      heap[index] = heap[child]
+      index = child
     }
-    heap[at] = last
+    heap[index] = last
     return top
   }
 }
 
-function isBefore (a: Entry, b: Entry): boolean {
+function isBefore (a: ScheduledEvent, b: ScheduledEvent): boolean {
   return a.at < b.at || (a.at === b.at && a.order < b.order)
 }
--- a/src/measure/experiment.ts
+++ b/src/measure/experiment.ts
@@ -1,6 +1,6 @@
-/** Runs of every user, scenario, policy and seed that is asked for, as rows. */
-import { createFifo, createLeastReported, createPowerOfTwo, createRandomChoice, createRoundRobin } from './direct-policies.js'
-import type { PolicyMaker } from './policy.js'
+/** Simulates the chosen combinations of user, scenario, policy and seed; each gives one result row per class. */
+import { createFifoPolicy, createLeastReportedLoadPolicy, createPowerOfTwoPolicy, createRandomPolicy, createRoundRobinPolicy } from './direct-policies.js'
+import type { PolicyFactory } from './policy.js'
 import { longBurst, scenarios } from './scenario.js'
 import type { Scenario } from './scenario.js'
 import { createShardPolicy } from './shard-policy.js'
@@ -8,7 +8,7 @@
 import { userProfiles } from './user-profile.js'
 import type { UserProfile } from './user-profile.js'
 
-/** One row of results. */
+/** Results of one class in one run. */
 export interface Row {
   readonly user: string
   readonly scenario: string
@@ -17,44 +17,44 @@
   readonly class: string
   readonly offered: number
   readonly finished: number
-  /** Share of the offered that met its targets. */
+  /** Share of the offered requests that met their latency targets. */
   readonly attainment: number
-  /** Requests finished within target, a second. */
+  /** Requests a second that finished within their targets. */
   readonly goodput: number
-  /** Share of all engine effort of the run that this class wasted. */
+  /** Engine effort that this class wasted, as a share of all engine effort of the run. */
   readonly wasted: number
   readonly worstWaitMs: number
   readonly shed: number
   readonly left: number
   readonly failed: number
-  /** Streams paused in the whole run. */
+  /** Streams preempted in the whole run, over all classes. */
   readonly preempted: number
   readonly violations: number
   readonly unfinished: number
 }
 
-const perShard = 32
+const defaultEnginesPerShard = 32
 
-/** The product's policy is `wrenlane`; the others are to compare with. */
-export const policies: Readonly<Record<string, PolicyMaker>> = {
-  wrenlane: createShardPolicy({ way: 'owned', perShard, floorPlaces: null }),
-  'round-robin': createRoundRobin,
-  random: createRandomChoice,
-  'least-reported': createLeastReported,
-  fifo: createFifo
+/** Policies by name. `wrenlane` is the production policy, the others are baselines. */
+export const policies: Readonly<Record<string, PolicyFactory>> = {
+  wrenlane: createShardPolicy({ mode: 'owned', maxEnginesPerShard: defaultEnginesPerShard, floorPlaces: null }),
+  'round-robin': createRoundRobinPolicy,
+  random: createRandomPolicy,
+  'least-reported': createLeastReportedLoadPolicy,
+  fifo: createFifoPolicy
 }
 
-/** Ways for several boxes to share a pool, weighed against each other. */
-export const sharings: Readonly<Record<string, PolicyMaker>> = {
-  'owned-32': createShardPolicy({ way: 'owned', perShard: 32, floorPlaces: null }),
-  'owned-8': createShardPolicy({ way: 'owned', perShard: 8, floorPlaces: null }),
-  alone: createShardPolicy({ way: 'alone', perShard, floorPlaces: null }),
-  credits: createShardPolicy({ way: 'credits', perShard, floorPlaces: null }),
-  'power-of-two': createPowerOfTwo,
-  'no-floor': createShardPolicy({ way: 'owned', perShard, floorPlaces: 0 })
+/** Variants of how several boxes share a pool of engines, by name. */
+export const sharings: Readonly<Record<string, PolicyFactory>> = {
+  'owned-32': createShardPolicy({ mode: 'owned', maxEnginesPerShard: 32, floorPlaces: null }),
+  'owned-8': createShardPolicy({ mode: 'owned', maxEnginesPerShard: 8, floorPlaces: null }),
+  alone: createShardPolicy({ mode: 'alone', maxEnginesPerShard: defaultEnginesPerShard, floorPlaces: null }),
+  credits: createShardPolicy({ mode: 'credits', maxEnginesPerShard: defaultEnginesPerShard, floorPlaces: null }),
+  'power-of-two': createPowerOfTwoPolicy,
+  'no-floor': createShardPolicy({ mode: 'owned', maxEnginesPerShard: defaultEnginesPerShard, floorPlaces: 0 })
 }
 
-/** What to run; a list left out means all. */
+/** What to run; an omitted list means all. */
 export interface ExperimentChoice {
   readonly users?: readonly string[]
   readonly scenarios?: readonly string[]
@@ -62,18 +62,18 @@
   readonly seeds: readonly number[]
 }
 
-/** Finds a scenario by name; undefined for none. */
+/** Finds a scenario by name; undefined where there is none. */
 export function findScenario (name: string): Scenario | undefined {
   return [...scenarios, longBurst].find(one => one.name === name)
 }
 
-/** Runs one combination. */
+/** Runs one combination. Throws for an unknown policy name. */
 export function runOnce (user: UserProfile, scenario: Scenario, policy: string, seed: number): Row[] {
-  const make = policies[policy] ?? sharings[policy]
-  const notes = new Simulation(user, scenario, make, seed).run()
-  const { figures } = notes.tally
-  const effort = figures.reduce((sum, one) => sum + one.effort, 0)
-  return figures.map(one => ({
+  const createPolicy = policies[policy] ?? sharings[policy]
+  const result = new Simulation(user, scenario, createPolicy, seed).run()
+  const { counters } = result.tally
+  const effort = counters.reduce((sum, one) => sum + one.effort, 0)
+  return counters.map(one => ({
     user: user.name,
     scenario: scenario.name,
     policy,
@@ -81,21 +81,21 @@
     class: one.class,
     offered: one.offered,
     finished: one.finished,
-    attainment: round(one.met / Math.max(1, one.offered)),
-    goodput: round(one.met * 1000 / scenario.durationMs),
-    wasted: round(one.wasted / Math.max(1, effort)),
+    attainment: roundTo4Decimals(one.metTargets / Math.max(1, one.offered)),
+    goodput: roundTo4Decimals(one.metTargets * 1000 / scenario.durationMs),
+    wasted: roundTo4Decimals(one.wasted / Math.max(1, effort)),
     worstWaitMs: Math.round(one.worstWaitMs),
     shed: one.refused,
     left: one.left,
     failed: one.failed,
-    preempted: notes.paused,
-    violations: notes.violations.length,
-    unfinished: notes.unfinished
+    preempted: result.preempted,
+    violations: result.violations.length,
+    unfinished: result.unfinished
   }))
 }
 
-/** Runs everything chosen, giving each row as it comes. */
-export function runExperiment (choice: ExperimentChoice, take: (row: Row) => void): void {
+/** Runs all chosen combinations and passes on each row as soon as its run ends. Unknown scenario names are skipped. */
+export function runExperiment (choice: ExperimentChoice, handleRow: (row: Row) => void): void {
   const names = choice.scenarios ?? scenarios.map(one => one.name)
   for (const user of userProfiles) {
     if (choice.users !== undefined && !choice.users.includes(user.name)) continue
@@ -103,17 +103,17 @@
       const scenario = findScenario(name)
       if (scenario === undefined) continue
       for (const seed of choice.seeds) {
-        for (const policy of choice.policies) runOnce(user, scenario, policy, seed).forEach(take)
+        for (const policy of choice.policies) runOnce(user, scenario, policy, seed).forEach(handleRow)
       }
     }
   }
 }
 
-function round (value: number): number {
+function roundTo4Decimals (value: number): number {
   return Math.round(value * 10_000) / 10_000
 }
 
-/** Share of submissions that crossed between boxes on an ordinary day, with a shard for about each box. */
+/** Share of submissions that were sent to another box in the `ordinary` scenario, with about one shard per box. */
 export function measureRemoteShare (): number {
   const [user] = userProfiles
   const scenario = findScenario('ordinary') as Scenario
--- a/src/measure/tally.ts
+++ b/src/measure/tally.ts
@@ -2,66 +2,67 @@
 import type { SimRequest } from './sim-request.js'
 import type { UserProfile } from './user-profile.js'
 
-/** The figures of one class in one run. */
-export interface ClassFigures {
+/** Counters of one class in one run. */
+export interface ClassCounters {
   readonly class: ClassName
   offered: number
   finished: number
-  /** Finished within every target of the class. */
-  met: number
+  /** Finished requests that met every target of the class. */
+  metTargets: number
   refused: number
   left: number
   failed: number
-  /** Longest time to a first token of a request that was served, ms. */
+  /** Longest time to first token, ms; 0 where no request got one. */
   worstWaitMs: number
-  /** Engine effort, in tokens. */
+  /** Engine effort, in generated tokens. */
   effort: number
-  /** Effort for answers that nobody received. */
+  /** Effort for output that no caller received in a finished answer. */
   wasted: number
 }
 
-const lateShare = 0.05
+/** Share of an answer's tokens that may exceed the gap target before the request misses it. */
+const maxLateShare = 0.05
 
-/** Counts how requests ended, by class. */
+/** Counts the outcomes of requests by class. */
 export class Tally {
-  #figures = new Map<ClassName, ClassFigures>()
+  #counters = new Map<ClassName, ClassCounters>()
 
   constructor (user: UserProfile) {
     for (const { class: one } of user.traffic) {
-      this.#figures.set(one.name, { class: one.name, offered: 0, finished: 0, met: 0, refused: 0, left: 0, failed: 0, worstWaitMs: 0, effort: 0, wasted: 0 })
+      this.#counters.set(one.name, { class: one.name, offered: 0, finished: 0, metTargets: 0, refused: 0, left: 0, failed: 0, worstWaitMs: 0, effort: 0, wasted: 0 })
     }
   }
 
-  get figures (): readonly ClassFigures[] { return [...this.#figures.values()] }
+  get counters (): readonly ClassCounters[] { return [...this.#counters.values()] }
 
   add (request: SimRequest, now: number): void {
-    const figures = this.#figures.get(request.class.name)
-    if (figures === undefined) return
-    figures.offered += 1
-    figures.effort += request.effort
-    if (request.firstAt !== null) figures.worstWaitMs = Math.max(figures.worstWaitMs, request.firstAt - request.arrivedAt)
-    switch (request.end) {
+    const counters = this.#counters.get(request.class.name)
+    if (counters === undefined) return
+    counters.offered += 1
+    counters.effort += request.effort
+    if (request.firstTokenAt !== null) counters.worstWaitMs = Math.max(counters.worstWaitMs, request.firstTokenAt - request.arrivedAt)
+    switch (request.outcome) {
       case 'finished':
-        figures.finished += 1
-        figures.wasted += request.lost
-        if (isMet(request, now)) figures.met += 1
+        counters.finished += 1
+        counters.wasted += request.wastedEffort
+        if (hasMetTargets(request, now)) counters.metTargets += 1
         return
       case 'refused':
-        figures.refused += 1
+        counters.refused += 1
         break
       case 'left':
-        figures.left += 1
+        counters.left += 1
         break
       default:
-        figures.failed += 1
+        counters.failed += 1
     }
-    figures.wasted += request.effort
+    counters.wasted += request.effort
   }
 }
 
-function isMet (request: SimRequest, now: number): boolean {
-  const { class: wanted, firstAt, arrivedAt, lateGaps, tokens } = request
-  if (firstAt === null || firstAt - arrivedAt > wanted.firstTokenMs) return false
-  if (lateGaps > lateShare * tokens) return false
-  return wanted.wholeMs === null || now - arrivedAt <= wanted.wholeMs
+function hasMetTargets (request: SimRequest, now: number): boolean {
+  const { class: targets, firstTokenAt, arrivedAt, lateGaps, tokens } = request
+  if (firstTokenAt === null || firstTokenAt - arrivedAt > targets.firstTokenMs) return false
+  if (lateGaps > maxLateShare * tokens) return false
+  return targets.wholeMs === null || now - arrivedAt <= targets.wholeMs
 }
--- a/src/measure/user-profile.ts
+++ b/src/measure/user-profile.ts
@@ -1,22 +1,22 @@
-/** The users' deployments and workloads, as the brief tells them. */
+/** Deployments and workloads of the two example users. */
 import { brandId } from '../core/index.js'
 import type { ClassName, RequestClass } from '../core/index.js'
 import type { EngineShape } from '../standin/index.js'
 
-/** One class's traffic. */
+/** Traffic of one request class. */
 export interface ClassTraffic {
   readonly class: RequestClass
-  /** Requests a second on an ordinary day. */
+  /** Requests a second outside bursts. */
   readonly rate: number
-  /** Median tokens of an answer; lengths spread log-normally around it. */
+  /** Median tokens of an answer; lengths are log-normal with `spread` as their standard deviation in log space. */
   readonly tokens: number
   readonly spread: number
   readonly promptTokens: number
-  /** How long a caller waits for the first token before leaving, ms. */
-  readonly patienceMs: number
+  /** How long a caller waits for the first token before it cancels, ms. */
+  readonly callerTimeoutMs: number
 }
 
-/** A user's deployment. */
+/** Deployment and workload of a user. */
 export interface UserProfile {
   readonly name: 'campsites' | 'tyres'
   readonly zones: number
@@ -27,8 +27,8 @@
   readonly floorPlaces: number
   readonly shape: EngineShape
   readonly traffic: readonly ClassTraffic[]
-  /** The class that bursts. */
-  readonly burst: ClassName
+  /** The class whose rate rises during a burst. */
+  readonly burstingClass: ClassName
 }
 
 const shape: EngineShape = {
@@ -57,11 +57,11 @@
   places: 8,
   floorPlaces: 1,
   shape,
-  burst: brandId<ClassName>('pitch-question'),
+  burstingClass: brandId<ClassName>('pitch-question'),
   traffic: [
-    { class: describeClass('pitch-question', 0, 400, 80, false), rate: 60, tokens: 60, spread: 0.5, promptTokens: 500, patienceMs: 5000 },
-    { class: describeClass('ranger-lookup', 0, 600, 80, false), rate: 25, tokens: 40, spread: 0.4, promptTokens: 300, patienceMs: 5000 },
-    { class: describeClass('itinerary-draft', 4, 20_000, 500, true), rate: 4, tokens: 700, spread: 0.6, promptTokens: 800, patienceMs: 60 * minuteMs }
+    { class: describeClass('pitch-question', 0, 400, 80, false), rate: 60, tokens: 60, spread: 0.5, promptTokens: 500, callerTimeoutMs: 5000 },
+    { class: describeClass('ranger-lookup', 0, 600, 80, false), rate: 25, tokens: 40, spread: 0.4, promptTokens: 300, callerTimeoutMs: 5000 },
+    { class: describeClass('itinerary-draft', 4, 20_000, 500, true), rate: 4, tokens: 700, spread: 0.6, promptTokens: 800, callerTimeoutMs: 60 * minuteMs }
   ]
 }
 
@@ -74,18 +74,17 @@
   places: 8,
   floorPlaces: 1,
   shape,
-  burst: brandId<ClassName>('quick-question'),
+  burstingClass: brandId<ClassName>('quick-question'),
   traffic: [
-    { class: describeClass('quick-question', 0, 400, 80, false), rate: 50, tokens: 50, spread: 0.5, promptTokens: 250, patienceMs: 5000 },
-    { class: describeClass('fitting-quote', 1, 1500, 100, false, 45_000), rate: 10, tokens: 350, spread: 0.5, promptTokens: 1200, patienceMs: 10_000 },
-    { class: describeClass('claim-tag', 5, 30_000, 500, true), rate: 20, tokens: 25, spread: 0.3, promptTokens: 600, patienceMs: 60 * minuteMs }
+    { class: describeClass('quick-question', 0, 400, 80, false), rate: 50, tokens: 50, spread: 0.5, promptTokens: 250, callerTimeoutMs: 5000 },
+    { class: describeClass('fitting-quote', 1, 1500, 100, false, 45_000), rate: 10, tokens: 350, spread: 0.5, promptTokens: 1200, callerTimeoutMs: 10_000 },
+    { class: describeClass('claim-tag', 5, 30_000, 500, true), rate: 20, tokens: 25, spread: 0.3, promptTokens: 600, callerTimeoutMs: 60 * minuteMs }
   ]
 }
 
-/** Both users, by name. */
 export const userProfiles: readonly UserProfile[] = [campsites, tyres]
 
-/** Tokens a second that the engines can make, when every batch is full. */
+/** Tokens a second that all engines generate together with full batches; context and prefill time are not counted. */
 export function computeCapacity (user: UserProfile): number {
   const { batch, baseMs, streamMs } = user.shape
   return user.engines * batch * 1000 / (baseMs + streamMs * batch)
--- a/src/report/tables.ts
+++ b/src/report/tables.ts
@@ -1,9 +1,9 @@
-/** Pages that are made from tables in the code, so that they can't differ from it. */
+/** Reference tables generated from the definitions in the code, so that the two can't diverge. */
 import { describe } from '../config/index.js'
 import type { Field, FieldTable } from '../config/index.js'
 import { errorTable } from '../core/index.js'
 
-/** The table of `docs/ERRORS.md`. */
+/** Formats the table of `docs/ERRORS.md`. */
 export function formatErrors (): string {
   const lines = ['| kind | status | type | outcome | Retry-After | meaning |', '|---|---|---|---|---|---|']
   for (const [kind, answer] of Object.entries(errorTable)) {
@@ -12,7 +12,7 @@
   return lines.join('\n')
 }
 
-/** One section of `docs/CONFIG.md`. */
+/** Formats one table of `docs/CONFIG.md`; nested fields get dotted paths. */
 export function formatFields (fields: FieldTable): string {
   const lines = ['| key | type | default | about |', '|---|---|---|---|']
   addFields(lines, fields, '')
@@ -30,14 +30,14 @@
       lines.push(`| \`${path}.NAME\` | table | | ${field.about} |`)
       return addFields(lines, inner.fields, `${path}.NAME.`)
     case 'table':
-      lines.push(`| \`${path}\` | ${field.type === 'list' ? 'list of tables' : 'table'} | ${formatFallback(field)} | ${field.about} |`)
+      lines.push(`| \`${path}\` | ${field.type === 'list' ? 'list of tables' : 'table'} | ${formatDefault(field)} | ${field.about} |`)
       return addFields(lines, inner.fields, `${path}.`)
     default:
-      lines.push(`| \`${path}\` | ${describe(field)} | ${formatFallback(field)} | ${field.about} |`)
+      lines.push(`| \`${path}\` | ${describe(field)} | ${formatDefault(field)} | ${field.about} |`)
   }
 }
 
-function formatFallback (field: Field): string {
+function formatDefault (field: Field): string {
   if (field.fallback === undefined) return field.type === 'named' ? '' : 'required'
   if (field.fallback === null) return 'none'
   return `\`${JSON.stringify(field.fallback)}\``
--- a/src/standin/index.ts
+++ b/src/standin/index.ts
@@ -1,14 +1,14 @@
-/** Stand-ins for engines and plain services. */
+/** Stand-ins for the systems around the router: engines, services, endpoints and the platform. */
 export { EngineModel } from './engine-model.js'
 export type { EngineShape, StepResult, StreamRequest } from './engine-model.js'
 export { StandinEngine } from './standin-engine.js'
-export type { RanRecord } from './standin-engine.js'
+export type { RunRecord } from './standin-engine.js'
 export type { PacedEngineShape } from './paced-engine.js'
 export { StandinService } from './standin-service.js'
 export type { ServedCall, ServiceFault } from './standin-service.js'
-export type { Fault } from './fault-plan.js'
+export type { Fault } from './engine-fault.js'
 export { composeAnswer } from './answer-text.js'
-export { OrderDesk } from './order-desk.js'
+export { FencedOrderHandler } from './fenced-order-handler.js'
 export { listenOn, readBody, sendJson } from './http-tools.js'
 export { resetSocket } from '../protocol/index.js'
 export { StandinEndpoint, composeEvent, composeWhole, crashMark } from './standin-endpoint.js'
