--- a/src/proof/history-peer.ts
+++ b/src/proof/history-peer.ts
@@ -16,10 +16,10 @@
   get stored (): StoredLog { return this.#stored }
 
   write (effects: readonly PersistEffect[]): void {
-    for (const effect of effects) this.#writeOne(effect)
+    for (const effect of effects) this.#writeEffect(effect)
   }
 
-  #writeOne (effect: PersistEffect): void {
+  #writeEffect (effect: PersistEffect): void {
     const list = new EntryList(this.#stored.snapshot, this.#stored.entries)
     list.append(effect.entries)
     if (effect.snapshot !== null) list.compact(effect.snapshot)
@@ -37,11 +37,11 @@
   readonly disk: FakeDisk
   node: RaftNode | null
   unsynced: PersistEffect[]
-  late: SendEffect[]
+  sendsAfterSync: SendEffect[]
   /** What the state machine holds: the values applied, in order. */
   applied: string[]
   appliedIndex: number
-  paused: boolean
+  isPaused: boolean
   /** This replica's clock, which drifts and stands still in a pause. */
   clock: number
 }
--- a/src/proof/raft-history.ts
+++ b/src/proof/raft-history.ts
@@ -7,7 +7,7 @@
 import { RaftNode } from '../coordination/index.js'
 import type { LogEntry, Members, RaftEffect, RaftEvent, RaftMessage, ReplicaId, Snapshot, StoredLog } from '../coordination/index.js'
 import { createRandom } from '../runtime/index.js'
-import { HistoryLedger } from './history-ledger.js'
+import { HistoryChecker } from './history-checker.js'
 import { FakeDisk } from './history-peer.js'
 import type { Peer, SendEffect } from './history-peer.js'
 
@@ -30,22 +30,22 @@
 
 const timing = { heartbeatMs: 50, electionMs: 300 }
 const emptyDisk: StoredLog = { hard: { term: 0, vote: null }, snapshot: null, entries: [] }
-const mostPackets = 400
-const compactEvery = 12
+const maxPackets = 400
+const compactAfterEntries = 12
 
 export class RaftHistory {
   #random: () => number
   #peers = new Map<ReplicaId, Peer>()
-  #wire: Packet[] = []
-  #cut = new Set<string>()
-  #ledger = new HistoryLedger()
+  #network: Packet[] = []
+  #cutLinks = new Set<string>()
+  #checker = new HistoryChecker()
   #counter = 0
   #crashes = 0
   #disksLost = 0
   #repaired = 0
   #steps = 0
   #lostVoter: ReplicaId | null = null
-  #slow = new Map<ReplicaId, number>()
+  #diskSlowness = new Map<ReplicaId, number>()
 
   constructor (seed: number, size: number) {
     this.#random = createRandom(seed)
@@ -56,12 +56,12 @@
 
   /** Does `steps` random things, then heals everything and checks what became of it. */
   run (steps: number): HistoryReport {
-    for (let i = 0; i < steps; i++) this.#doOne()
+    for (let i = 0; i < steps; i++) this.#runRandomStep()
     this.#heal()
     return {
-      violations: this.#ledger.violations,
-      acknowledged: this.#ledger.acknowledged,
-      elections: this.#ledger.elections,
+      violations: this.#checker.violations,
+      acknowledged: this.#checker.acknowledged,
+      elections: this.#checker.elections,
       crashes: this.#crashes,
       disksLost: this.#disksLost,
       repaired: this.#repaired,
@@ -70,7 +70,7 @@
   }
 
   #addPeer (id: ReplicaId, stored: StoredLog): Peer {
-    const peer: Peer = { id, disk: new FakeDisk(stored), node: null, unsynced: [], late: [], applied: [], appliedIndex: 0, paused: false, clock: this.#random() * 1000 }
+    const peer: Peer = { id, disk: new FakeDisk(stored), node: null, unsynced: [], sendsAfterSync: [], applied: [], appliedIndex: 0, isPaused: false, clock: this.#random() * 1000 }
     this.#peers.set(id, peer)
     this.#start(peer)
     return peer
@@ -82,22 +82,22 @@
     peer.applied = [...(stored.snapshot?.state as string[] | null ?? [])]
     peer.appliedIndex = stored.snapshot?.index ?? 0
     peer.unsynced = []
-    peer.late = []
+    peer.sendsAfterSync = []
   }
 
-  #doOne (): void {
-    const dice = this.#random()
-    if (dice < 0.44) return this.#deliver()
-    if (dice < 0.6) return this.#passTime(this.#pickPeer(), 10 + this.#random() * 80)
-    if (dice < 0.84) return this.#syncByLot(this.#pickPeer())
-    if (dice < 0.91) return this.#propose(this.#pickPeer())
-    if (dice < 0.93) return this.#startRead(this.#pickPeer())
-    if (dice < 0.937) return this.#toggleCut()
-    if (dice < 0.945) return this.#crash(this.#pickPeer())
-    if (dice < 0.95) return this.#togglePause(this.#pickPeer())
-    if (dice < 0.955) return this.#step(this.#pickPeer(), { type: 'transfer', at: 0 })
-    if (dice < 0.962) return this.#crashAll()
-    this.#workOnDisks()
+  #runRandomStep (): void {
+    const roll = this.#random()
+    if (roll < 0.44) return this.#deliver()
+    if (roll < 0.6) return this.#passTime(this.#pickPeer(), 10 + this.#random() * 80)
+    if (roll < 0.84) return this.#syncRandomly(this.#pickPeer())
+    if (roll < 0.91) return this.#propose(this.#pickPeer())
+    if (roll < 0.93) return this.#startRead(this.#pickPeer())
+    if (roll < 0.937) return this.#togglePartition()
+    if (roll < 0.945) return this.#crash(this.#pickPeer())
+    if (roll < 0.95) return this.#togglePause(this.#pickPeer())
+    if (roll < 0.955) return this.#step(this.#pickPeer(), { type: 'transfer', at: 0 })
+    if (roll < 0.962) return this.#crashAll()
+    this.#loseOrRepairDisk()
   }
 
   #pickPeer (): Peer {
@@ -108,52 +108,52 @@
   // The wire.
 
   #deliver (): void {
-    if (this.#wire.length === 0) return
-    const at = Math.floor(this.#random() * Math.min(8, this.#wire.length))
-    const packet = this.#wire[at]
-    const isDoubled = this.#random() < 0.03
-    if (!isDoubled) this.#wire.splice(at, 1)
+    if (this.#network.length === 0) return
+    const position = Math.floor(this.#random() * Math.min(8, this.#network.length))
+    const packet = this.#network[position]
+    const isDuplicated = this.#random() < 0.03
+    if (!isDuplicated) this.#network.splice(position, 1)
     if (this.#random() < 0.04) return
     this.#receive(packet)
   }
 
   #receive (packet: Packet): void {
     const peer = this.#peers.get(packet.to)
-    if (peer === undefined || peer.paused || this.#cut.has(`${packet.from}>${packet.to}`)) return
+    if (peer === undefined || peer.isPaused || this.#cutLinks.has(`${packet.from}>${packet.to}`)) return
     this.#step(peer, { type: 'receive', at: 0, from: packet.from, message: packet.message })
   }
 
   #send (from: ReplicaId, effect: SendEffect): void {
-    if (this.#wire.length < mostPackets) this.#wire.push({ from, to: effect.to, message: effect.message })
+    if (this.#network.length < maxPackets) this.#network.push({ from, to: effect.to, message: effect.message })
   }
 
-  #toggleCut (): void {
-    if (this.#cut.size > 0) {
-      this.#cut.clear()
+  #togglePartition (): void {
+    if (this.#cutLinks.size > 0) {
+      this.#cutLinks.clear()
       return
     }
-    const one = this.#pickPeer()
-    const bothWays = this.#random() < 0.6
-    for (const other of this.#peers.keys()) {
-      if (other === one.id) continue
-      this.#cut.add(`${one.id}>${other}`)
-      if (bothWays) this.#cut.add(`${other}>${one.id}`)
+    const isolated = this.#pickPeer()
+    const isBidirectional = this.#random() < 0.6
+    for (const otherId of this.#peers.keys()) {
+      if (otherId === isolated.id) continue
+      this.#cutLinks.add(`${isolated.id}>${otherId}`)
+      if (isBidirectional) this.#cutLinks.add(`${otherId}>${isolated.id}`)
     }
   }
 
   // Replicas.
 
   #passTime (peer: Peer, ms: number): void {
-    if (peer.paused) return
+    if (peer.isPaused) return
     peer.clock += ms
     this.#step(peer, { type: 'tick', at: 0 })
   }
 
   // At most one replica is paused, and for a while only.
   #togglePause (peer: Peer): void {
-    const paused = [...this.#peers.values()].find(one => one.paused)
-    if (paused !== undefined) paused.paused = false
-    else peer.paused = true
+    const paused = [...this.#peers.values()].find(one => one.isPaused)
+    if (paused !== undefined) paused.isPaused = false
+    else peer.isPaused = true
   }
 
   // Power is lost everywhere at once.
@@ -166,13 +166,13 @@
     // Of what was not synced, the disk may have taken any beginning.
     const kept = Math.floor(this.#random() * (peer.unsynced.length + 1))
     peer.disk.write(peer.unsynced.slice(0, kept))
-    peer.paused = false
+    peer.isPaused = false
     this.#start(peer)
   }
 
   #step (peer: Peer, event: RaftEvent): void {
     const { node } = peer
-    if (node === null || peer.paused) return
+    if (node === null || peer.isPaused) return
     this.#steps += 1
     for (const effect of node.step({ ...event, at: peer.clock })) this.#perform(peer, effect)
   }
@@ -182,54 +182,54 @@
       case 'persist': return void peer.unsynced.push(effect)
       case 'send':
         if (effect.early) this.#send(peer.id, effect)
-        else peer.late.push(effect)
+        else peer.sendsAfterSync.push(effect)
         return
       case 'apply': return this.#apply(peer, effect.entry)
       case 'restore': return this.#restore(peer, effect.snapshot)
-      case 'accepted': return this.#ledger.noteAccepted(effect.index, effect.term)
+      case 'accepted': return this.#checker.noteAccepted(effect.index, effect.term)
       case 'rejected': return
-      case 'readReady': return this.#ledger.endRead(effect.read, effect.index)
-      case 'readFailed': return this.#ledger.dropRead(effect.read)
+      case 'readReady': return this.#checker.finishRead(effect.read, effect.index)
+      case 'readFailed': return this.#checker.failRead(effect.read)
       case 'role':
-        if (effect.role === 'leader') this.#ledger.noteLeader(peer.id, effect.term)
+        if (effect.role === 'leader') this.#checker.noteLeader(peer.id, effect.term)
         return
-      case 'violation': return this.#ledger.violate(`${effect.rule}: ${effect.detail}`)
+      case 'violation': return this.#checker.reportViolation(`${effect.rule}: ${effect.detail}`)
     }
   }
 
   // Each replica's disk has its own slowness in a history, so that much can stand unsynced.
-  #syncByLot (peer: Peer): void {
-    if (this.#random() < this.#slowness(peer)) return
+  #syncRandomly (peer: Peer): void {
+    if (this.#random() < this.#drawDiskSlowness(peer)) return
     this.#sync(peer)
   }
 
-  #slowness (peer: Peer): number {
-    const known = this.#slow.get(peer.id)
+  #drawDiskSlowness (peer: Peer): number {
+    const known = this.#diskSlowness.get(peer.id)
     if (known !== undefined) return known
     const drawn = this.#random() < 0.5 ? 0 : this.#random() * 0.95
-    this.#slow.set(peer.id, drawn)
+    this.#diskSlowness.set(peer.id, drawn)
     return drawn
   }
 
   #sync (peer: Peer): void {
     const { node } = peer
-    if (node === null || peer.paused || (peer.unsynced.length === 0 && peer.late.length === 0)) return
+    if (node === null || peer.isPaused || (peer.unsynced.length === 0 && peer.sendsAfterSync.length === 0)) return
     peer.disk.write(peer.unsynced)
-    const { late } = peer
+    const { sendsAfterSync } = peer
     const { lastIndex, lastTerm } = node
     peer.unsynced = []
-    peer.late = []
-    for (const effect of late) this.#send(peer.id, effect)
+    peer.sendsAfterSync = []
+    for (const effect of sendsAfterSync) this.#send(peer.id, effect)
     this.#step(peer, { type: 'synced', at: 0, index: lastIndex, term: lastTerm })
   }
 
   // The state machine: a list of values.
 
   #apply (peer: Peer, entry: LogEntry): void {
-    this.#ledger.noteApplied(peer, entry)
+    this.#checker.noteApplied(peer, entry)
     peer.appliedIndex = entry.index
     if (entry.content.type === 'command') peer.applied.push(String(entry.content.command))
-    if (peer.node !== null && peer.node.compactable >= compactEvery && this.#random() < 0.3) this.#compact(peer)
+    if (peer.node !== null && peer.node.compactable >= compactAfterEntries && this.#random() < 0.3) this.#compact(peer)
   }
 
   #compact (peer: Peer): void {
@@ -237,7 +237,7 @@
   }
 
   #restore (peer: Peer, snapshot: Snapshot): void {
-    if (snapshot.index < peer.appliedIndex) this.#ledger.violate(`order: ${peer.id} goes back to ${snapshot.index}`)
+    if (snapshot.index < peer.appliedIndex) this.#checker.reportViolation(`order: ${peer.id} goes back to ${snapshot.index}`)
     peer.applied = [...snapshot.state as string[]]
     peer.appliedIndex = snapshot.index
   }
@@ -249,13 +249,13 @@
 
   #startRead (peer: Peer): void {
     this.#counter += 1
-    this.#ledger.startRead(this.#counter)
+    this.#checker.startRead(this.#counter)
     this.#step(peer, { type: 'read', at: 0, read: this.#counter })
   }
 
   // Disks: one is lost, the replica of a new disk is let in, the old one put out.
 
-  #workOnDisks (): void {
+  #loseOrRepairDisk (): void {
     if (this.#lostVoter === null) this.#loseDisk()
     else this.#repair(this.#lostVoter)
   }
@@ -275,10 +275,10 @@
     if (leader?.node == null) return
     const { members } = leader.node
     const [name] = old.split('#')
-    const fresh = [...this.#peers.keys()].find(id => id.startsWith(`${name}#`))
-    if (fresh === undefined) return
-    const next = this.#nextMembers(members, old, fresh)
-    if (next === null) {
+    const replacement = [...this.#peers.keys()].find(id => id.startsWith(`${name}#`))
+    if (replacement === undefined) return
+    const nextMembers = this.#nextMembers(members, old, replacement)
+    if (nextMembers === null) {
       // Only a committed change has restored the redundancy.
       if (!leader.node.isSettled) return
       this.#lostVoter = null
@@ -286,14 +286,14 @@
       return
     }
     this.#counter += 1
-    this.#step(leader, { type: 'changeMembers', at: 0, wall: this.#steps, proposal: this.#counter, members: next })
+    this.#step(leader, { type: 'changeMembers', at: 0, wall: this.#steps, proposal: this.#counter, members: nextMembers })
   }
 
-  #nextMembers (members: Members, old: ReplicaId, fresh: ReplicaId): Members | null {
+  #nextMembers (members: Members, old: ReplicaId, replacement: ReplicaId): Members | null {
     const { voters, learners } = members
-    if (!voters.includes(fresh)) {
-      if (!learners.includes(fresh)) return { voters, learners: [fresh] }
-      return { voters: [...voters, fresh], learners: [] }
+    if (!voters.includes(replacement)) {
+      if (!learners.includes(replacement)) return { voters, learners: [replacement] }
+      return { voters: [...voters, replacement], learners: [] }
     }
     return voters.includes(old) ? { voters: voters.filter(id => id !== old), learners: [] } : null
   }
@@ -305,18 +305,18 @@
   // The end: all is well again, and everything that was acknowledged is there.
 
   #heal (): void {
-    this.#cut.clear()
-    this.#wire = []
-    for (const peer of this.#peers.values()) peer.paused = false
+    this.#cutLinks.clear()
+    this.#network = []
+    for (const peer of this.#peers.values()) peer.isPaused = false
     for (let round = 0; round < 400; round++) {
       for (const peer of this.#peers.values()) this.#passTime(peer, 10)
       for (const peer of this.#peers.values()) this.#sync(peer)
-      const wire = this.#wire
-      this.#wire = []
-      for (const packet of wire) this.#receive(packet)
+      const packets = this.#network
+      this.#network = []
+      for (const packet of packets) this.#receive(packet)
       if (round % 20 === 10) this.#proposeAtLeader()
     }
-    this.#checkEnd()
+    this.#checkFinalState()
   }
 
   #proposeAtLeader (): void {
@@ -324,9 +324,9 @@
     if (leader !== undefined) this.#propose(leader)
   }
 
-  #checkEnd (): void {
+  #checkFinalState (): void {
     const leader = this.#findLeader()
-    if (leader?.node == null) return this.#ledger.violate('progress: no leader after healing')
-    this.#ledger.checkEnd(leader, leader.node.members, this.#peers)
+    if (leader?.node == null) return this.#checker.reportViolation('progress: no leader after healing')
+    this.#checker.checkFinalState(leader, leader.node.members, this.#peers)
   }
 }
--- a/src/proof/scheduler-history.ts
+++ b/src/proof/scheduler-history.ts
@@ -16,7 +16,7 @@
   readonly patientFinished: number
 }
 
-interface Held {
+interface ActiveRequest {
   readonly submission: Submission
   readonly class: RequestClass
   engine: EngineId | null
@@ -43,7 +43,7 @@
   #engines: EngineSpec[]
   #leaving = new Set<EngineId>()
   #scheduler: Scheduler
-  #held = new Map<RequestId, Held>()
+  #active = new Map<RequestId, ActiveRequest>()
   #now = 0
   #counter = 0
   #violations: string[] = []
@@ -60,8 +60,8 @@
 
   /** Does `steps` random things; then ends the burst and checks that all that was accepted is served. */
   run (steps: number): SchedulerReport {
-    for (let i = 0; i < steps; i++) this.#doOne()
-    this.#drain()
+    for (let i = 0; i < steps; i++) this.#runRandomStep()
+    this.#drainAll()
     return {
       violations: this.#violations,
       submitted: this.#counter,
@@ -72,52 +72,52 @@
     }
   }
 
-  #doOne (): void {
-    const dice = this.#random()
-    if (dice < 0.5) return this.#submit()
-    if (dice < 0.8) return this.#endOne()
-    if (dice < 0.83) return this.#cancelOne()
-    if (dice < 0.86) return this.#toggleDrain()
-    if (dice < 0.88) return this.#report()
-    if (dice < 0.89) return this.#sayLateWord()
-    this.#passTime(this.#random() * 40)
+  #runRandomStep (): void {
+    const roll = this.#random()
+    if (roll < 0.5) return this.#submit()
+    if (roll < 0.8) return this.#finishRandomRequest()
+    if (roll < 0.83) return this.#cancelRandomRequest()
+    if (roll < 0.86) return this.#toggleDrain()
+    if (roll < 0.88) return this.#reportEngine()
+    if (roll < 0.89) return this.#sendStaleEnd()
+    this.#advanceTime(this.#random() * 40)
   }
 
   #submit (): void {
     this.#counter += 1
     // A burst of quick requests: three of four are of classes that may not wait.
-    const wanted = classes[this.#random() < 0.75 ? Math.floor(this.#random() * 3) : 3 + Math.floor(this.#random() * 2)]
+    const requestClass = classes[this.#random() < 0.75 ? Math.floor(this.#random() * 3) : 3 + Math.floor(this.#random() * 2)]
     const submission: Submission = {
       request: brandId<RequestId>(`r${this.#counter}`),
       attempt: 1,
       box: brandId<BoxId>(`b${Math.floor(this.#random() * 3)}`),
-      class: wanted.name,
+      class: requestClass.name,
       workspace: brandId<WorkspaceName>(`w${Math.floor(this.#random() * 4)}`),
       model,
       promptTokens: 100,
       prefix: null,
-      deadline: this.#now + wanted.firstTokenMs,
+      deadline: this.#now + requestClass.firstTokenMs,
       exclude: [],
       resumed: false
     }
-    this.#held.set(submission.request, { submission, class: wanted, engine: null })
+    this.#active.set(submission.request, { submission, class: requestClass, engine: null })
     this.#step({ type: 'submit', at: this.#now, submission })
   }
 
-  #endOne (): void {
-    const running = [...this.#held.values()].filter(held => held.engine !== null)
+  #finishRandomRequest (): void {
+    const running = [...this.#active.values()].filter(held => held.engine !== null)
     if (running.length === 0) return
-    const { submission, class: wanted } = running[Math.floor(this.#random() * running.length)]
-    this.#held.delete(submission.request)
-    if (wanted.mayWait) this.#patientFinished += 1
+    const { submission, class: requestClass } = running[Math.floor(this.#random() * running.length)]
+    this.#active.delete(submission.request)
+    if (requestClass.mayWait) this.#patientFinished += 1
     this.#step({ type: 'end', at: this.#now, request: submission.request, attempt: 1, how: 'done', tokens: 20 })
   }
 
-  #cancelOne (): void {
-    const all = [...this.#held.values()]
+  #cancelRandomRequest (): void {
+    const all = [...this.#active.values()]
     if (all.length === 0) return
     const { submission } = all[Math.floor(this.#random() * all.length)]
-    this.#held.delete(submission.request)
+    this.#active.delete(submission.request)
     this.#step({ type: 'cancel', at: this.#now, request: submission.request, attempt: 1 })
   }
 
@@ -129,92 +129,92 @@
     this.#step({ type: 'drain', at: this.#now, engine: id, leaving })
   }
 
-  #report (): void {
+  #reportEngine (): void {
     const { id } = this.#engines[Math.floor(this.#random() * this.#engines.length)]
     this.#step({ type: 'report', at: this.#now, engine: id, report: { running: 0, waiting: 0, kvUsed: 0, stepMs: 30, leaving: false } })
   }
 
   // Word of an attempt that is over must change nothing.
-  #sayLateWord (): void {
-    const all = [...this.#held.values()]
+  #sendStaleEnd (): void {
+    const all = [...this.#active.values()]
     if (all.length === 0) return
     const { submission } = all[Math.floor(this.#random() * all.length)]
     this.#step({ type: 'end', at: this.#now, request: submission.request, attempt: 0, how: 'done', tokens: 1 })
   }
 
-  #passTime (ms: number): void {
+  #advanceTime (ms: number): void {
     this.#now += ms
     this.#step({ type: 'tick', at: this.#now })
   }
 
   #step (event: SchedulerEvent): void {
-    for (const action of this.#scheduler.step(event)) this.#take(action)
+    for (const action of this.#scheduler.step(event)) this.#handleAction(action)
   }
 
-  #take (action: SchedulerAction): void {
+  #handleAction (action: SchedulerAction): void {
     switch (action.type) {
       case 'grant': return this.#checkGrant(action.request, action.engine)
       case 'refuse': return this.#checkRefusal(action.request)
       case 'yield': return this.#checkYield(action.request, action.to)
-      case 'violation': return this.#violate(`${action.rule}: ${action.detail}`)
+      case 'violation': return this.#reportViolation(`${action.rule}: ${action.detail}`)
     }
   }
 
   #checkGrant (request: RequestId, engine: EngineId): void {
     this.#granted += 1
-    const held = this.#held.get(request)
-    if (held === undefined) return this.#violate(`granted ${request}, which nobody waits for`)
-    if (held.engine !== null) return this.#violate(`granted ${request} twice`)
-    if (this.#leaving.has(engine)) this.#violate(`granted ${request} on ${engine}, which is leaving`)
-    const there = this.#listRunning(engine)
-    const same = there.filter(other => other.class.priority <= held.class.priority).length
-    if (held.class.mayWait && there.length >= places + floorPlaces) this.#violate(`granted ${request} on a full engine`)
-    if (!held.class.mayWait && same >= places) this.#violate(`granted ${request} beyond the places of its class`)
+    const held = this.#active.get(request)
+    if (held === undefined) return this.#reportViolation(`granted ${request}, which nobody waits for`)
+    if (held.engine !== null) return this.#reportViolation(`granted ${request} twice`)
+    if (this.#leaving.has(engine)) this.#reportViolation(`granted ${request} on ${engine}, which is leaving`)
+    const running = this.#listRunning(engine)
+    const urgentCount = running.filter(other => other.class.priority <= held.class.priority).length
+    if (held.class.mayWait && running.length >= places + floorPlaces) this.#reportViolation(`granted ${request} on a full engine`)
+    if (!held.class.mayWait && urgentCount >= places) this.#reportViolation(`granted ${request} beyond the places of its class`)
     held.engine = engine
   }
 
   // A request that may not wait is refused only if it could run nowhere.
   #checkRefusal (request: RequestId): void {
     this.#refused += 1
-    const held = this.#held.get(request)
-    if (held === undefined) return this.#violate(`refused ${request}, which nobody waits for`)
-    this.#held.delete(request)
-    if (held.class.mayWait) return this.#violate(`refused ${request}, which may wait`)
+    const held = this.#active.get(request)
+    if (held === undefined) return this.#reportViolation(`refused ${request}, which nobody waits for`)
+    this.#active.delete(request)
+    if (held.class.mayWait) return this.#reportViolation(`refused ${request}, which may wait`)
     for (const { id } of this.#engines) {
       if (this.#leaving.has(id)) continue
-      const there = this.#listRunning(id)
-      const lower = there.filter(other => other.class.priority > held.class.priority)
-      const same = there.length - lower.length
-      if (lower.length > 0 && same < places && there.length < 2 * (places + floorPlaces)) this.#violate(`refused ${request} beside lower work on ${id}`)
+      const running = this.#listRunning(id)
+      const lessUrgent = running.filter(other => other.class.priority > held.class.priority)
+      const urgentCount = running.length - lessUrgent.length
+      if (lessUrgent.length > 0 && urgentCount < places && running.length < 2 * (places + floorPlaces)) this.#reportViolation(`refused ${request} beside lower work on ${id}`)
     }
   }
 
   #checkYield (request: RequestId, to: RequestId): void {
     this.#yielded += 1
-    const paused = this.#held.get(request)
-    const higher = this.#held.get(to)
-    if (paused === undefined || higher === undefined) return this.#violate(`${request} yields to ${to}, and one is unknown`)
-    if (paused.class.priority <= higher.class.priority) this.#violate(`${request} (${paused.class.name}) yields to ${to} (${higher.class.name})`)
+    const paused = this.#active.get(request)
+    const higher = this.#active.get(to)
+    if (paused === undefined || higher === undefined) return this.#reportViolation(`${request} yields to ${to}, and one is unknown`)
+    if (paused.class.priority <= higher.class.priority) this.#reportViolation(`${request} (${paused.class.name}) yields to ${to} (${higher.class.name})`)
   }
 
-  #listRunning (engine: EngineId): Held[] {
-    return [...this.#held.values()].filter(held => held.engine === engine)
+  #listRunning (engine: EngineId): ActiveRequest[] {
+    return [...this.#active.values()].filter(held => held.engine === engine)
   }
 
   // The burst ends; whatever was accepted and may wait is served.
-  #drain (): void {
+  #drainAll (): void {
     for (const id of [...this.#leaving]) {
       this.#leaving.delete(id)
       this.#step({ type: 'drain', at: this.#now, engine: id, leaving: false })
     }
-    for (let i = 0; i < 20_000 && this.#held.size > 0; i++) {
-      this.#endOne()
-      this.#passTime(20)
+    for (let i = 0; i < 20_000 && this.#active.size > 0; i++) {
+      this.#finishRandomRequest()
+      this.#advanceTime(20)
     }
-    if (this.#held.size > 0) this.#violate(`${this.#held.size} accepted requests were never served`)
+    if (this.#active.size > 0) this.#reportViolation(`${this.#active.size} accepted requests were never served`)
   }
 
-  #violate (text: string): void {
+  #reportViolation (text: string): void {
     if (this.#violations.length < 20) this.#violations.push(text)
   }
 }
--- a/src/soak/disturbances.ts
+++ b/src/soak/disturbances.ts
@@ -6,11 +6,11 @@
   begin (part: string, at: number): (at: number) => void {
     const span = { part, from: at, to: Infinity }
     this.#spans.push(span)
-    return ended => { span.to = ended }
+    return endedAt => { span.to = endedAt }
   }
 
   /** True where one of the parts (by the beginning of its name) was disturbed at any time between two. */
-  hasTouched (parts: readonly string[], from: number, to: number): boolean {
+  wasDisturbed (parts: readonly string[], from: number, to: number): boolean {
     return this.#spans.some(span => span.from <= to && span.to >= from && parts.some(part => span.part.startsWith(part)))
   }
 }
--- a/src/soak/fault-proxy.ts
+++ b/src/soak/fault-proxy.ts
@@ -10,7 +10,7 @@
 /** How late a delaying proxy passes bytes on, ms. */
 const delayMs = 120
 /** What all connections of a narrow proxy share, bytes/ms: a document of some KB takes most of a second. */
-const narrowBytesPerMs = 10
+const throttleBytesPerMs = 10
 
 export class FaultProxy {
   #server: Server
@@ -21,7 +21,7 @@
 
   /** Connections are passed on to `host`, at the port that `port` gives then. */
   constructor (host: string, port: () => number) {
-    this.#server = createServer(inner => this.#join(inner, connect(port(), host)))
+    this.#server = createServer(client => this.#connect(client, connect(port(), host)))
   }
 
   /** Begins to take connections, on any free port where `port` is 0; resolves with it. */
@@ -30,10 +30,10 @@
   }
 
   /** Treats connections so from now on; those that stand are reset for `reset`, and after silence, as their bytes are lost. */
-  set (mode: ProxyMode): void {
-    const isOver = this.#mode === 'silent' || this.#mode === 'one-way'
+  setMode (mode: ProxyMode): void {
+    const hasLostBytes = this.#mode === 'silent' || this.#mode === 'one-way'
     this.#mode = mode
-    if (mode === 'reset' || isOver) for (const socket of this.#sockets) resetSocket(socket)
+    if (mode === 'reset' || hasLostBytes) for (const socket of this.#sockets) resetSocket(socket)
   }
 
   /** Resets all connections and takes no more until `listen`, as where a process has died. */
@@ -48,17 +48,17 @@
     for (const socket of this.#sockets) socket.destroy()
   }
 
-  #join (inner: Socket, outer: Socket): void {
+  #connect (client: Socket, upstream: Socket): void {
     if (this.#mode === 'reset') {
-      outer.destroy()
-      resetSocket(inner)
+      upstream.destroy()
+      resetSocket(client)
       return
     }
-    this.#pass(inner, outer, true)
-    this.#pass(outer, inner, false)
+    this.#forward(client, upstream, true)
+    this.#forward(upstream, client, false)
   }
 
-  #pass (from: Socket, to: Socket, isForth: boolean): void {
+  #forward (from: Socket, to: Socket, isToUpstream: boolean): void {
     const line = new DelayLine()
     this.#sockets.add(from)
     from.setNoDelay(true)
@@ -69,20 +69,20 @@
       line.close()
       to.destroy()
     })
-    from.on('data', chunk => this.#relay(chunk, to, line, isForth))
-    from.on('end', () => line.add(this.#measureDelay(0), () => to.end()))
+    from.on('data', chunk => this.#relay(chunk, to, line, isToUpstream))
+    from.on('end', () => line.add(this.#computeDelay(0), () => to.end()))
   }
 
   #relay (chunk: Buffer, to: Socket, line: DelayLine, isForth: boolean): void {
     if (this.#mode === 'silent' || (this.#mode === 'one-way' && !isForth)) return
-    line.add(this.#measureDelay(chunk.length), () => { to.write(chunk) })
+    line.add(this.#computeDelay(chunk.length), () => { to.write(chunk) })
   }
 
   // How late bytes go on, ms.
-  #measureDelay (bytes: number): number {
+  #computeDelay (bytes: number): number {
     switch (this.#mode) {
       case 'delay': return delayMs
-      case 'narrow': return this.#carryNarrowly(bytes)
+      case 'throttle': return this.#reserveBandwidth(bytes)
       case 'pass':
       case 'reset':
       case 'one-way':
@@ -90,9 +90,9 @@
     }
   }
 
-  #carryNarrowly (bytes: number): number {
+  #reserveBandwidth (bytes: number): number {
     const now = performance.now()
-    this.#freeAt = Math.max(this.#freeAt, now) + bytes / narrowBytesPerMs
+    this.#freeAt = Math.max(this.#freeAt, now) + bytes / throttleBytesPerMs
     return this.#freeAt - now
   }
 }
--- a/src/soak/precedence-watch.ts
+++ b/src/soak/precedence-checker.ts
@@ -14,7 +14,7 @@
   readonly sentAt: number
   readonly endedAt: number
   /** When its answer began; null where nothing came. */
-  readonly firstAt: number | null
+  readonly firstByteAt: number | null
   readonly status: number
 }
 
@@ -29,10 +29,10 @@
 /** The time over which requests are compared, ms. */
 const windowMs = 5000
 /** So many requests of a kind that got nothing, and more than this part of them, are no chance. */
-const leastDenied = 10
-const deniedShare = 1 / 12
+const minDenied = 10
+const minDeniedShare = 1 / 12
 /** They count where less urgent requests of more than so many times their size began in the same time. */
-const sizeTimes = 2
+const minTokenRatio = 2
 /**
  * Less urgent requests count from so long before the first that was denied, ms, to the end of the last. Those that began well
  * before took nothing from it, nor did those that began once the others' callers had left: in a history whose tags alone
@@ -40,9 +40,9 @@
  */
 const leadMs = 1000
 /** A gateway that was disturbed so shortly before a call answers for itself, ms. */
-const calmMs = 4000
+const undisturbedMs = 4000
 
-export class PrecedenceWatch {
+export class PrecedenceChecker {
   #calls: RankedCall[] = []
   #disturbances: Disturbances
 
@@ -50,47 +50,47 @@
     this.#disturbances = disturbances
   }
 
-  note (call: RankedCall): void { this.#calls.push(call) }
+  record (call: RankedCall): void { this.#calls.push(call) }
 
   /** What each kind came to, over all calls. */
   get summaries (): RankedSummary[] {
     return [...new Set(this.#calls.map(call => call.kind))].map(kind => {
       const calls = this.#calls.filter(call => call.kind === kind)
-      const inTime = calls.filter(({ firstAt, sentAt }) => firstAt !== null && firstAt - sentAt <= kind.targetMs)
-      return { kind: kind.name, asked: calls.length, served: calls.filter(call => call.firstAt !== null).length, inTime: inTime.length }
+      const inTime = calls.filter(({ firstByteAt, sentAt }) => firstByteAt !== null && firstByteAt - sentAt <= kind.targetMs)
+      return { kind: kind.name, asked: calls.length, served: calls.filter(call => call.firstByteAt !== null).length, inTime: inTime.length }
     }).sort((a, b) => a.kind.localeCompare(b.kind))
   }
 
   /** Every time in which a kind was put behind less urgent ones. */
-  findBroken (): string[] {
-    const calm = this.#calls.filter(call => this.#isCalm(call)).sort((a, b) => a.sentAt - b.sentAt)
-    const broken: string[] = []
-    for (const kind of new Set(calm.map(call => call.kind))) {
+  findViolations (): string[] {
+    const undisturbed = this.#calls.filter(call => this.#isUndisturbed(call)).sort((a, b) => a.sentAt - b.sentAt)
+    const violations: string[] = []
+    for (const kind of new Set(undisturbed.map(call => call.kind))) {
       let checkedUntil = -Infinity
-      for (const { sentAt } of calm.filter(call => call.kind === kind)) {
+      for (const { sentAt } of undisturbed.filter(call => call.kind === kind)) {
         if (sentAt < checkedUntil) continue
-        const found = this.#checkWindow(kind, calm, sentAt)
+        const found = this.#checkWindow(kind, undisturbed, sentAt)
         if (found === null) continue
-        broken.push(found)
+        violations.push(found)
         checkedUntil = sentAt + windowMs
       }
     }
-    return broken
+    return violations
   }
 
-  #checkWindow (kind: RankedKind, calm: readonly RankedCall[], from: number): string | null {
-    const asked = calm.filter(call => call.kind === kind && call.sentAt >= from && call.sentAt < from + windowMs)
-    const denied = asked.filter(call => call.firstAt === null)
-    if (denied.length < leastDenied || denied.length <= asked.length * deniedShare) return null
+  #checkWindow (kind: RankedKind, undisturbed: readonly RankedCall[], from: number): string | null {
+    const asked = undisturbed.filter(call => call.kind === kind && call.sentAt >= from && call.sentAt < from + windowMs)
+    const denied = asked.filter(call => call.firstByteAt === null)
+    if (denied.length < minDenied || denied.length <= asked.length * minDeniedShare) return null
     const [first, last] = [denied[0].sentAt - leadMs, Math.max(...denied.map(call => call.endedAt))]
-    const begun = this.#calls.filter(({ kind: { priority }, firstAt }) => priority > kind.priority && firstAt !== null && firstAt >= first && firstAt < last)
-    const [deniedTokens, begunTokens] = [denied, begun].map(sumTokens)
-    if (begunTokens <= sizeTimes * deniedTokens) return null
+    const started = this.#calls.filter(({ kind: { priority }, firstByteAt }) => priority > kind.priority && firstByteAt !== null && firstByteAt >= first && firstByteAt < last)
+    const [deniedTokens, begunTokens] = [denied, started].map(sumTokens)
+    if (begunTokens <= minTokenRatio * deniedTokens) return null
     return `${denied.length} of ${asked.length} ${kind.name} requests (${deniedTokens} tokens) got nothing in the ${windowMs} ms from ${Math.round(from)}, while less urgent ones of ${begunTokens} tokens began: ${denied[0].id}`
   }
 
-  #isCalm (call: RankedCall): boolean {
-    return !this.#disturbances.hasTouched([call.gateway, `stop ${call.gateway}`], call.sentAt - calmMs, call.endedAt)
+  #isUndisturbed (call: RankedCall): boolean {
+    return !this.#disturbances.wasDisturbed([call.gateway, `stop ${call.gateway}`], call.sentAt - undisturbedMs, call.endedAt)
   }
 }
 
--- a/src/soak/program-process.ts
+++ b/src/soak/program-process.ts
@@ -3,7 +3,7 @@
 import type { ChildProcess } from 'node:child_process'
 
 /** Lines of its log that are kept. */
-const mostLines = 4000
+const maxLines = 4000
 
 export class ProgramProcess {
   /** The newest lines of its log. */
@@ -11,14 +11,14 @@
   #program: string
   #settings: string
   #child: ChildProcess | null = null
-  #isEndWanted = false
-  #noteEnd: (code: number | null) => void
+  #isExitExpected = false
+  #onUnexpectedExit: (code: number | null) => void
 
   /** `noteEnd` is told of each end that nobody asked for. */
-  constructor (program: string, settings: string, noteEnd: (code: number | null) => void) {
+  constructor (program: string, settings: string, onUnexpectedExit: (code: number | null) => void) {
     this.#program = program
     this.#settings = settings
-    this.#noteEnd = noteEnd
+    this.#onUnexpectedExit = onUnexpectedExit
   }
 
   get isRunning (): boolean { return this.#child !== null }
@@ -26,19 +26,19 @@
   /** Starts the process; does nothing where it runs. */
   start (): void {
     if (this.#child !== null) return
-    this.#isEndWanted = false
+    this.#isExitExpected = false
     const child = spawn(process.execPath, [this.#program, this.#settings], { stdio: ['ignore', 'pipe', 'pipe'] })
     this.#child = child
-    for (const stream of [child.stdout, child.stderr]) stream?.on('data', (chunk: Buffer) => this.#keep(chunk))
+    for (const stream of [child.stdout, child.stderr]) stream?.on('data', (chunk: Buffer) => this.#appendLines(chunk))
     child.once('exit', code => {
       if (this.#child === child) this.#child = null
-      if (!this.#isEndWanted) this.#noteEnd(code)
+      if (!this.#isExitExpected) this.#onUnexpectedExit(code)
     })
   }
 
   /** Sends a signal; one that ends the process is taken as wanted. */
   sendSignal (name: NodeJS.Signals): void {
-    if (name === 'SIGTERM' || name === 'SIGKILL') this.#isEndWanted = true
+    if (name === 'SIGTERM' || name === 'SIGKILL') this.#isExitExpected = true
     this.#child?.kill(name)
   }
 
@@ -46,13 +46,13 @@
   async kill (): Promise<void> {
     const child = this.#child
     if (child === null) return
-    const gone = new Promise(resolve => child.once('exit', resolve))
+    const exited = new Promise(resolve => child.once('exit', resolve))
     this.sendSignal('SIGKILL')
-    await gone
+    await exited
   }
 
-  #keep (chunk: Buffer): void {
+  #appendLines (chunk: Buffer): void {
     this.lines.push(...chunk.toString().split('\n').filter(line => line !== ''))
-    this.lines.splice(0, Math.max(0, this.lines.length - mostLines))
+    this.lines.splice(0, Math.max(0, this.lines.length - maxLines))
   }
 }
--- a/src/soak/ranked-callers.ts
+++ b/src/soak/ranked-callers.ts
@@ -8,8 +8,8 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import { callerHost, composeCaller } from './caller-words.js'
 import { callHttp } from './http-call.js'
-import type { HttpEnd } from './http-call.js'
-import type { PrecedenceWatch } from './precedence-watch.js'
+import type { HttpResult } from './http-call.js'
+import type { PrecedenceChecker } from './precedence-checker.js'
 import { rankedKinds } from './ranked-kind.js'
 import type { RankedKind } from './ranked-kind.js'
 import { callerPort } from './soak-stage.js'
@@ -20,121 +20,121 @@
   readonly at: number
   readonly ms: number
   /** So many times the usual. */
-  readonly times: number
+  readonly factor: number
   /** One kind's name; null for all kinds. */
   readonly kind: string | null
 }
 
 /** What the callers need of their history. */
-export interface RankedCallersHost {
+export interface RankedCallersOptions {
   readonly seed: number
-  readonly stage: SoakStage
-  readonly watch: PrecedenceWatch
+  readonly testbed: SoakStage
+  readonly checker: PrecedenceChecker
   /** Gives numbers from 0 up to 1. */
   readonly random: () => number
 }
 
 /** Requests come in clumps of up to so many. */
-const mostInClump = 5
+const maxInClump = 5
 /** Pauses between bursts, and their lengths, ms, and how strong they are: in the strongest, what goes first still finds room at the engines. */
-const leastCalmMs = 1500
-const mostCalmMs = 4000
-const leastBurstMs = 1500
-const mostBurstMs = 5000
-const leastTimes = 1.5
-const mostTimes = 2.5
+const minPauseMs = 1500
+const maxPauseMs = 4000
+const minBurstMs = 1500
+const maxBurstMs = 5000
+const minFactor = 1.5
+const maxFactor = 2.5
 /** Part of the bursts that are of one kind alone. */
-const singleShare = 0.3
+const singleKindShare = 0.3
 /** A caller leaves where nothing came for this, for four targets or for eight pauses, whichever is longest, ms. */
-const leastPatienceMs = 2000
+const minTimeoutMs = 2000
 /** A caller comes back where the time named is at most this part of what is left to it. */
-const returnShare = 1 / 3
+const maxRetryShare = 1 / 3
 
 export class RankedCallers {
-  #host: RankedCallersHost
+  #options: RankedCallersOptions
   #bursts: readonly Burst[]
   #startedAt = 0
   #sent = 0
-  #isOver = false
+  #isStopping = false
   #calls = new Set<Promise<void>>()
   #running: Promise<void>[] = []
 
-  constructor (host: RankedCallersHost, bursts: readonly Burst[]) {
-    this.#host = host
+  constructor (options: RankedCallersOptions, bursts: readonly Burst[]) {
+    this.#options = options
     this.#bursts = bursts
   }
 
   start (): void {
     this.#startedAt = performance.now()
-    this.#running = rankedKinds.map(kind => this.#keepComing(kind))
+    this.#running = rankedKinds.map(kind => this.#sendRepeatedly(kind))
   }
 
   /** Resolves once no more come and those under way have ended. */
   async finish (): Promise<void> {
-    this.#isOver = true
+    this.#isStopping = true
     await Promise.all(this.#running)
     await Promise.all(this.#calls)
   }
 
-  async #keepComing (kind: RankedKind): Promise<void> {
-    const { random, stage } = this.#host
-    const usual = kind.rate * stage.engines.length / ((1 + mostInClump) / 2)
-    while (!this.#isOver) {
-      await sleep(-Math.log(1 - random()) * 1000 / (usual * this.#findTimes(kind)))
-      const clump = 1 + Math.floor(random() * mostInClump)
-      for (let i = 0; i < clump && !this.#isOver; i++) this.#begin(kind)
+  async #sendRepeatedly (kind: RankedKind): Promise<void> {
+    const { random, testbed } = this.#options
+    const clumpRate = kind.rate * testbed.engines.length / ((1 + maxInClump) / 2)
+    while (!this.#isStopping) {
+      await sleep(-Math.log(1 - random()) * 1000 / (clumpRate * this.#findFactor(kind)))
+      const clump = 1 + Math.floor(random() * maxInClump)
+      for (let i = 0; i < clump && !this.#isStopping; i++) this.#startCall(kind)
     }
   }
 
-  #findTimes ({ name }: RankedKind): number {
+  #findFactor ({ name }: RankedKind): number {
     const at = performance.now() - this.#startedAt
-    const on = this.#bursts.filter(burst => at >= burst.at && at < burst.at + burst.ms && (burst.kind ?? name) === name)
-    return on.reduce((times, burst) => times * burst.times, 1)
+    const active = this.#bursts.filter(burst => at >= burst.at && at < burst.at + burst.ms && (burst.kind ?? name) === name)
+    return active.reduce((factor, burst) => factor * burst.factor, 1)
   }
 
-  #begin (kind: RankedKind): void {
-    const call = this.#askTwice(kind).finally(() => this.#calls.delete(call))
+  #startCall (kind: RankedKind): void {
+    const call = this.#callWithRetry(kind).finally(() => this.#calls.delete(call))
     this.#calls.add(call)
   }
 
-  async #askTwice (kind: RankedKind): Promise<void> {
-    const { random, stage } = this.#host
+  async #callWithRetry (kind: RankedKind): Promise<void> {
+    const { random, testbed } = this.#options
     const tokens = Math.round(kind.promptTokens * (0.2 + 1.8 * random()))
-    const gateway = Math.floor(random() * stage.gateways.length)
+    const gateway = Math.floor(random() * testbed.gateways.length)
     const until = performance.now() + kind.timeoutMs
-    const { status, retryAfterMs } = await this.#ask(kind, tokens, gateway, until)
-    if (status !== 503 || retryAfterMs === null || retryAfterMs > (until - performance.now()) * returnShare) return
+    const { status, retryAfterMs } = await this.#call(kind, tokens, gateway, until)
+    if (status !== 503 || retryAfterMs === null || retryAfterMs > (until - performance.now()) * maxRetryShare) return
     await sleep(retryAfterMs)
-    await this.#ask(kind, tokens, (gateway + 1) % stage.gateways.length, until)
+    await this.#call(kind, tokens, (gateway + 1) % testbed.gateways.length, until)
   }
 
-  async #ask (kind: RankedKind, tokens: number, gateway: number, until: number): Promise<HttpEnd> {
+  async #call (kind: RankedKind, tokens: number, gateway: number, until: number): Promise<HttpResult> {
     this.#sent += 1
-    const id = `${this.#host.seed}-${kind.name}-${this.#sent}`
-    const box = this.#host.stage.gateways[gateway]
+    const id = `${this.#options.seed}-${kind.name}-${this.#sent}`
+    const box = this.#options.testbed.gateways[gateway]
     const sentAt = performance.now()
     const headers = {
       ...composeCaller(id, Math.max(1, Math.round(until - sentAt))),
       'x-wrenlane-tokens': `${tokens},${kind.events * 10}`,
       'x-wrenlane-prompt-parts': `${id}:${tokens}`
     }
-    const timeout = Math.max(leastPatienceMs, 4 * kind.targetMs, 8 * kind.pauseMs)
-    const end = await callHttp({ host: box.host, port: callerPort, method: 'POST', path: `/${kind.name}/events-${kind.events}`, headers, agent: new Agent(), timeout }, `body of ${id}`)
-    this.#host.watch.note({ id, kind, tokens, gateway: box.name, sentAt, endedAt: performance.now(), firstAt: end.status === 200 ? end.firstAt : null, status: end.status })
-    return end
+    const timeout = Math.max(minTimeoutMs, 4 * kind.targetMs, 8 * kind.pauseMs)
+    const result = await callHttp({ host: box.host, port: callerPort, method: 'POST', path: `/${kind.name}/events-${kind.events}`, headers, agent: new Agent(), timeout }, `body of ${id}`)
+    this.#options.checker.record({ id, kind, tokens, gateway: box.name, sentAt, endedAt: performance.now(), firstByteAt: result.status === 200 ? result.firstByteAt : null, status: result.status })
+    return result
   }
 }
 
 /** Draws the bursts of a history of `lengthMs`. */
 export function drawBursts (random: () => number, lengthMs: number): Burst[] {
   const bursts: Burst[] = []
-  let at = leastCalmMs
+  let at = minPauseMs
   while (at < lengthMs) {
-    const ms = leastBurstMs + random() * (mostBurstMs - leastBurstMs)
-    const times = leastTimes + random() * (mostTimes - leastTimes)
-    const kind = random() < singleShare ? rankedKinds[Math.floor(random() * rankedKinds.length)].name : null
-    bursts.push({ at, ms, times, kind })
-    at += ms + leastCalmMs + random() * (mostCalmMs - leastCalmMs)
+    const ms = minBurstMs + random() * (maxBurstMs - minBurstMs)
+    const factor = minFactor + random() * (maxFactor - minFactor)
+    const kind = random() < singleKindShare ? rankedKinds[Math.floor(random() * rankedKinds.length)].name : null
+    bursts.push({ at, ms, factor, kind })
+    at += ms + minPauseMs + random() * (maxPauseMs - minPauseMs)
   }
   return bursts
 }
--- a/src/soak/soak-callers.ts
+++ b/src/soak/soak-callers.ts
@@ -8,21 +8,21 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import { callerHost, callerKey, composeCaller } from './caller-words.js'
 import { callHttp } from './http-call.js'
-import { holdMs } from './promise-watch.js'
-import type { PromiseWatch, WatchedCall } from './promise-watch.js'
+import { holdMs } from './guarantee-checker.js'
+import type { GuaranteeChecker, WatchedCall } from './guarantee-checker.js'
 import { composeRankedRoutes } from './ranked-callers.js'
 import { callerPort, engineService, engineShape, plainService } from './soak-stage.js'
 import type { SoakStage } from './soak-stage.js'
 
 /** What callers and the operator need of their history. */
-export interface CallersHost {
+export interface SoakCallersOptions {
   readonly seed: number
-  readonly stage: SoakStage
-  readonly watch: PromiseWatch
+  readonly testbed: SoakStage
+  readonly checker: GuaranteeChecker
   /** Gives numbers from 0 up to 1. */
   readonly random: () => number
   /** How often a gateway's process was started anew. */
-  countLives (gateway: string): number
+  countRestarts (gateway: string): number
 }
 
 /** Callers at each gateway. */
@@ -32,118 +32,118 @@
 /** Part of the calls that ask for a path of one version. */
 const versionShare = 0.25
 /** Versions back to which such calls go, the newest among them. */
-const versionsBack = 3
+const recentVersions = 3
 /** Pause between two documents, ms; drawn from half of it up to half as much again. */
 const documentPauseMs = 600
 /** Tries of putting one document, and the pause between them, ms. */
-const mostPuts = 8
-const putPauseMs = 100
+const maxPutAttempts = 8
+const putRetryMs = 100
 /** Events of a stream: from the least, so many different counts. */
-const leastEvents = 3
+const minEvents = 3
 const eventCounts = 12
 const kinds: readonly WatchedCall['kind'][] = ['once', 'again', 'stream', 'resume']
 
 export class SoakCallers {
-  #host: CallersHost
+  #options: SoakCallersOptions
   #sent = 0
   #version = 0
   /** When each version was acknowledged. */
-  #acked = new Map<number, number>()
-  #isOver = false
+  #acknowledgedAt = new Map<number, number>()
+  #isStopping = false
   #running: Promise<void>[] = []
 
-  constructor (host: CallersHost) {
-    this.#host = host
+  constructor (options: SoakCallersOptions) {
+    this.#options = options
   }
 
   /** The newest version that was acknowledged. */
-  get newestAcked (): number { return Math.max(...this.#acked.keys()) }
+  get newestAcknowledged (): number { return Math.max(...this.#acknowledgedAt.keys()) }
 
   /** Begins to call and to put documents. */
   start (): void {
-    const callers = this.#host.stage.gateways.flatMap((_, i) => Array.from({ length: callersPerGateway }, () => this.#keepCalling(i)))
-    this.#running = [...callers, this.#keepPutting()]
+    const callers = this.#options.testbed.gateways.flatMap((_, i) => Array.from({ length: callersPerGateway }, () => this.#callRepeatedly(i)))
+    this.#running = [...callers, this.#putRepeatedly()]
   }
 
   /** Resolves once the calls under way have ended and no more will come. */
   async finish (): Promise<void> {
-    this.#isOver = true
+    this.#isStopping = true
     await Promise.all(this.#running)
   }
 
   /** Puts the next document; a lost acknowledgement is made up for by sending it again. Resolves with true once one came. */
-  async put (): Promise<boolean> {
-    const { stage } = this.#host
+  async putDocument (): Promise<boolean> {
+    const { testbed } = this.#options
     this.#version += 1
     const version = this.#version
-    const text = JSON.stringify(composeDocument(version, stage.engines.length > 0))
-    for (let tries = 0; tries < mostPuts; tries++) {
-      const { status } = await stage.ask((version + tries) % stage.registries.length, 'PUT', '/v1/routing', text)
+    const text = JSON.stringify(composeDocument(version, testbed.engines.length > 0))
+    for (let attempt = 0; attempt < maxPutAttempts; attempt++) {
+      const { status } = await testbed.ask((version + attempt) % testbed.registries.length, 'PUT', '/v1/routing', text)
       if (status === 200) {
-        this.#acked.set(version, performance.now())
+        this.#acknowledgedAt.set(version, performance.now())
         return true
       }
-      await sleep(putPauseMs)
+      await sleep(putRetryMs)
     }
     return false
   }
 
   /** Makes one call that may be repeated, over a connection of its own; true where it was answered. */
-  async tryOnce (gateway: number): Promise<boolean> {
+  async callOnce (gateway: number): Promise<boolean> {
     const call = await this.#call(gateway, new Agent(), 'again')
-    this.#host.watch.note(call)
-    return call.end.status === 200
+    this.#options.checker.check(call)
+    return call.result.status === 200
   }
 
-  async #keepCalling (gateway: number): Promise<void> {
-    const { random, watch } = this.#host
+  async #callRepeatedly (gateway: number): Promise<void> {
+    const { random, checker } = this.#options
     const agent = new Agent({ keepAlive: true, maxSockets: 1 })
-    while (!this.#isOver) {
-      if (random() < versionShare && this.#version > 0) await this.#tryVersion(gateway, agent)
-      else watch.note(await this.#call(gateway, agent, kinds[Math.floor(random() * kinds.length)]))
+    while (!this.#isStopping) {
+      if (random() < versionShare && this.#version > 0) await this.#callVersion(gateway, agent)
+      else checker.check(await this.#call(gateway, agent, kinds[Math.floor(random() * kinds.length)]))
       await sleep(callerPauseMs)
     }
     agent.destroy()
   }
 
-  async #keepPutting (): Promise<void> {
-    while (!this.#isOver) {
-      await this.put()
-      await sleep(documentPauseMs * (0.5 + this.#host.random()))
+  async #putRepeatedly (): Promise<void> {
+    while (!this.#isStopping) {
+      await this.putDocument()
+      await sleep(documentPauseMs * (0.5 + this.#options.random()))
     }
   }
 
   async #call (gateway: number, agent: Agent, kind: WatchedCall['kind']): Promise<WatchedCall> {
-    const id = this.#nextId()
+    const id = this.#createId()
     const isStream = kind === 'stream' || kind === 'resume'
-    const path = isStream ? `/${kind}/events-${leastEvents + this.#sent % eventCounts}` : `/${kind}/${this.#sent}`
+    const path = isStream ? `/${kind}/events-${minEvents + this.#sent % eventCounts}` : `/${kind}/${this.#sent}`
     return await this.#send(gateway, agent, { id, kind, path, version: this.#version })
   }
 
   // Asks for a path that only the newest, or an older, version knows.
-  async #tryVersion (gateway: number, agent: Agent): Promise<void> {
-    const version = Math.max(1, this.#version - Math.floor(this.#host.random() * versionsBack))
-    const ackedAt = this.#acked.get(version)
-    if (ackedAt === undefined) return
-    const call = await this.#send(gateway, agent, { id: this.#nextId(), kind: 'again', path: `/v-${version}/x`, version })
+  async #callVersion (gateway: number, agent: Agent): Promise<void> {
+    const version = Math.max(1, this.#version - Math.floor(this.#options.random() * recentVersions))
+    const acknowledgedAt = this.#acknowledgedAt.get(version)
+    if (acknowledgedAt === undefined) return
+    const call = await this.#send(gateway, agent, { id: this.#createId(), kind: 'again', path: `/v-${version}/x`, version })
     // A later version that was not acknowledged may be in force all the same.
-    const later = [...this.#acked].filter(([number]) => number > version).map(([, at]) => at)
+    const laterAcknowledgedAt = [...this.#acknowledgedAt].filter(([number]) => number > version).map(([, at]) => at)
     const isNewest = version === this.#version
-    if (later.length > 0 || isNewest) this.#host.watch.noteVersionTry(call, ackedAt, later.length === 0 ? null : Math.min(...later))
+    if (laterAcknowledgedAt.length > 0 || isNewest) this.#options.checker.checkVersionCall(call, acknowledgedAt, laterAcknowledgedAt.length === 0 ? null : Math.min(...laterAcknowledgedAt))
   }
 
   async #send (gateway: number, agent: Agent, { id, kind, path, version }: Pick<WatchedCall, 'id' | 'kind' | 'path' | 'version'>): Promise<WatchedCall> {
-    const { name, host: to } = this.#host.stage.gateways[gateway]
+    const { name, host: gatewayHost } = this.#options.testbed.gateways[gateway]
     const body = `body of ${id}`
-    const life = this.#host.countLives(name)
+    const gatewayRestarts = this.#options.countRestarts(name)
     const sentAt = performance.now()
-    const end = await callHttp({ host: to, port: callerPort, method: 'POST', path, headers: composeCaller(id), agent, timeout: 4 * holdMs }, body)
-    return { id, gateway: name, life, kind, path, body, version, sentAt, endedAt: performance.now(), end }
+    const result = await callHttp({ host: gatewayHost, port: callerPort, method: 'POST', path, headers: composeCaller(id), agent, timeout: 4 * holdMs }, body)
+    return { id, gateway: name, gatewayRestarts, kind, path, body, version, sentAt, endedAt: performance.now(), result }
   }
 
-  #nextId (): string {
+  #createId (): string {
     this.#sent += 1
-    return `${this.#host.seed}-${this.#sent}`
+    return `${this.#options.seed}-${this.#sent}`
   }
 }
 
--- a/src/soak/soak-history.ts
+++ b/src/soak/soak-history.ts
@@ -12,14 +12,14 @@
 import { drawFaults, drawNotices } from './fault-draw.js'
 import type { SoakShape, TimedFault } from './fault-draw.js'
 import { FaultPlayer } from './fault-player.js'
-import { NoticeWatch } from './notice-watch.js'
-import { PrecedenceWatch } from './precedence-watch.js'
-import type { RankedSummary } from './precedence-watch.js'
-import { PromiseWatch, holdMs } from './promise-watch.js'
+import { NoticeChecker } from './notice-checker.js'
+import { PrecedenceChecker } from './precedence-checker.js'
+import type { RankedSummary } from './precedence-checker.js'
+import { GuaranteeChecker, holdMs } from './guarantee-checker.js'
 import { RankedCallers, drawBursts } from './ranked-callers.js'
 import { SoakCallers } from './soak-callers.js'
 import { SoakStage } from './soak-stage.js'
-import type { StagedBox } from './soak-stage.js'
+import type { TestbedBox } from './soak-stage.js'
 
 /** What a history came to. */
 export interface SoakReport {
@@ -37,120 +37,120 @@
 }
 
 /** Added to the seed of what endpoints say: their draws are apart from those of the other faults. */
-const noticeSeed = 1_000_003
+const noticeSeedOffset = 1_000_003
 /** The longest that the stage may take to serve, at first and after the faults, ms. */
-const startMs = 20_000
-const recoverMs = 15_000
+const startTimeoutMs = 20_000
+const recoveryTimeoutMs = 15_000
 /** How often it is looked whether what is waited for holds, ms. */
-const lookMs = 100
+const pollMs = 100
 /** What still runs has ended after this, ms. */
 const settleMs = holdMs + 500
 
 export class SoakHistory {
   #lengthMs: number
   #faults: readonly TimedFault[]
-  #stage: SoakStage
-  #watch: PromiseWatch
-  #notices: NoticeWatch
+  #testbed: SoakStage
+  #checker: GuaranteeChecker
+  #noticeChecker: NoticeChecker
   #player: FaultPlayer
   #callers: SoakCallers
-  #precedence: PrecedenceWatch
-  #ranked: RankedCallers | null
-  #crashers: CrashCallers | null
+  #precedenceChecker: PrecedenceChecker
+  #rankedCallers: RankedCallers | null
+  #crashCallers: CrashCallers | null
 
   constructor (seed: number, lengthMs: number, shape: SoakShape) {
     this.#lengthMs = lengthMs
     const disturbances = new Disturbances()
-    const notices = shape.notices ? drawNotices(createRandom(noticeSeed + seed), shape, lengthMs) : []
+    const notices = shape.notices ? drawNotices(createRandom(noticeSeedOffset + seed), shape, lengthMs) : []
     this.#faults = [...drawFaults(createRandom(seed), shape, lengthMs), ...notices]
-    this.#watch = new PromiseWatch(disturbances)
-    this.#stage = new SoakStage(shape, seed, (name, code) => this.#watch.violate('a process ended by itself', `${name} with ${code}`))
-    this.#notices = new NoticeWatch(disturbances, this.#watch)
-    this.#player = new FaultPlayer(this.#stage, disturbances, this.#watch)
+    this.#checker = new GuaranteeChecker(disturbances)
+    this.#testbed = new SoakStage(shape, seed, (name, code) => this.#checker.reportViolation('a process ended by itself', `${name} with ${code}`))
+    this.#noticeChecker = new NoticeChecker(disturbances, this.#checker)
+    this.#player = new FaultPlayer(this.#testbed, disturbances, this.#checker)
     this.#callers = new SoakCallers({
       seed,
-      stage: this.#stage,
-      watch: this.#watch,
+      testbed: this.#testbed,
+      checker: this.#checker,
       random: createRandom(seed),
-      countLives: gateway => this.#player.countLives(gateway)
+      countRestarts: gateway => this.#player.countRestarts(gateway)
     })
-    this.#precedence = new PrecedenceWatch(disturbances)
-    const host = { seed, stage: this.#stage, watch: this.#precedence, random: createRandom(seed) }
-    this.#crashers = shape.crashers === 0 ? null : new CrashCallers({ seed, stage: this.#stage, watch: this.#watch, disturbances, random: createRandom(seed) }, shape.crashers)
-    this.#ranked = shape.engines === 0 ? null : new RankedCallers(host, drawBursts(createRandom(seed), lengthMs))
+    this.#precedenceChecker = new PrecedenceChecker(disturbances)
+    const rankedOptions = { seed, testbed: this.#testbed, checker: this.#precedenceChecker, random: createRandom(seed) }
+    this.#crashCallers = shape.crashers === 0 ? null : new CrashCallers({ seed, testbed: this.#testbed, checker: this.#checker, disturbances, random: createRandom(seed) }, shape.crashers)
+    this.#rankedCallers = shape.engines === 0 ? null : new RankedCallers(rankedOptions, drawBursts(createRandom(seed), lengthMs))
   }
 
   /** Plays the history once; rejects where the stage can't be set up. */
   async run (): Promise<SoakReport> {
     try {
-      await this.#stage.start()
-      await this.#expect(startMs, 'the stage serves', async () => await this.#callers.put() && await this.#isServing())
+      await this.#testbed.start()
+      await this.#waitFor(startTimeoutMs, 'the stage serves', async () => await this.#callers.putDocument() && await this.#isServing())
       this.#callers.start()
-      this.#ranked?.start()
-      this.#crashers?.start()
+      this.#rankedCallers?.start()
+      this.#crashCallers?.start()
       await Promise.all([this.#player.playAll(this.#faults), sleep(this.#lengthMs)])
-      await this.#ranked?.finish()
-      await this.#crashers?.finish()
+      await this.#rankedCallers?.finish()
+      await this.#crashCallers?.finish()
       await this.#callers.finish()
       await this.#checkRecovery()
       await sleep(settleMs)
-      this.#watch.settle(this.#stage.endpoints.flatMap(({ standin }) => standin.runs))
-      this.#notices.settle(this.#stage.endpoints)
-      this.#crashers?.check()
-      for (const broken of this.#precedence.findBroken()) this.#watch.violate('less urgent requests went first', broken)
+      this.#checker.checkRuns(this.#testbed.endpoints.flatMap(({ standin }) => standin.runs))
+      this.#noticeChecker.checkArrivals(this.#testbed.endpoints)
+      this.#crashCallers?.check()
+      for (const broken of this.#precedenceChecker.findViolations()) this.#checker.reportViolation('less urgent requests went first', broken)
       this.#checkLogs()
       return this.#report()
     } finally {
-      await this.#stage.stop()
+      await this.#testbed.stop()
     }
   }
 
   /** Ends everything that the history started. */
-  stop (): Promise<void> { return this.#stage.stop() }
+  stop (): Promise<void> { return this.#testbed.stop() }
 
-  get #boxes (): StagedBox[] { return [...this.#stage.registries, ...this.#stage.gateways] }
+  get #boxes (): TestbedBox[] { return [...this.#testbed.registries, ...this.#testbed.gateways] }
 
   async #checkRecovery (): Promise<void> {
-    await this.#expect(recoverMs, 'all is served again after the faults', () => this.#isServing())
-    const newest = this.#callers.newestAcked
-    await this.#expect(recoverMs, 'the newest document can be read', async () => (await this.#read()) !== null)
-    const read = await this.#read()
-    if (read !== null && read < newest) this.#watch.violate('an acknowledged document is lost', `read ${read}, acknowledged ${newest}`)
+    await this.#waitFor(recoveryTimeoutMs, 'all is served again after the faults', () => this.#isServing())
+    const newest = this.#callers.newestAcknowledged
+    await this.#waitFor(recoveryTimeoutMs, 'the newest document can be read', async () => (await this.#readVersion()) !== null)
+    const version = await this.#readVersion()
+    if (version !== null && version < newest) this.#checker.reportViolation('an acknowledged document is lost', `read ${version}, acknowledged ${newest}`)
   }
 
   // The version of the document in force; null where it can't be read.
-  async #read (): Promise<number | null> {
-    const { status, body } = await this.#stage.ask(0, 'GET', '/v1/routing')
+  async #readVersion (): Promise<number | null> {
+    const { status, body } = await this.#testbed.ask(0, 'GET', '/v1/routing')
     return status === 200 ? (JSON.parse(body) as { version: number }).version : null
   }
 
   async #isServing (): Promise<boolean> {
-    for (let i = 0; i < this.#stage.gateways.length; i++) {
-      if (!await this.#stage.isReady(i) || !await this.#callers.tryOnce(i)) return false
+    for (let i = 0; i < this.#testbed.gateways.length; i++) {
+      if (!await this.#testbed.isReady(i) || !await this.#callers.callOnce(i)) return false
     }
     return true
   }
 
-  async #expect (withinMs: number, what: string, holds: () => Promise<boolean>): Promise<void> {
-    const until = performance.now() + withinMs
+  async #waitFor (timeoutMs: number, condition: string, holds: () => Promise<boolean>): Promise<void> {
+    const until = performance.now() + timeoutMs
     while (performance.now() < until) {
       if (await holds()) return
-      await sleep(lookMs)
+      await sleep(pollMs)
     }
-    this.#watch.violate('it did not come about', what)
+    this.#checker.reportViolation('it did not come about', condition)
   }
 
   #checkLogs (): void {
     for (const { name, process } of this.#boxes) {
-      for (const line of process.lines) if (line.includes('event=violation')) this.#watch.violate('a process saw a fault of its own', `${name}: ${line}`)
+      for (const line of process.lines) if (line.includes('event=violation')) this.#checker.reportViolation('a process saw a fault of its own', `${name}: ${line}`)
     }
   }
 
   #report (): SoakReport {
-    const { violations, calls } = this.#watch
+    const { violations, calls } = this.#checker
     const boxes = violations.length === 0 ? [] : this.#boxes
     const logs = new Map(boxes.map(({ name, process }) => [name, [...process.lines]]))
-    const served = calls.filter(call => call.end.status === 200 && call.end.isWhole).length
-    return { violations, calls: calls.length, served, faults: this.#faults.length, ranked: this.#precedence.summaries, crashes: this.#crashers?.summary ?? null, logs }
+    const served = calls.filter(call => call.result.status === 200 && call.result.isComplete).length
+    return { violations, calls: calls.length, served, faults: this.#faults.length, ranked: this.#precedenceChecker.summaries, crashes: this.#crashCallers?.summary ?? null, logs }
   }
 }
--- a/src/soak/soak-stage.ts
+++ b/src/soak/soak-stage.ts
@@ -13,11 +13,11 @@
 import { FaultProxy } from './fault-proxy.js'
 import type { SoakShape } from './fault-draw.js'
 import { callHttp } from './http-call.js'
-import type { HttpEnd } from './http-call.js'
+import type { HttpResult } from './http-call.js'
 import { ProgramProcess } from './program-process.js'
 
 /** A registry's or a gateway's process, and where it is reached. */
-export interface StagedBox {
+export interface TestbedBox {
   readonly name: string
   readonly host: string
   readonly process: ProgramProcess
@@ -26,9 +26,9 @@
 }
 
 /** A stand-in endpoint and the proxy before it. */
-export interface StagedEndpoint {
+export interface TestbedEndpoint {
   readonly standin: StandinEndpoint
-  readonly road: FaultProxy
+  readonly proxy: FaultProxy
   readonly port: number
   readonly service: string
   readonly zone: string
@@ -52,38 +52,38 @@
 const readyPort = 7004
 const zones = ['zone-a', 'zone-b', 'zone-c']
 const endpointHeaders = { requestId: 'x-wrenlane-request-id', expectedEndpoint: 'x-wrenlane-endpoint', notRun: 'x-wrenlane-not-run', mark: '', lastEvent: 'last-event-id', tokens: 'x-wrenlane-tokens', limit: 'x-wrenlane-limit', leaving: 'x-wrenlane-leaving' }
-const programs = fileURLToPath(new URL('../bin/', import.meta.url))
+const programFolder = fileURLToPath(new URL('../bin/', import.meta.url))
 /** Registries that boxes are told of at their start. */
-const mostSeeds = 3
+const maxSeeds = 3
 /** What an endpoint does with a request that ends it: some time after it was read it is gone, and back after as long as a process takes to start. */
 const crash: CrashShape = { afterMs: 60, downMs: 2500 }
 /** How often endpoints say where they are, ms. */
-const beatMs = 400
+const heartbeatMs = 400
 /** A call to a registry is given up after this, ms. */
-const operatorMs = 1000
+const operatorTimeoutMs = 1000
 /** Loopback networks that histories use, the second part of their addresses: no test or deployment of another kind uses these. */
 const firstNetwork = 150
-const networks = 80
+const networkCount = 80
 /** A torn record: some bytes of one that was being written when the power went. */
 const tornBytes = Buffer.from([0, 0, 1, 42, 7, 7, 7])
 
 export class SoakStage {
   readonly folder = mkdtempSync(join(tmpdir(), 'wrenlane-soak-'))
-  readonly registries: StagedBox[] = []
-  readonly gateways: StagedBox[] = []
-  readonly endpoints: StagedEndpoint[] = []
+  readonly registries: TestbedBox[] = []
+  readonly gateways: TestbedBox[] = []
+  readonly endpoints: TestbedEndpoint[] = []
   /** Endpoints of the language-model service. */
-  readonly engines: StagedEndpoint[] = []
+  readonly engines: TestbedEndpoint[] = []
   readonly links: FaultProxy[] = []
   #shape: SoakShape
   #network: number
-  #noteEnd: (name: string, code: number | null) => void
-  #beats: NodeJS.Timeout | null = null
+  #onUnexpectedExit: (name: string, code: number | null) => void
+  #heartbeatTimer: NodeJS.Timeout | null = null
 
-  constructor (shape: SoakShape, number: number, noteEnd: (name: string, code: number | null) => void) {
+  constructor (shape: SoakShape, number: number, onUnexpectedExit: (name: string, code: number | null) => void) {
     this.#shape = shape
-    this.#network = firstNetwork + number % networks
-    this.#noteEnd = noteEnd
+    this.#network = firstNetwork + number % networkCount
+    this.#onUnexpectedExit = onUnexpectedExit
   }
 
   /** Starts everything; resolves before the boxes serve. `stop` must be called also where this rejects. */
@@ -93,15 +93,15 @@
     for (let i = 0; i < this.#shape.endpoints; i++) this.endpoints.push(await this.#addEndpoint(`endpoint-${i}`, plainService, zones[this.#shape.crashers === 0 ? 0 : i % zones.length], null))
     for (let i = 0; i < this.#shape.engines; i++) this.engines.push(await this.#addEndpoint(`engine-${i}`, engineService, zones[i % zones.length], engineShape))
     for (const box of [...this.registries, ...this.gateways]) box.process.start()
-    this.#beats = setInterval(() => { for (const endpoint of [...this.endpoints, ...this.engines]) if (!endpoint.standin.isDown) void this.register(endpoint) }, beatMs)
+    this.#heartbeatTimer = setInterval(() => { for (const endpoint of [...this.endpoints, ...this.engines]) if (!endpoint.standin.isDown) void this.register(endpoint) }, heartbeatMs)
   }
 
   /** Ends everything that was started and removes its files. */
   async stop (): Promise<void> {
-    if (this.#beats !== null) clearInterval(this.#beats)
+    if (this.#heartbeatTimer !== null) clearInterval(this.#heartbeatTimer)
     for (const { process } of [...this.gateways, ...this.registries]) await process.kill()
-    for (const { standin, road } of [...this.endpoints, ...this.engines]) {
-      road.close()
+    for (const { standin, proxy } of [...this.endpoints, ...this.engines]) {
+      proxy.close()
       standin.close()
     }
     for (const link of this.links) link.close()
@@ -128,10 +128,10 @@
   }
 
   /** Has an endpoint say where it is; resolves with true once a registry took its word. */
-  async register (endpoint: StagedEndpoint): Promise<boolean> {
+  async register (endpoint: TestbedEndpoint): Promise<boolean> {
     endpoint.sequence += 1
     const { standin, port, service, zone, stage, sequence, born } = endpoint
-    const body = JSON.stringify({ service, host: this.#formHost(2, 0), port, zone, slots: engineShape.batch, born, sequence, stage })
+    const body = JSON.stringify({ service, host: this.#composeAddress(2, 0), port, zone, slots: engineShape.batch, born, sequence, stage })
     for (let i = 0; i < this.registries.length; i++) {
       const { status } = await this.ask((sequence + i) % this.registries.length, 'PUT', `/v1/endpoints/${standin.id}`, body)
       if (status === 200) return true
@@ -140,32 +140,32 @@
   }
 
   /** Calls a registry as an operator or an endpoint does. */
-  ask (registry: number, method: string, path: string, body = ''): Promise<HttpEnd> {
+  ask (registry: number, method: string, path: string, body = ''): Promise<HttpResult> {
     const { host } = this.registries[registry]
-    return callHttp({ host, port: operatorPort, method, path, headers: { 'content-type': 'application/json' }, timeout: operatorMs }, body)
+    return callHttp({ host, port: operatorPort, method, path, headers: { 'content-type': 'application/json' }, timeout: operatorTimeoutMs }, body)
   }
 
   /** True where a gateway says that it is ready. */
   async isReady (gateway: number): Promise<boolean> {
-    const { status } = await callHttp({ host: this.gateways[gateway].host, port: readyPort, path: '/readyz', timeout: operatorMs }, '')
+    const { status } = await callHttp({ host: this.gateways[gateway].host, port: readyPort, path: '/readyz', timeout: operatorTimeoutMs }, '')
     return status === 200
   }
 
   // The i-th address of a part: 0 registries, 1 gateways, 2 endpoints, 3 the proxies before registries' links.
-  #formHost (part: number, i: number): string { return `127.${this.#network}.${part}.${i + 1}` }
+  #composeAddress (part: number, i: number): string { return `127.${this.#network}.${part}.${i + 1}` }
 
   get #seeds (): string[] {
-    return Array.from({ length: Math.min(mostSeeds, this.#shape.registries) }, (_, i) => `${this.#formHost(0, i)}:${operatorPort}`)
+    return Array.from({ length: Math.min(maxSeeds, this.#shape.registries) }, (_, i) => `${this.#composeAddress(0, i)}:${operatorPort}`)
   }
 
   async #addRegistry (i: number): Promise<void> {
     const name = `registry-${i}`
-    const host = this.#formHost(0, i)
-    const link = new FaultProxy(this.#formHost(3, i), () => linkPort)
+    const host = this.#composeAddress(0, i)
+    const link = new FaultProxy(this.#composeAddress(3, i), () => linkPort)
     await link.listen(host, linkPort)
     this.links.push(link)
     const data = join(this.folder, name)
-    const process = new ProgramProcess(join(programs, 'registry.js'), `${data}.toml`, code => this.#noteEnd(name, code))
+    const process = new ProgramProcess(join(programFolder, 'registry.js'), `${data}.toml`, code => this.#onUnexpectedExit(name, code))
     this.registries.push({ name, host, process, data })
     this.#writeRegistry(i, true)
   }
@@ -175,16 +175,16 @@
     const { name, host, data } = this.registries[i]
     const faults = (this.#shape.registries - 1) >> 1
     mkdirSync(this.folder, { recursive: true })
-    writeFileSync(`${data}.toml`, stringify({ ...this.#composeShared(name, host, i), bind: this.#formHost(3, i), listen: `${host}:${operatorPort}`, data: data ?? '', first, faults }))
+    writeFileSync(`${data}.toml`, stringify({ ...this.#composeShared(name, host, i), bind: this.#composeAddress(3, i), listen: `${host}:${operatorPort}`, data: data ?? '', first, faults }))
   }
 
   #addGateway (i: number): void {
     const name = `gateway-${i}`
-    const host = this.#formHost(1, i)
+    const host = this.#composeAddress(1, i)
     const settings = join(this.folder, `${name}.toml`)
     const retries = { ratio: 0.2, extra: 50, windowSeconds: 10 }
     writeFileSync(settings, stringify({ ...this.#composeShared(name, host, i), listen: `${host}:${callerPort}`, ready: `${host}:${readyPort}`, drainSeconds: 6, retries }))
-    const process = new ProgramProcess(join(programs, 'gateway.js'), settings, code => this.#noteEnd(name, code))
+    const process = new ProgramProcess(join(programFolder, 'gateway.js'), settings, code => this.#onUnexpectedExit(name, code))
     this.gateways.push({ name, host, process, data: null })
   }
 
@@ -192,21 +192,21 @@
     return { id, zone: zones[i % zones.length], host, linkPort, loadPort, seeds: this.#seeds, openLinks: true }
   }
 
-  async #addEndpoint (name: string, service: string, zone: string, engine: PacedEngineShape | null): Promise<StagedEndpoint> {
-    const host = this.#formHost(2, 0)
+  async #addEndpoint (name: string, service: string, zone: string, engine: PacedEngineShape | null): Promise<TestbedEndpoint> {
+    const host = this.#composeAddress(2, 0)
     const standin = new StandinEndpoint(`${name}-of-${this.#network}`, endpointHeaders, engine)
     await standin.listen(host)
-    const road = new FaultProxy(host, () => standin.port)
-    const endpoint: StagedEndpoint = { standin, road, port: await road.listen(host), service, zone, stage: 'ready', sequence: 0, born: Date.now() }
+    const proxy = new FaultProxy(host, () => standin.port)
+    const endpoint: TestbedEndpoint = { standin, proxy, port: await proxy.listen(host), service, zone, stage: 'ready', sequence: 0, born: Date.now() }
     standin.crash = crash
-    standin.noteEnd = () => road.halt()
+    standin.noteEnd = () => proxy.halt()
     standin.noteRestart = () => { void this.#restart(endpoint, host) }
     return endpoint
   }
 
   // A process that has started again knows nothing of before, its sequence included.
-  async #restart (endpoint: StagedEndpoint, host: string): Promise<void> {
-    await endpoint.road.listen(host, endpoint.port)
+  async #restart (endpoint: TestbedEndpoint, host: string): Promise<void> {
+    await endpoint.proxy.listen(host, endpoint.port)
     endpoint.sequence = 0
     endpoint.born = Date.now()
     if (await this.register(endpoint)) endpoint.standin.noteKnown()
--- a/test/fault-draw.test.ts
+++ b/test/fault-draw.test.ts
@@ -5,14 +5,14 @@
 import type { SoakFault, TimedFault } from '../src/soak/index.js'
 
 const shape = { registries: 3, gateways: 3, endpoints: 4, engines: 0, crashers: 0, notices: false }
-const restMs = 6000
+const recoveryMs = 6000
 
-function isWipe ({ fault }: TimedFault): boolean { return fault.on === 'registry' && fault.what.type === 'wipe' }
+function isWipe ({ fault }: TimedFault): boolean { return fault.target === 'registry' && fault.action.type === 'wipe' }
 
 // How long a fault of the registries or their links lasts, ms; null for others.
-function measure (fault: SoakFault): number | null {
-  switch (fault.on) {
-    case 'registry': return fault.what.type === 'reload' ? null : fault.what.ms
+function measureFaultMs (fault: SoakFault): number | null {
+  switch (fault.target) {
+    case 'registry': return fault.action.type === 'reload' ? null : fault.action.ms
     case 'registries':
     case 'link': return fault.ms
     default: return null
@@ -29,13 +29,13 @@
     for (let i = 1; i < wipes.length; i++) {
       pairs += 1
       const [first, second] = [wipes[i - 1], wipes[i]]
-      const backAt = first.at + (measure(first.fault) ?? 0)
-      const ends = faults.filter(one => one.at >= first.at && one.at <= backAt + restMs).flatMap(one => {
-        const ms = measure(one.fault)
+      const backAt = first.at + (measureFaultMs(first.fault) ?? 0)
+      const ends = faults.filter(one => one.at >= first.at && one.at <= backAt + recoveryMs).flatMap(one => {
+        const ms = measureFaultMs(one.fault)
         return ms === null ? [] : [one.at + ms]
       })
       const quietFrom = Math.max(...ends)
-      assert.ok(second.at - quietFrom > restMs, `seed ${seed}: lost at ${first.at}, disturbed until ${quietFrom}, lost again at ${second.at}`)
+      assert.ok(second.at - quietFrom > recoveryMs, `seed ${seed}: lost at ${first.at}, disturbed until ${quietFrom}, lost again at ${second.at}`)
     }
   }
   assert.ok(pairs > 30, `${pairs} pairs`)
--- a/test/fault-proxy.test.ts
+++ b/test/fault-proxy.test.ts
@@ -26,7 +26,7 @@
   return { proxy, socket, out: () => got, close }
 }
 
-const modes: readonly ProxyMode[] = ['delay', 'narrow']
+const modes: readonly ProxyMode[] = ['delay', 'throttle']
 
 for (const mode of modes) {
   test(`bytes keep their order where a proxy ends to ${mode}`, async () => {
@@ -34,7 +34,7 @@
     try {
       const parts = Array.from({ length: 20 }, (_, i) => `${i},`.repeat(40))
       for (const [i, part] of parts.entries()) {
-        proxy.set(i % 4 === 3 ? 'pass' : mode)
+        proxy.setMode(i % 4 === 3 ? 'pass' : mode)
         socket.write(part)
         await new Promise(resolve => setTimeout(resolve, 5))
       }
@@ -49,7 +49,7 @@
 test('a narrow proxy carries no more than its share, whatever comes at once', async () => {
   const { proxy, socket, out, close } = await openThrough()
   try {
-    proxy.set('narrow')
+    proxy.setMode('throttle')
     const startedAt = performance.now()
     socket.write('x'.repeat(5000))
     await until(() => out().length === 5000, 'all of it')
