--- a/src/proof/history-peer.ts
+++ b/src/proof/history-peer.ts
@@ -1,11 +1,11 @@
-/** A replica of a history, with a fake of its disk and of its state machine: a list of values. */
+/** A replica in a simulated run, with a fake disk and a fake state machine: a list of values. */
 import type { RaftEffect, RaftNode, ReplicaId, StoredLog } from '../coordination/index.js'
 import { EntryList } from '../coordination/log/entry-list.js'
 
 export type PersistEffect = Extract<RaftEffect, { type: 'persist' }>
 export type SendEffect = Extract<RaftEffect, { type: 'send' }>
 
-/** A disk that keeps only what was synced. */
+/** An in-memory disk; holds only what was synced. */
 export class FakeDisk {
   #stored: StoredLog
 
@@ -31,17 +31,18 @@
   }
 }
 
-/** One replica with its disk, and what it has not synced yet. */
+/** One replica with its disk and its unsynced writes. */
 export interface Peer {
   readonly id: ReplicaId
   readonly disk: FakeDisk
   node: RaftNode | null
   unsynced: PersistEffect[]
+  /** Messages that may only be sent once the unsynced writes are on disk. */
   sendsAfterSync: SendEffect[]
-  /** What the state machine holds: the values applied, in order. */
+  /** State of the state machine: the applied values in order. */
   applied: string[]
   appliedIndex: number
   isPaused: boolean
-  /** This replica's clock, which drifts and stands still in a pause. */
+  /** The replica's own clock, ms; it drifts, and stops while the replica is paused. */
   clock: number
 }
--- a/src/proof/index.ts
+++ b/src/proof/index.ts
@@ -1,4 +1,4 @@
-/** Randomised histories with invariants, for tests and long runs. */
+/** Randomised simulations ("histories") that check invariants, for tests and long runs. */
 export { RaftHistory } from './raft-history.js'
 export type { HistoryReport } from './raft-history.js'
 export { SchedulerHistory } from './scheduler-history.js'
--- a/src/proof/lease-history.ts
+++ b/src/proof/lease-history.ts
@@ -1,25 +1,25 @@
 /**
- * Random histories of a lease in virtual time: boxes that are suspended (also
- * between asking whether they may call and the call itself), killed, cut off from
- * the log or from the other side, stopped as planned, and whose clocks drift,
- * stand still while they are suspended, and have their time of day set. The log
- * is one that takes commands in order, late, and loses answers. The other side
- * doesn't look at fences: whoever plays a history judges what arrived there.
+ * Randomised simulations of a lease in virtual time. Boxes are suspended (also
+ * between the check of the lease and the call itself), killed, partitioned from
+ * the log or from the called service, and stopped gracefully. Their clocks drift,
+ * may stop during a suspension, and have their wall time set. The log applies
+ * commands in order but late, and loses replies. The called service does not
+ * check fencing tokens; the caller of `playLeaseHistory` checks the arrivals.
  */
 import { LeaseBook, LeaseHolder, planLeaseTiming } from '../coordination/index.js'
 import type { ClockReading, LeaseCommand, LeaseResult, LeaseTiming } from '../coordination/index.js'
 import { createRandom } from '../runtime/index.js'
 
-/** What a history is made from. */
+/** Parameters of a simulated run. */
 export interface LeaseHistoryShape {
   readonly seed: number
   readonly boxes: number
   readonly steps: number
-  /** A mistake that the history must catch: the lease counted from its answer. */
+  /** Injects a known bug that the checks must detect: the lease's validity counts from the reply instead of the request. */
   readonly countsFromAnswer?: boolean
 }
 
-/** A call as it reaches the other side; those that it excuses are left out. */
+/** A call that arrived at the called service; calls that are exempt from the bound are left out. */
 export interface LeaseArrival {
   /** True time, ms. */
   readonly at: number
@@ -27,23 +27,23 @@
   readonly fence: number
 }
 
-/** The bound that the other side names, ms. */
+/** Bound required by the called service: a former holder may not act again within this time, ms. */
 export const boundMs = 3000
-/** Length of a step of virtual time, ms. */
+/** Step of the virtual clock, ms. */
 const stepMs = 20
 const { callMs } = planLeaseTiming(boundMs)
-/** Calls that arrive so soon after their sender was suspended, or its link came back, aren't held against it, ms. */
+/** Calls that arrive within this time after their sender resumed, or after its link came back, are exempt, ms. */
 const exemptMs = 300
 
 class HistoryBox {
   readonly name: string
   holder: LeaseHolder
-  /** How fast its steady clock runs. */
+  /** Rate of the box's steady clock relative to true time. */
   readonly clockRate: number
   steady = 0
-  /** The time of day less the true time, ms. */
+  /** Wall time minus true time, ms. */
   wallOffsetMs = 0
-  /** Until when it is suspended, cut off from the log, from the other side, or down; true ms. */
+  /** End of the current suspension, partition from the log, partition from the called service, and downtime; true time, ms. */
   suspendedUntil = 0
   logCutUntil = 0
   callCutUntil = 0
@@ -51,7 +51,6 @@
   exemptUntil = 0
   isSteadyClockStopped = false
   isLeaving = false
-  /** Calls that have not arrived. */
   callsInFlight = 0
   readonly timing: LeaseTiming
 
@@ -71,7 +70,7 @@
   readClocks (at: number): ClockReading { return { steady: this.steady, wall: at + this.wallOffsetMs } }
 }
 
-/** Plays one history; gives what arrived, in order. */
+/** Runs one simulation; returns the arrivals in order. */
 export function playLeaseHistory (shape: LeaseHistoryShape): LeaseArrival[] {
   return new LeaseHistory(shape).play()
 }
@@ -81,7 +80,7 @@
   #random: () => number
   #boxes: HistoryBox[]
   #leases = new LeaseBook()
-  /** What happens later, by true time. */
+  /** Callbacks to run at a later true time, ms. */
   #scheduled: { readonly at: number, readonly run: () => void }[] = []
   #arrivals: LeaseArrival[] = []
   #now = 0
@@ -118,7 +117,7 @@
       case 0: return this.#suspend(box, durationMs)
       case 1: return void (box.logCutUntil = this.#now + durationMs)
       case 2: return this.#cutCalls(box, durationMs)
-      // Set while a box runs: one that sleeps while its steady clock stands still has nothing else to go by.
+      // Only while a box runs: during a suspension that stops its steady clock, the wall clock is its only measure of elapsed time.
       case 3: return this.#setWall(box, (this.#random() - 0.5) * 8000)
       case 4: return this.#kill(box, durationMs)
       case 5: return this.#stop(box, durationMs)
@@ -146,7 +145,7 @@
     this.#schedule(durationMs, () => box.startHolder(this.#now))
   }
 
-  // A planned stop gives the lease back once no call is under way, and is back soon.
+  // A graceful stop releases the lease once no call is in flight, and restarts the box soon.
   #stop (box: HistoryBox, durationMs: number): void {
     if (this.#isUnavailable(box)) return
     box.isLeaving = true
@@ -172,11 +171,11 @@
   #handleResult (box: HistoryBox, holder: LeaseHolder, result: LeaseResult | null): void {
     if (box.holder !== holder) return
     holder.noteEnd(result)
-    // The known mistake: what is left is counted from the moment at which the answer is read.
+    // The injected bug: the remaining validity counts from when the reply is read.
     if (this.#shape.countsFromAnswer === true && result?.type === 'granted') Object.assign(box.holder, { findFence: createLateFenceCheck(box.readClocks(this.#now), box.timing, result.fence) })
   }
 
-  // The log takes a command some ms later; its answer comes later still, or never. A box that is suspended reads it when it wakes.
+  // The log applies a command after some ms; its reply comes later still, or never. A suspended box reads it when it resumes.
   #propose (box: HistoryBox, command: LeaseCommand, onResult: (result: LeaseResult | null) => void): void {
     const isLost = this.#now < box.logCutUntil || this.#random() < 0.05
     const latencyMs = this.#random() < 0.1 ? this.#random() * 2500 : 2 + this.#random() * 40
@@ -196,7 +195,7 @@
   #call (box: HistoryBox): void {
     const fence = box.holder.findFence(box.readClocks(this.#now), callMs)
     if (fence === null) return
-    // Suspended between asking and writing: it goes out when the box wakes, and is excused if the way is as short as it mostly is.
+    // A suspension between the check and the write: the call is sent when the box resumes, and is exempt because its latency is short.
     const isSuspended = this.#random() < 0.02
     if (isSuspended) this.#suspend(box, 200 + this.#random() * 5000)
     const latencyMs = !isSuspended && this.#random() < 0.05 ? this.#random() * callMs : 1 + this.#random() * 5
--- a/src/proof/raft-history.ts
+++ b/src/proof/raft-history.ts
@@ -1,8 +1,8 @@
 /**
- * Randomised histories of a replicated log: several pure replicas over fakes of
- * disk and wire. Messages are lost, delayed, reordered and doubled; links are
- * cut one way or both; replicas crash at any write, pause, and lose their disks.
- * What must hold is checked at every step.
+ * Randomised simulations of a replicated log: several replicas without I/O over
+ * a fake disk and a fake network. Messages are lost, delayed, reordered and
+ * duplicated; links are cut in one or both directions; replicas crash at any
+ * write, pause, and lose their disks. Invariants are checked at every step.
  */
 import { RaftNode } from '../coordination/index.js'
 import type { LogEntry, Members, RaftEffect, RaftEvent, RaftMessage, ReplicaId, Snapshot, StoredLog } from '../coordination/index.js'
@@ -17,7 +17,7 @@
   readonly message: RaftMessage
 }
 
-/** What a history found. */
+/** Result of a simulated run. */
 export interface HistoryReport {
   readonly violations: readonly string[]
   readonly acknowledged: number
@@ -31,6 +31,7 @@
 const timing = { heartbeatMs: 50, electionMs: 300 }
 const emptyDisk: StoredLog = { hard: { term: 0, vote: null }, snapshot: null, entries: [] }
 const maxPackets = 400
+/** Number of compactable entries from which a replica may compact its log. */
 const compactAfterEntries = 12
 
 export class RaftHistory {
@@ -54,7 +55,7 @@
     for (const id of ids) this.#addPeer(id, { hard: { term: 1, vote: null }, snapshot, entries: [] })
   }
 
-  /** Does `steps` random things, then heals everything and checks what became of it. */
+  /** Runs `steps` random steps, then ends all faults and checks the final state. */
   run (steps: number): HistoryReport {
     for (let i = 0; i < steps; i++) this.#runRandomStep()
     this.#heal()
@@ -105,7 +106,7 @@
     return peers[Math.floor(this.#random() * peers.length)]
   }
 
-  // The wire.
+  // Network.
 
   #deliver (): void {
     if (this.#network.length === 0) return
@@ -149,21 +150,21 @@
     this.#step(peer, { type: 'tick', at: 0 })
   }
 
-  // At most one replica is paused, and for a while only.
+  // At most one replica is paused at a time.
   #togglePause (peer: Peer): void {
     const paused = [...this.#peers.values()].find(one => one.isPaused)
     if (paused !== undefined) paused.isPaused = false
     else peer.isPaused = true
   }
 
-  // Power is lost everywhere at once.
+  // A power loss of all replicas at once.
   #crashAll (): void {
     for (const peer of this.#peers.values()) this.#crash(peer)
   }
 
   #crash (peer: Peer): void {
     this.#crashes += 1
-    // Of what was not synced, the disk may have taken any beginning.
+    // Any prefix of the unsynced writes may have reached the disk.
     const kept = Math.floor(this.#random() * (peer.unsynced.length + 1))
     peer.disk.write(peer.unsynced.slice(0, kept))
     peer.isPaused = false
@@ -197,7 +198,7 @@
     }
   }
 
-  // Each replica's disk has its own slowness in a history, so that much can stand unsynced.
+  // Each replica's disk has a fixed slowness per run, so that many writes can be unsynced at a time.
   #syncRandomly (peer: Peer): void {
     if (this.#random() < this.#drawDiskSlowness(peer)) return
     this.#sync(peer)
@@ -223,7 +224,7 @@
     this.#step(peer, { type: 'synced', at: 0, index: lastIndex, term: lastTerm })
   }
 
-  // The state machine: a list of values.
+  // State machine: a list of values.
 
   #apply (peer: Peer, entry: LogEntry): void {
     this.#checker.noteApplied(peer, entry)
@@ -237,7 +238,7 @@
   }
 
   #restore (peer: Peer, snapshot: Snapshot): void {
-    if (snapshot.index < peer.appliedIndex) this.#checker.reportViolation(`order: ${peer.id} goes back to ${snapshot.index}`)
+    if (snapshot.index < peer.appliedIndex) this.#checker.reportViolation(`order: ${peer.id} restored an older snapshot, of index ${snapshot.index}`)
     peer.applied = [...snapshot.state as string[]]
     peer.appliedIndex = snapshot.index
   }
@@ -253,7 +254,7 @@
     this.#step(peer, { type: 'read', at: 0, read: this.#counter })
   }
 
-  // Disks: one is lost, the replica of a new disk is let in, the old one put out.
+  // Disks: after the loss of one, the replica with a new disk is added to the members and the old one removed.
 
   #loseOrRepairDisk (): void {
     if (this.#lostVoter === null) this.#loseDisk()
@@ -279,7 +280,7 @@
     if (replacement === undefined) return
     const nextMembers = this.#nextMembers(members, old, replacement)
     if (nextMembers === null) {
-      // Only a committed change has restored the redundancy.
+      // Redundancy is restored only once the membership change is committed.
       if (!leader.node.isSettled) return
       this.#lostVoter = null
       this.#repaired += 1
@@ -302,7 +303,7 @@
     return [...this.#peers.values()].filter(peer => peer.node?.role === 'leader').sort((a, b) => (b.node?.term ?? 0) - (a.node?.term ?? 0))[0]
   }
 
-  // The end: all is well again, and everything that was acknowledged is there.
+  // Recovery: all faults end, and every acknowledged value must be present.
 
   #heal (): void {
     this.#cutLinks.clear()
@@ -326,7 +327,7 @@
 
   #checkFinalState (): void {
     const leader = this.#findLeader()
-    if (leader?.node == null) return this.#checker.reportViolation('progress: no leader after healing')
+    if (leader?.node == null) return this.#checker.reportViolation('progress: no leader after recovery')
     this.#checker.checkFinalState(leader, leader.node.members, this.#peers)
   }
 }
--- a/src/proof/scheduler-history.ts
+++ b/src/proof/scheduler-history.ts
@@ -1,12 +1,12 @@
 /**
- * Randomised histories of one scheduler, beside a naive and obviously right
- * model of what it may do. The model knows only what was granted and ended.
+ * Randomised simulations of one scheduler, checked against a naive, obviously
+ * correct model. The model tracks only which requests were granted and ended.
  */
 import { Scheduler, brandId, defaultTuning } from '../core/index.js'
 import type { BoxId, ClassName, EngineId, EngineSpec, ModelName, RequestClass, RequestId, SchedulerAction, SchedulerEvent, Submission, WorkspaceName } from '../core/index.js'
 import { createRandom } from '../runtime/index.js'
 
-/** What a history found. */
+/** Result of a simulated run. */
 export interface SchedulerReport {
   readonly violations: readonly string[]
   readonly submitted: number
@@ -58,7 +58,7 @@
     this.#scheduler = new Scheduler({ ...defaultTuning, queuePerEngine: 1000, classes, engines: this.#engines }, this.#random)
   }
 
-  /** Does `steps` random things; then ends the burst and checks that all that was accepted is served. */
+  /** Runs `steps` random steps; then stops submitting and checks that every accepted request is served. */
   run (steps: number): SchedulerReport {
     for (let i = 0; i < steps; i++) this.#runRandomStep()
     this.#drainAll()
@@ -85,7 +85,7 @@
 
   #submit (): void {
     this.#counter += 1
-    // A burst of quick requests: three of four are of classes that may not wait.
+    // Mostly interactive load: three of four requests are of classes that may not wait.
     const requestClass = classes[this.#random() < 0.75 ? Math.floor(this.#random() * 3) : 3 + Math.floor(this.#random() * 2)]
     const submission: Submission = {
       request: brandId<RequestId>(`r${this.#counter}`),
@@ -134,7 +134,7 @@
     this.#step({ type: 'report', at: this.#now, engine: id, report: { running: 0, waiting: 0, kvUsed: 0, stepMs: 30, leaving: false } })
   }
 
-  // Word of an attempt that is over must change nothing.
+  // The end of a stale attempt must be ignored.
   #sendStaleEnd (): void {
     const all = [...this.#active.values()]
     if (all.length === 0) return
@@ -163,29 +163,29 @@
   #checkGrant (request: RequestId, engine: EngineId): void {
     this.#granted += 1
     const held = this.#active.get(request)
-    if (held === undefined) return this.#reportViolation(`granted ${request}, which nobody waits for`)
+    if (held === undefined) return this.#reportViolation(`granted ${request}, which is not pending`)
     if (held.engine !== null) return this.#reportViolation(`granted ${request} twice`)
     if (this.#leaving.has(engine)) this.#reportViolation(`granted ${request} on ${engine}, which is leaving`)
     const running = this.#listRunning(engine)
     const urgentCount = running.filter(other => other.class.priority <= held.class.priority).length
     if (held.class.mayWait && running.length >= places + floorPlaces) this.#reportViolation(`granted ${request} on a full engine`)
-    if (!held.class.mayWait && urgentCount >= places) this.#reportViolation(`granted ${request} beyond the places of its class`)
+    if (!held.class.mayWait && urgentCount >= places) this.#reportViolation(`granted ${request} beyond the capacity for its class`)
     held.engine = engine
   }
 
-  // A request that may not wait is refused only if it could run nowhere.
+  // A request that may not wait is refused only if no engine could run it.
   #checkRefusal (request: RequestId): void {
     this.#refused += 1
     const held = this.#active.get(request)
-    if (held === undefined) return this.#reportViolation(`refused ${request}, which nobody waits for`)
+    if (held === undefined) return this.#reportViolation(`refused ${request}, which is not pending`)
     this.#active.delete(request)
-    if (held.class.mayWait) return this.#reportViolation(`refused ${request}, which may wait`)
+    if (held.class.mayWait) return this.#reportViolation(`refused ${request}, whose class may wait`)
     for (const { id } of this.#engines) {
       if (this.#leaving.has(id)) continue
       const running = this.#listRunning(id)
       const lessUrgent = running.filter(other => other.class.priority > held.class.priority)
       const urgentCount = running.length - lessUrgent.length
-      if (lessUrgent.length > 0 && urgentCount < places && running.length < 2 * (places + floorPlaces)) this.#reportViolation(`refused ${request} beside lower work on ${id}`)
+      if (lessUrgent.length > 0 && urgentCount < places && running.length < 2 * (places + floorPlaces)) this.#reportViolation(`refused ${request} while ${id} runs less urgent requests`)
     }
   }
 
@@ -193,7 +193,7 @@
     this.#yielded += 1
     const paused = this.#active.get(request)
     const higher = this.#active.get(to)
-    if (paused === undefined || higher === undefined) return this.#reportViolation(`${request} yields to ${to}, and one is unknown`)
+    if (paused === undefined || higher === undefined) return this.#reportViolation(`${request} yields to ${to}, but one of them is unknown`)
     if (paused.class.priority <= higher.class.priority) this.#reportViolation(`${request} (${paused.class.name}) yields to ${to} (${higher.class.name})`)
   }
 
@@ -201,7 +201,7 @@
     return [...this.#active.values()].filter(held => held.engine === engine)
   }
 
-  // The burst ends; whatever was accepted and may wait is served.
+  // Submission has stopped; every remaining request must be served.
   #drainAll (): void {
     for (const id of [...this.#leaving]) {
       this.#leaving.delete(id)
--- a/src/soak/caller-words.ts
+++ b/src/soak/caller-words.ts
@@ -1,13 +1,13 @@
-/** What all callers of a history say of themselves; its documents let them in by it. */
+/** The request headers that all simulated callers share; the routing documents of a soak run accept them. */
 
-/** The host that callers ask. */
+/** Host name that callers request. */
 export const callerHost = 'camp.example'
-/** The key of their workspace. */
+/** API key of the callers' workspace. */
 export const callerKey = 'soak-key'
-/** How long a caller waits where its kind doesn't say, ms. */
+/** Deadline of requests whose kind doesn't set one, ms. */
 const defaultDeadlineMs = 5000
 
-/** The headers of a caller's request. */
+/** Composes the headers of a caller's request. */
 export function composeCaller (requestId: string, deadlineMs = defaultDeadlineMs): Record<string, string> {
   return {
     host: callerHost,
--- a/src/soak/crash-callers.ts
+++ b/src/soak/crash-callers.ts
@@ -1,7 +1,8 @@
 /**
- * Callers of requests that end each endpoint which runs them, and beside them
- * one of a request that harms nobody and shares their path and caller. What
- * becomes of each is checked against what the product promises.
+ * Callers of harmful requests, which crash every endpoint that runs them, and one
+ * caller of a harmless request with the same path and workspace. The outcomes are
+ * checked against the documented guarantees: harmful requests are quarantined,
+ * and harmless ones are not.
  */
 import { performance } from 'node:perf_hooks'
 import { setTimeout as sleep } from 'node:timers/promises'
@@ -14,43 +15,44 @@
 import { callerPort } from './soak-stage.js'
 import type { SoakStage } from './soak-stage.js'
 
-/** What these callers need of their history. */
+/** Dependencies of the callers. */
 export interface CrashCallersOptions {
   readonly seed: number
   readonly testbed: SoakStage
   readonly checker: GuaranteeChecker
   readonly disturbances: Disturbances
-  /** Gives numbers from 0 up to 1. */
+  /** Returns a number in [0, 1). */
   readonly random: () => number
 }
 
-/** What became of these requests. */
+/** Outcome of the requests. */
 export interface CrashSummary {
-  /** Endpoints that ended under each of the harmful ones. */
+  /** Number of endpoint crashes caused by each harmful request. */
   readonly ended: readonly number[]
-  /** For each endpoint that started again, from its new life's first word until it had work, ms. */
+  /** For each restarted endpoint, the time from its first registration to its first request, ms; ascending. */
   readonly backMs: readonly number[]
-  /** Of the harmless one: asked and served. */
+  /** Number of harmless requests sent, and how many of them were served. */
   readonly asked: number
   readonly served: number
 }
 
-/** A harmful request that was sent, through a gateway that was in touch or not. */
+/** One send of a harmful request. */
 interface HarmfulRequest {
   readonly id: string
   readonly body: string
   readonly at: number
+  /** Whether its gateway was undisturbed and connected to a majority of undisturbed registries. */
   readonly wasUndisturbed: boolean
 }
 
 const paths = ['/again/harmful', '/once/harmful', '/resume/events-200']
-/** A harmful request comes again so long after its last answer, ms. */
+/** Bounds of the pause between the answer to a harmful request and its next send, ms. */
 const minPauseMs = 150
 const maxPauseMs = 650
 const harmlessPauseMs = 100
-/** What one box has learned all in touch act on within this, ms; a box counts as in touch once nothing disturbed it for as long. */
+/** Time within which all undisturbed gateways apply what one box has learned, ms; a gateway counts as undisturbed if no fault affected it for as long. */
 const propagationMs = 3000
-/** Sends of a harmful request that are borne after that. */
+/** Number of sends of a harmful request to endpoints that are tolerated after that. */
 const maxLateSends = 3
 
 export class CrashCallers {
@@ -77,21 +79,21 @@
     this.#running = [...this.#bodies.map((body, i) => this.#sendHarmfulRepeatedly(body, paths[i % paths.length])), this.#sendHarmlessRepeatedly()]
   }
 
-  /** Resolves once no more will come. */
+  /** Stops sending; resolves once all requests have ended. */
   async finish (): Promise<void> {
     this.#isStopping = true
     await Promise.all(this.#running)
   }
 
-  /** Checks how often each harmful request reached endpoints once boxes in touch had to know it, and that no other was refused for it. */
+  /** Checks how often each harmful request reached an endpoint after its third crash had propagated, and that no other request was quarantined. */
   check (): void {
     const refused = this.#options.checker.calls.filter(({ result }) => result.body.includes('quarantined'))
-    if (refused.length > 0) this.#options.checker.reportViolation('requests that harm nobody were refused for others', `${refused.length}, ${refused[0].id} first`)
+    if (refused.length > 0) this.#options.checker.reportViolation('harmless requests were quarantined', `${refused.length} requests, the first is ${refused[0].id}`)
     const ran = new Set(this.#options.testbed.endpoints.flatMap(({ standin }) => standin.runs.map(run => run.requestId)))
     for (const body of this.#bodies) {
       const thirdCrashAt = this.#listCrashTimes(body).sort((a, b) => a - b)[2] ?? Infinity
       const lateSends = this.#harmfulRequests.filter(({ id, body: sentBody, at, wasUndisturbed }) => sentBody === body && wasUndisturbed && at > thirdCrashAt + propagationMs && ran.has(id))
-      if (lateSends.length > maxLateSends) this.#options.checker.reportViolation('a request that ends its endpoints was sent on', `${body}: ${lateSends.length} more`)
+      if (lateSends.length > maxLateSends) this.#options.checker.reportViolation('a harmful request was still sent to endpoints after its quarantine', `${body}: ${lateSends.length} sends`)
     }
   }
 
@@ -116,7 +118,7 @@
     this.#harmfulRequests.push({ id, body, at, wasUndisturbed: this.#isUndisturbed(testbed.gateways[gateway].name, at - propagationMs, performance.now()) })
   }
 
-  // A gateway that nothing disturbed, and most registries with their links.
+  // Whether no fault affected the gateway and a majority of the registries with their links.
   #isUndisturbed (gateway: string, from: number, to: number): boolean {
     const { disturbances, testbed: { registries } } = this.#options
     if (disturbances.wasDisturbed([gateway], from, to)) return false
@@ -131,7 +133,7 @@
       const { status, body } = await this.#send(Math.floor(random() * testbed.gateways.length), this.#createId(), paths[0], 'harms nobody')
       this.#asked += 1
       if (status === 200) this.#served += 1
-      if (body.includes('quarantined')) checker.reportViolation('a request that harms nobody was refused for others', body)
+      if (body.includes('quarantined')) checker.reportViolation('a harmless request was quarantined', body)
     }
   }
 
--- a/src/soak/delay-line.ts
+++ b/src/soak/delay-line.ts
@@ -5,14 +5,14 @@
   readonly run: () => void
 }
 
-/** Lets things pass late, but never one before another that came earlier. */
+/** Runs callbacks after a delay, always in the order in which they were added. */
 export class DelayLine {
   #queue: QueuedCallback[] = []
   #dueAt = 0
   #timer: NodeJS.Timeout | null = null
   #isClosed = false
 
-  /** Calls `pass` after this time, ms, and after all that came before. */
+  /** Calls `run` after `delayMs` and after all callbacks added before; synchronously if the queue is empty and no delay remains. */
   add (delayMs: number, run: () => void): void {
     const now = performance.now()
     this.#dueAt = Math.max(this.#dueAt, now + delayMs)
@@ -21,7 +21,7 @@
     this.#schedule(now)
   }
 
-  /** What waits does not pass any more. */
+  /** Discards the queued callbacks. */
   close (): void {
     this.#isClosed = true
     this.#queue = []
--- a/src/soak/fault-draw.ts
+++ b/src/soak/fault-draw.ts
@@ -1,21 +1,21 @@
-/** The faults of one history, drawn from its seed before it begins: the same seed gives the same faults. */
+/** Draws the faults of a soak run from its seed before the run starts: the same seed gives the same faults. */
 
-/** How a proxy treats connections: passes them on, late, as fast as a narrow link would, resets them, or passes nothing on in one way or both. */
+/** How a proxy treats connections: forwards bytes, delays them, limits their rate, resets connections, or drops bytes in one direction (`one-way`) or both (`silent`). */
 export type ProxyMode = 'pass' | 'delay' | 'throttle' | 'reset' | 'one-way' | 'silent'
 
-/** What is done to one process from outside it; `ms`: how long it stands still, or stays away once it has ended. */
+/** A fault of one process, caused from outside; `ms`: duration of the pause, or of the downtime after the process has exited. */
 export type ProcessFault =
-  /** Stands still for a while, then goes on. */
+  /** SIGSTOP, then SIGCONT. */
   | { readonly type: 'pause', readonly ms: number }
-  /** Ends at once, and starts again. */
+  /** SIGKILL, then a restart. */
   | { readonly type: 'kill', readonly ms: number }
-  /** Ends as planned, and starts again. */
+  /** A graceful stop with SIGTERM, then a restart. */
   | { readonly type: 'stop', readonly ms: number }
-  /** Is told to read its settings again. */
+  /** Reload of the settings with SIGHUP. */
   | { readonly type: 'reload' }
-  /** Ends at once and starts again with an empty disk. */
+  /** SIGKILL, then a restart with an empty disk. */
   | { readonly type: 'wipe', readonly ms: number }
-  /** Ends at once, and its last record is found torn. */
+  /** SIGKILL, then a restart with a torn record at the end of its log. */
   | { readonly type: 'tear', readonly ms: number }
 
 const endpointFaults = ['full', 'error', 'lose', 'hang', 'break', 'surplus'] as const
@@ -23,15 +23,15 @@
 /** How an endpoint treats its requests. */
 export type EndpointFault = typeof endpointFaults[number]
 
-/** What an endpoint says of itself. */
+/** A notice that an endpoint gives about itself in the headers of its answers. */
 export type SoakNotice =
   | { readonly type: 'limit', readonly perSecond: number }
-  /** It turns a share of the requests away, and asks the box to back off. */
+  /** It refuses a share of the requests, 0 to 1, and asks the box to back off. */
   | { readonly type: 'backoff', readonly share: number, readonly seconds: number }
-  /** It says on its answers that it leaves, and nowhere else; then it starts again. */
+  /** It announces its leaving on answers only, not at the registries; then it restarts. */
   | { readonly type: 'leaving' }
 
-/** One fault. `box`, `registry` and `endpoint` count from 0. */
+/** One fault. `box`, `registry` and `endpoint` are indexes from 0; `link` is the proxy before a registry's links, `proxy` the one before an endpoint. */
 export type SoakFault =
   | { readonly target: 'gateway', readonly box: number, readonly action: ProcessFault }
   | { readonly target: 'registry', readonly box: number, readonly action: ProcessFault }
@@ -40,41 +40,43 @@
   | { readonly target: 'proxy', readonly endpoint: number, readonly mode: ProxyMode, readonly ms: number }
   | { readonly target: 'endpoint', readonly endpoint: number, readonly fault: EndpointFault, readonly ms: number }
   | { readonly target: 'drain', readonly endpoint: number, readonly ms: number }
-  /** What an endpoint says of itself on its answers. */
   | { readonly target: 'notice', readonly endpoint: number, readonly notice: SoakNotice, readonly ms: number }
 
-/** A fault and when it begins, ms from the start. */
 export interface TimedFault {
+  /** Begin, ms from the start of the run. */
   readonly at: number
   readonly fault: SoakFault
 }
 
-/** What a history is played on. */
+/** Size and load of the testbed. */
 export interface SoakShape {
   readonly registries: number
   readonly gateways: number
   readonly endpoints: number
-  /** Engines, before which requests of several ranks come in bursts; 0 for none. */
+  /** Number of engines, which get bursts of requests of several priorities; 0 for none. */
   readonly engines: number
-  /** Requests that end each endpoint which runs them, and come again and again; 0 for none. */
+  /** Number of harmful requests, which crash each endpoint that runs them and are sent repeatedly; 0 for none. */
   readonly crashers: number
-  /** Whether endpoints name limits, ask to back off, and say on their answers that they leave. */
+  /** Whether endpoints give notices on their answers: limits, requests to back off, and leaving. */
   readonly notices: boolean
 }
 
 const proxyModes: readonly ProxyMode[] = ['delay', 'throttle', 'reset', 'one-way', 'silent']
-/** The first faults come after this, ms: kept connections are then open. */
+/** Time before the first fault, ms, so that keep-alive connections are open by then. */
 const warmUpMs = 1000
-/** Pauses between the beginnings of faults, ms: they overlap more often than not. */
+/** Bounds of the time between the begins of two faults, ms; most faults overlap. */
 const minPauseMs = 150
 const maxPauseMs = 1500
-/** How long faults last, ms. */
+/** Bounds of the duration of a fault, ms. */
 const minFaultMs = 200
 const maxFaultMs = 2500
-/** A lost disk is followed by another loss only so long after its registry came back, or was disturbed again, ms: it has caught up by then. */
+/**
+ * Undisturbed time of the registries after a lost disk before another may be lost, ms, so that the registry can catch up. It counts
+ * from the registry's restart and again from the end of each further fault of registries or their links.
+ */
 const wipeRecoveryMs = 6000
 
-/** Draws the faults of a history of `lengthMs`. `random` gives numbers from 0 up to 1. */
+/** Draws the faults of a run of `lengthMs`. `random` returns a number in [0, 1). */
 export function drawFaults (random: () => number, shape: SoakShape, lengthMs: number): TimedFault[] {
   const faults: TimedFault[] = []
   let at = warmUpMs
@@ -89,19 +91,20 @@
   return faults
 }
 
-/** Limits that endpoints name, requests a second. */
+/** Rate limits that endpoints announce, requests/s. */
 const limits = [0.2, 1, 2.6, 8, 20]
+/** Durations of back-off, s, and the share of requests refused meanwhile. */
 const backoffs = [1.5, 3]
 const backoffShare = 0.4
-/** Notices last longer than other faults, ms: a limit is judged over some seconds. */
+/** Bounds of the duration of a notice, ms; longer than other faults, as a limit is checked over windows of some seconds. */
 const minNoticeMs = 4000
 const maxNoticeMs = 9000
 const minNoticePauseMs = 500
 const maxNoticePauseMs = 2500
 
 /**
- * Draws what endpoints say of themselves in a history of `lengthMs`, beside its other faults. An endpoint says one thing at a time,
- * and one at least says nothing.
+ * Draws the notices of endpoints in a run of `lengthMs`, in addition to its other faults. An endpoint gives one notice at a time,
+ * and the last endpoint gives none unless it is the only one.
  */
 export function drawNotices (random: () => number, shape: SoakShape, lengthMs: number): TimedFault[] {
   const notices: TimedFault[] = []
@@ -124,7 +127,7 @@
   return { type: 'leaving' }
 }
 
-// When a fault of the registries or their links is over; -Infinity for other faults.
+// End of a fault of the registries or their links; -Infinity for other faults.
 function findRegistryFaultEnd (fault: SoakFault, at: number): number {
   switch (fault.target) {
     case 'registry': return fault.action.type === 'reload' ? -Infinity : at + fault.action.ms
@@ -146,7 +149,7 @@
   return { target: 'drain', endpoint: pickIndex(random, shape.endpoints), ms }
 }
 
-// Planned stops come twice as often as each of the others.
+// Graceful stops are twice as frequent as each of the others.
 function listGatewayFaults (ms: number): ProcessFault[] {
   return [{ type: 'pause', ms }, { type: 'kill', ms }, { type: 'stop', ms }, { type: 'stop', ms }, { type: 'reload' }]
 }
--- a/src/soak/fault-player.ts
+++ b/src/soak/fault-player.ts
@@ -1,4 +1,4 @@
-/** Plays drawn faults on the stage, and notes when they disturb which part of it. */
+/** Applies drawn faults to the testbed, and records when they disturb which part of it. */
 import { performance } from 'node:perf_hooks'
 import { setTimeout as sleep } from 'node:timers/promises'
 import type { Disturbances } from './disturbances.js'
@@ -6,14 +6,15 @@
 import type { GuaranteeChecker } from './guarantee-checker.js'
 import type { SoakStage, TestbedBox, TestbedEndpoint } from './soak-stage.js'
 
-/** How often it is looked whether a process that was told to end is gone, ms. */
+/** Polling interval for the exit of a process after SIGTERM, ms. */
 const exitPollMs = 20
-/** A leaving endpoint is watched for this time and the fault's own, ms. */
+/** Minimum time for which the runs of a draining endpoint are checked, ms; the duration of the fault is added. */
 const minDrainMs = 2000
-/** How often its runs are looked at, ms; a run may be older by about twice as much when it is seen. */
+/** Polling interval for the runs of a draining endpoint, ms. */
 const runPollMs = 25
+/** Maximum age of a run when polling finds it, ms: about twice the interval. */
 const runDetectionLagMs = 50
-/** Events after which an endpoint breaks an answer off. */
+/** Number of events after which an endpoint breaks off a stream. */
 const breakAfterEvents = 2
 
 export class FaultPlayer {
@@ -29,10 +30,9 @@
     this.#checker = checker
   }
 
-  /** How often a box's process was started anew. */
   countRestarts (box: string): number { return this.#restartCounts.get(box) ?? 0 }
 
-  /** Plays each fault at its time from now; resolves once all are over. */
+  /** Applies each fault at its time, counted from now; resolves once all are over. */
   async playAll (faults: readonly TimedFault[]): Promise<void> {
     const startedAt = performance.now()
     await Promise.all(faults.map(async ({ at, fault }) => {
@@ -68,7 +68,7 @@
     }
   }
 
-  // Holds a fault for a while, as a disturbance of a part.
+  // Applies a fault for `ms` and records it as a disturbance of `part`.
   async #applyFor (part: string, ms: number, begin: () => void, end: () => void): Promise<void> {
     const endDisturbance = this.#disturbances.begin(part, performance.now())
     begin()
@@ -77,19 +77,19 @@
     endDisturbance(performance.now())
   }
 
-  // `registry`: the box's number among the registries; null for a gateway.
+  // `registry`: index of the box among the registries; null for a gateway.
   async #applyProcessFault (box: TestbedBox, action: ProcessFault, registry: number | null): Promise<void> {
     if (!box.process.isRunning) return
     if (action.type === 'reload') return box.process.sendSignal('SIGHUP')
-    // A second signal to end asks a program to end at once.
+    // A second SIGTERM would make the program exit at once instead of gracefully.
     if (action.type === 'stop' && this.#stopping.has(box)) return
-    // A planned stop is no disturbance of what its gateway promises.
+    // The guarantees of a gateway also hold during its graceful stop, so the stop is recorded under a name of its own.
     const isPlanned = action.type === 'stop' && registry === null
     const endDisturbance = this.#disturbances.begin(isPlanned ? `stop ${box.name}` : box.name, performance.now())
     await this.#perform(box, action, registry)
     if (action.type !== 'pause') this.#restart(box)
     endDisturbance(performance.now())
-    // What starts is no longer calm until it had time to learn what is in force.
+    // Records the restart as a disturbance: the process needs time to receive the document in force.
     this.#disturbances.begin(box.name, performance.now())(performance.now())
   }
 
@@ -112,7 +112,7 @@
     }
   }
 
-  // Resolves once the process is gone.
+  // Stops the process with SIGTERM; resolves once it has exited.
   async #stop (box: TestbedBox): Promise<void> {
     this.#stopping.add(box)
     box.process.sendSignal('SIGTERM')
@@ -126,7 +126,7 @@
     box.process.start()
   }
 
-  // Has an endpoint say something of itself on its answers. One that said it leaves starts again, as a new life.
+  // Makes an endpoint give a notice on its answers for `ms`. An endpoint that announced its leaving then registers as a restarted process.
   async #sendNotice (endpoint: TestbedEndpoint, notice: SoakNotice, ms: number): Promise<void> {
     const { standin } = endpoint
     switch (notice.type) {
@@ -150,7 +150,7 @@
     }
   }
 
-  // Has an endpoint say that it is leaving, and watches that it gets nothing new.
+  // Registers an endpoint as draining, and checks that it gets no new requests.
   async #drain (endpoint: TestbedEndpoint, ms: number): Promise<void> {
     if (endpoint.stage === 'draining') return
     endpoint.stage = 'draining'
--- a/src/soak/fault-proxy.ts
+++ b/src/soak/fault-proxy.ts
@@ -1,4 +1,4 @@
-/** A TCP proxy on loopback that misbehaves on command. */
+/** A TCP proxy on loopback that injects network faults. */
 import { connect, createServer } from 'node:net'
 import type { Server, Socket } from 'node:net'
 import { performance } from 'node:perf_hooks'
@@ -7,42 +7,42 @@
 import { DelayLine } from './delay-line.js'
 import type { ProxyMode } from './fault-draw.js'
 
-/** How late a delaying proxy passes bytes on, ms. */
+/** Delay of bytes in mode `delay`, ms. */
 const delayMs = 120
-/** What all connections of a narrow proxy share, bytes/ms: a document of some KB takes most of a second. */
+/** Rate shared by all connections in mode `throttle`, bytes/ms: a document of some KB takes most of a second. */
 const throttleBytesPerMs = 10
 
 export class FaultProxy {
   #server: Server
   #sockets = new Set<Socket>()
   #mode: ProxyMode = 'pass'
-  /** When a narrow proxy has carried all that came so far. */
+  /** When all bytes received so far will have been forwarded at the throttled rate. */
   #freeAt = 0
 
-  /** Connections are passed on to `host`, at the port that `port` gives then. */
+  /** Forwards connections to `host`; `port` is called for each connection. */
   constructor (host: string, port: () => number) {
     this.#server = createServer(client => this.#connect(client, connect(port(), host)))
   }
 
-  /** Begins to take connections, on any free port where `port` is 0; resolves with it. */
+  /** Starts listening, on any free port if `port` is 0; resolves with the port. */
   listen (host: string, port = 0): Promise<number> {
     return listen(this.#server, { host, port })
   }
 
-  /** Treats connections so from now on; those that stand are reset for `reset`, and after silence, as their bytes are lost. */
+  /** Sets how connections are treated from now on. Open connections are reset for `reset`, and after `silent` and `one-way`, as bytes of theirs are lost. */
   setMode (mode: ProxyMode): void {
     const hasLostBytes = this.#mode === 'silent' || this.#mode === 'one-way'
     this.#mode = mode
     if (mode === 'reset' || hasLostBytes) for (const socket of this.#sockets) resetSocket(socket)
   }
 
-  /** Resets all connections and takes no more until `listen`, as where a process has died. */
+  /** Resets all connections and accepts no more until `listen`, like a crashed process. */
   halt (): void {
     this.#server.close()
     for (const socket of this.#sockets) resetSocket(socket)
   }
 
-  /** Ends the proxy and its connections. */
+  /** Closes the proxy and its connections. */
   close (): void {
     this.#server.close()
     for (const socket of this.#sockets) socket.destroy()
@@ -78,7 +78,7 @@
     line.add(this.#computeDelay(chunk.length), () => { to.write(chunk) })
   }
 
-  // How late bytes go on, ms.
+  // Delay until bytes are forwarded, ms.
   #computeDelay (bytes: number): number {
     switch (this.#mode) {
       case 'delay': return delayMs
--- a/src/soak/guarantee-checker.ts
+++ b/src/soak/guarantee-checker.ts
@@ -1,19 +1,19 @@
 /**
- * Checks what callers and endpoints see against what the product promises. It
- * knows no state of the product: only calls, their ends, and runs.
+ * Checks what callers and endpoints observe against the guarantees of the product.
+ * It uses no internal state of the product: only calls, their results, and runs.
  */
 import type { EndpointRun } from '../standin/index.js'
 import { composeEvent, composeWhole } from '../standin/index.js'
 import type { Disturbances } from './disturbances.js'
 import type { HttpResult } from './http-call.js'
 
-/** A call of one caller through one gateway. */
+/** One call through one gateway, with its result. */
 export interface WatchedCall {
   readonly id: string
   readonly gateway: string
-  /** Counts the starts of the gateway's process. */
+  /** Number of restarts of the gateway's process when the call was sent. */
   readonly gatewayRestarts: number
-  /** `once` and `stream` run at most once, `again` may be repeated, `resume` continued. */
+  /** `once` and `stream` run at most once; `again` may be retried, `resume` may be continued at another endpoint. */
   readonly kind: 'once' | 'again' | 'stream' | 'resume'
   readonly path: string
   readonly body: string
@@ -23,34 +23,33 @@
   readonly result: HttpResult
 }
 
-/** Statuses that promise that the request did not run and never will. */
+/** Statuses that guarantee that the request did not run and never will. */
 const notRunStatuses = new Set([408, 421, 429, 503])
-/** The longest that a request is held by its route, ms. */
+/** Timeout of the routes, ms. */
 export const holdMs = 1500
-/** A final answer comes within this of the end of a request's time, ms. */
+/** Time after a request's timeout within which its final answer must arrive, ms. */
 const answerMarginMs = 700
-/** A document is in force so long after it was acknowledged, ms. */
+/** Time after its acknowledgement from which a document must be in force, ms. */
 const inForceMs = 4000
-/** What counts as calm for promises bound by time: nothing disturbed for so long before, ms. */
+/** Guarantees with a time bound are checked only if nothing was disturbed for this time before, ms. */
 const undisturbedMs = 4000
-/** An endpoint that said it is leaving gets nothing new so long after, ms. */
+/** Time after its registration as draining from which an endpoint must get no new requests, ms. */
 const drainMs = 2000
 
 export class GuaranteeChecker {
   readonly violations: string[] = []
   readonly calls: WatchedCall[] = []
   #disturbances: Disturbances
-  /** Of each life of a gateway, the newest version that it was seen to use, and when its answer was there. */
+  /** For each run of a gateway's process, the newest document version seen in use, and when the answer that showed it arrived. */
   #newestVersions = new Map<string, { readonly version: number, readonly at: number }>()
 
   constructor (disturbances: Disturbances) {
     this.#disturbances = disturbances
   }
 
-  /** Notes that a promise was broken. */
   reportViolation (rule: string, detail: string): void { this.violations.push(`${rule}: ${detail}`) }
 
-  /** Checks a call as far as its own end tells. */
+  /** Records a call and checks its result by itself. */
   check (call: WatchedCall): void {
     this.calls.push(call)
     this.#checkAnswer(call)
@@ -58,41 +57,41 @@
   }
 
   /**
-   * Checks a try of a path that only one version knows. `ackedAt`: when that
-   * version was acknowledged; `nextAckedAt`: when a later one was, null for none.
+   * Checks a call of a path that exists in one document version only. `acknowledgedAt`: when that
+   * version was acknowledged; `nextAcknowledgedAt`: when the first later one was, null for none.
    */
-  checkVersionCall (call: WatchedCall, ackedAt: number, nextAckedAt: number | null): void {
+  checkVersionCall (call: WatchedCall, acknowledgedAt: number, nextAcknowledgedAt: number | null): void {
     const gatewayRun = `${call.gateway} ${call.gatewayRestarts}`
     const seen = this.#newestVersions.get(gatewayRun)
     const { status } = call.result
     if (status === 200) {
-      // A call that was sent before the newer version's answer was there may have been let in before it was in force.
-      if (seen !== undefined && call.version < seen.version && call.sentAt > seen.at) this.reportViolation('a document reverted', `${gatewayRun} used ${call.version} after ${seen.version}`)
+      // A call sent before the newer version's answer arrived may have been accepted before that version was in force.
+      if (seen !== undefined && call.version < seen.version && call.sentAt > seen.at) this.reportViolation('a gateway reverted to an older document', `${gatewayRun} used version ${call.version} after ${seen.version}`)
       if (seen === undefined || call.version > seen.version) this.#newestVersions.set(gatewayRun, { version: call.version, at: call.endedAt })
     }
     if (!this.#isUndisturbed(call, call.sentAt)) return
-    const sinceMs = call.sentAt - ackedAt
-    const isNewest = nextAckedAt === null || call.endedAt < nextAckedAt
-    if (status === 404 && sinceMs > inForceMs && isNewest) this.reportViolation('a document is not in force', `${call.version} at ${gatewayRun}, ${Math.round(sinceMs)} ms after its acknowledgement`)
-    if (status === 200 && nextAckedAt !== null && call.sentAt - nextAckedAt > inForceMs) this.reportViolation('an older document is still in force', `${call.version} at ${gatewayRun}`)
+    const sinceMs = call.sentAt - acknowledgedAt
+    const isNewest = nextAcknowledgedAt === null || call.endedAt < nextAcknowledgedAt
+    if (status === 404 && sinceMs > inForceMs && isNewest) this.reportViolation('a document is not in force', `version ${call.version} at ${gatewayRun}, ${Math.round(sinceMs)} ms after its acknowledgement`)
+    if (status === 200 && nextAcknowledgedAt !== null && call.sentAt - nextAcknowledgedAt > inForceMs) this.reportViolation('an older document is still in force', `version ${call.version} at ${gatewayRun}`)
   }
 
-  /** Checks a run that an endpoint began `sinceMs` after a registry took its word that it is leaving. */
+  /** Checks a run that an endpoint started `sinceMs` after a registry had accepted its registration as draining; `at`: when the run was found. */
   checkRunWhileLeaving (run: EndpointRun, sinceMs: number, at: number): void {
     const isUndisturbed = !this.#disturbances.wasDisturbed(['registry', 'gateway', 'link', 'proxy'], at - undisturbedMs, at)
-    if (sinceMs > drainMs && isUndisturbed) this.reportViolation('a leaving endpoint got new work', `${run.requestId} after ${Math.round(sinceMs)} ms`)
+    if (sinceMs > drainMs && isUndisturbed) this.reportViolation('a draining endpoint got a new request', `${run.requestId}, ${Math.round(sinceMs)} ms after its registration`)
   }
 
-  /** Checks all calls against what ran, once nothing runs any more. */
+  /** Checks all calls against the endpoints' runs; must be called once no request is running. */
   checkRuns (runs: readonly EndpointRun[]): void {
     const counts = new Map<string, number>()
     for (const run of runs) counts.set(run.requestId, (counts.get(run.requestId) ?? 0) + 1)
     for (const call of this.calls) {
       const ran = counts.get(call.id) ?? 0
       const mayRepeat = call.kind === 'again' || call.kind === 'resume'
-      if (!mayRepeat && ran > 1) this.reportViolation('a call that may not be repeated ran again', `${call.id} ran ${ran} times`)
-      if (notRunStatuses.has(call.result.status) && ran > 0) this.reportViolation('what was told not to have run, ran', `${call.id} got ${call.result.status} and ran ${ran} times`)
-      if (ran > 0 && call.result.status === 0 && this.#isPlannedStopAlone(call)) this.reportViolation('a planned stop cut a request', `${call.id}: ${call.result.error}`)
+      if (!mayRepeat && ran > 1) this.reportViolation('a request that may run at most once ran again', `${call.id} ran ${ran} times`)
+      if (notRunStatuses.has(call.result.status) && ran > 0) this.reportViolation('a request ran although its status says that it did not', `${call.id} got ${call.result.status} and ran ${ran} times`)
+      if (ran > 0 && call.result.status === 0 && this.#isPlannedStopAlone(call)) this.reportViolation('a graceful stop cut a request off', `${call.id}: ${call.result.error}`)
     }
   }
 
@@ -100,20 +99,20 @@
     const { status, isComplete: isWhole, body } = call.result
     if (status !== 200) return
     const expected = composeExpected(call)
-    if (isWhole ? body !== expected : !expected.startsWith(body)) this.reportViolation('an answer is not its request\'s own', `${call.id} got ${JSON.stringify(body.slice(0, 200))}`)
+    if (isWhole ? body !== expected : !expected.startsWith(body)) this.reportViolation('an answer does not belong to its request', `${call.id} got ${JSON.stringify(body.slice(0, 200))}`)
   }
 
   #checkDuration (call: WatchedCall): void {
     const tookMs = call.endedAt - call.sentAt
-    if (tookMs > holdMs + answerMarginMs && this.#isUndisturbed(call, call.endedAt)) this.reportViolation('no final answer in time', `${call.id} took ${Math.round(tookMs)} ms`)
+    if (tookMs > holdMs + answerMarginMs && this.#isUndisturbed(call, call.endedAt)) this.reportViolation('no final answer within the timeout', `${call.id} took ${Math.round(tookMs)} ms`)
   }
 
-  // Nothing that the call depends on was disturbed from a while before it.
+  // Whether nothing that the call depends on was disturbed from `undisturbedMs` before it until `until`.
   #isUndisturbed (call: WatchedCall, until: number): boolean {
     return !this.#disturbances.wasDisturbed([call.gateway, 'registry', 'link'], call.sentAt - undisturbedMs, until)
   }
 
-  // Nothing but the stop of its gateway can have ended the call.
+  // Whether only the graceful stop of its gateway can have ended the call.
   #isPlannedStopAlone (call: WatchedCall): boolean {
     const from = call.sentAt - undisturbedMs
     const isStopped = this.#disturbances.wasDisturbed([`stop ${call.gateway}`], from, call.endedAt)
@@ -121,7 +120,7 @@
   }
 }
 
-// What a whole answer to the call says.
+// Composes the body of a complete answer to the call.
 function composeExpected ({ id, kind, path, body }: WatchedCall): string {
   if (kind === 'once' || kind === 'again') return composeWhole({ requestId: id, method: 'POST', path, body })
   const count = Number(/events-(\d+)/.exec(path)?.[1] ?? 0)
--- a/src/soak/http-call.ts
+++ b/src/soak/http-call.ts
@@ -2,20 +2,21 @@
 import type { RequestOptions } from 'node:http'
 import { performance } from 'node:perf_hooks'
 
-/** The end of a call over HTTP; status 0 where no answer began. */
+/** Result of an HTTP call. */
 export interface HttpResult {
+  /** 0 if no answer was received. */
   readonly status: number
   readonly body: string
   readonly isComplete: boolean
-  /** Why no answer began. */
+  /** Why no answer was received; empty otherwise. */
   readonly error: string
-  /** When its body began; null where none came. */
+  /** When the first bytes of the body arrived, on the clock of `performance.now()`; null if none did. */
   readonly firstByteAt: number | null
-  /** When the caller was told to come back, ms; null where it wasn't. */
+  /** Delay named by the Retry-After header, ms; null without one. */
   readonly retryAfterMs: number | null
 }
 
-/** One HTTP exchange; resolves also where the answer breaks off or none comes. */
+/** Makes one HTTP call; never rejects, even if the answer breaks off or none arrives. */
 export function callHttp (options: RequestOptions, body: string): Promise<HttpResult> {
   return new Promise(resolve => {
     const request = httpRequest({ agent: false, ...options }, response => {
@@ -28,7 +29,7 @@
       response.on('error', () => {})
       response.on('close', () => resolve({ status: response.statusCode ?? 0, body: text, isComplete: response.complete, error: '', firstByteAt, retryAfterMs: readRetryAfter(response.headers['retry-after']) }))
     })
-    request.on('timeout', () => request.destroy(new Error('no answer in time')))
+    request.on('timeout', () => request.destroy(new Error('no answer within the timeout')))
     request.on('error', (error: NodeJS.ErrnoException) => resolve({ status: 0, body: '', isComplete: false, error: error.code ?? error.message, firstByteAt: null, retryAfterMs: null }))
     request.end(body === '' ? undefined : body)
   })
--- a/src/soak/index.ts
+++ b/src/soak/index.ts
@@ -1,4 +1,4 @@
-/** Randomised histories of the real programs as processes, with faults from outside them. */
+/** Soak runs: randomised load and faults against the real programs as processes, with checks of the guarantees. */
 export { SoakHistory } from './soak-history.js'
 export type { SoakReport } from './soak-history.js'
 export { drawFaults } from './fault-draw.js'
--- a/src/soak/limit-bounds.ts
+++ b/src/soak/limit-bounds.ts
@@ -1,23 +1,25 @@
-/** The users' bounds on what an endpoint gets after it has said something of itself on its answers. */
+/** Required bounds on the requests that an endpoint gets after it has given a notice on its answers. */
 
-/** A box counts as told so long after such an answer, ms. */
+/** Time after such an answer from which a box must follow the notice, ms. */
 export const toldMs = 500
-/** A limit is judged from so long after it was first named, over windows of this length, ms. */
+/** A limit is checked from this time after its first notice, ms. */
 export const settleMs = 3000
+/** Length of the windows over which a limit is checked, ms. */
 export const windowMs = 4000
+/** A window may contain `maxFactor` times the requests of the limit, plus `extraRequests`. */
 const maxFactor = 1.5
 const extraRequests = 5
-/** Requests from a box while it is to back off. */
+/** Maximum number of requests from a box during its back-off. */
 export const mostInBackoff = 2
-/** An endpoint that said on an answer that it leaves gets nothing so long after, ms. */
+/** Time after the first answer that announces an endpoint's leaving from which the endpoint must get no requests, ms. */
 export const drainMs = 2000
 
-/** Requests that a limit, in requests a second, allows in any window. */
+/** Number of requests that a limit, in requests/s, allows in any window of `windowMs`. */
 export function countAllowed (limit: number): number {
   return Math.floor(maxFactor * limit * windowMs / 1000 + extraRequests)
 }
 
-/** The most arrivals in any window of `ms` that ends at an arrival between two times. */
+/** Maximum number of arrivals in any window of `ms` that ends at an arrival between `from` and `until`. */
 export function countMost (arrivals: readonly number[], ms: number, from: number, until = Infinity): number {
   const windowEnds = arrivals.filter(at => at >= from && at <= until)
   return Math.max(0, ...windowEnds.map(end => arrivals.filter(at => at > end - ms && at <= end).length))
--- a/src/soak/notice-checker.ts
+++ b/src/soak/notice-checker.ts
@@ -1,7 +1,7 @@
 /**
- * Checks what endpoints saw against what they had said on their answers: limits
- * of all boxes together, back-off of one box, and leaving. Each arrival is joined
- * with the gateway that sent it by the request's id.
+ * Checks the requests that arrived at endpoints against the notices that these had
+ * given on their answers: limits, which apply to all boxes together, back-off of
+ * one box, and leaving. The request's id tells which gateway sent an arrival.
  */
 import type { EndpointArrival } from '../standin/index.js'
 import type { Disturbances } from './disturbances.js'
@@ -9,9 +9,9 @@
 import type { GuaranteeChecker } from './guarantee-checker.js'
 import type { TestbedEndpoint } from './soak-stage.js'
 
-/** A box that was disturbed within this before is excused, ms: it may have learned nothing since. */
+/** Arrivals from a box that was disturbed within this time before are exempt, ms: it may not have received the notice yet. */
 const exemptMs = 4000
-/** A pause between answers that name a limit after which it counts as named anew, ms. */
+/** After a gap of this length between answers that name a limit, it counts as a new notice, ms. */
 const limitGapMs = 6000
 
 /** An arrival and the gateway that sent it. */
@@ -28,7 +28,7 @@
     this.#checker = checker
   }
 
-  /** Checks all that reached the endpoints, once nothing comes any more. */
+  /** Checks all arrivals at the endpoints; must be called once no more requests are sent. */
   checkArrivals (endpoints: readonly TestbedEndpoint[]): void {
     const gateways = new Map(this.#checker.calls.map(({ id, gateway }) => [id, gateway]))
     for (const [i, { standin }] of endpoints.entries()) {
@@ -36,7 +36,7 @@
         const gateway = gateways.get(arrival.requestId)
         return gateway === undefined ? [] : [{ ...arrival, gateway }]
       })
-      // What a disturbed road held back arrives at once, whoever sent it when; an endpoint with a fault may have told nobody.
+      // A proxy with a fault may delay requests, which then arrive at once; an endpoint with a fault may not have given its notices.
       const isUndisturbed = (from: number, to: number): boolean => !this.#disturbances.wasDisturbed([`proxy ${i}`, `endpoint ${i}`], from, to)
       this.#checkLimit(standin.id, sent, isUndisturbed)
       this.#checkBackoff(standin.id, sent, isUndisturbed)
@@ -57,8 +57,8 @@
       const most = Math.max(...inWindow.map(one => one.limit ?? 0), limit)
       const allowed = countAllowed(most)
       if (inWindow.length <= allowed) continue
-      this.#checker.reportViolation('an endpoint got more than the limit that it had named', `${id}: ${inWindow.length} in ${windowMs} ms, limit ${most}, allowed ${allowed}`)
-      // The windows that follow hold the same arrivals.
+      this.#checker.reportViolation('an endpoint got more requests than its limit allows', `${id}: ${inWindow.length} in ${windowMs} ms, limit ${most}, allowed ${allowed}`)
+      // Later windows overlap with this one.
       return
     }
   }
@@ -76,7 +76,7 @@
     for (const arrival of sent) {
       leavingAt = arrival.isLeaving ? leavingAt ?? arrival.at : null
       if (leavingAt === null || arrival.at < leavingAt + drainMs) continue
-      if (!this.#isExempt(arrival) && isUndisturbed(leavingAt, arrival.at)) this.#checker.reportViolation('an endpoint that said on an answer that it leaves got new work', `${id}: ${arrival.requestId} after ${Math.round(arrival.at - leavingAt)} ms`)
+      if (!this.#isExempt(arrival) && isUndisturbed(leavingAt, arrival.at)) this.#checker.reportViolation('an endpoint got new requests after it had announced its leaving on an answer', `${id}: ${arrival.requestId}, ${Math.round(arrival.at - leavingAt)} ms later`)
     }
   }
 
--- a/src/soak/precedence-checker.ts
+++ b/src/soak/precedence-checker.ts
@@ -1,11 +1,11 @@
 /**
- * Checks that more urgent requests are not refused, or left waiting in vain,
- * while less urgent ones are served by the same engines.
+ * Checks that more urgent requests are not refused, or left without an answer,
+ * while the same engines serve less urgent ones.
  */
 import type { Disturbances } from './disturbances.js'
 import type { RankedKind } from './ranked-kind.js'
 
-/** One try of a caller. */
+/** One attempt of a caller. */
 export interface RankedCall {
   readonly id: string
   readonly kind: RankedKind
@@ -13,33 +13,35 @@
   readonly gateway: string
   readonly sentAt: number
   readonly endedAt: number
-  /** When its answer began; null where nothing came. */
+  /** When the first bytes of an answer with status 200 arrived; null if none did. */
   readonly firstByteAt: number | null
   readonly status: number
 }
 
-/** What one kind came to. */
+/** Result of the requests of one kind. */
 export interface RankedSummary {
   readonly kind: string
   readonly asked: number
+  /** Number of requests whose answer began. */
   readonly served: number
+  /** Number of requests whose answer began within the kind's target. */
   readonly inTime: number
 }
 
-/** The time over which requests are compared, ms. */
+/** Length of the windows in which requests are compared, ms. */
 const windowMs = 5000
-/** So many requests of a kind that got nothing, and more than this part of them, are no chance. */
+/** A kind counts as denied in a window if at least `minDenied` of its requests, and more than `minDeniedShare` of them, got no answer; fewer may be chance. */
 const minDenied = 10
 const minDeniedShare = 1 / 12
-/** They count where less urgent requests of more than so many times their size began in the same time. */
+/** A violation requires that less urgent requests with more than this many times the denied tokens started in the same time. */
 const minTokenRatio = 2
 /**
- * Less urgent requests count from so long before the first that was denied, ms, to the end of the last. Those that began well
- * before took nothing from it, nor did those that began once the others' callers had left: in a history whose tags alone
- * came to 110 tokens/ms, of some 75 that the engines set apart read, quotes began two seconds after the last tag was denied.
+ * Less urgent requests count from this time before the first denied request was sent, ms, until the last one ended. Those that
+ * started long before took no capacity from it, nor did those that started once the denied callers had left: in a run whose tags
+ * alone came to 110 tokens/ms, while the engines assigned to them read some 75, quotes started two seconds after the last denied tag.
  */
 const leadMs = 1000
-/** A gateway that was disturbed so shortly before a call answers for itself, ms. */
+/** Calls through a gateway that was disturbed within this time before are not checked, ms. */
 const undisturbedMs = 4000
 
 export class PrecedenceChecker {
@@ -52,7 +54,7 @@
 
   record (call: RankedCall): void { this.#calls.push(call) }
 
-  /** What each kind came to, over all calls. */
+  /** Results of all calls by kind. */
   get summaries (): RankedSummary[] {
     return [...new Set(this.#calls.map(call => call.kind))].map(kind => {
       const calls = this.#calls.filter(call => call.kind === kind)
@@ -61,7 +63,7 @@
     }).sort((a, b) => a.kind.localeCompare(b.kind))
   }
 
-  /** Every time in which a kind was put behind less urgent ones. */
+  /** Describes each window in which a kind was denied while less urgent ones started. */
   findViolations (): string[] {
     const undisturbed = this.#calls.filter(call => this.#isUndisturbed(call)).sort((a, b) => a.sentAt - b.sentAt)
     const violations: string[] = []
@@ -84,9 +86,9 @@
     if (denied.length < minDenied || denied.length <= asked.length * minDeniedShare) return null
     const [first, last] = [denied[0].sentAt - leadMs, Math.max(...denied.map(call => call.endedAt))]
     const started = this.#calls.filter(({ kind: { priority }, firstByteAt }) => priority > kind.priority && firstByteAt !== null && firstByteAt >= first && firstByteAt < last)
-    const [deniedTokens, begunTokens] = [denied, started].map(sumTokens)
-    if (begunTokens <= minTokenRatio * deniedTokens) return null
-    return `${denied.length} of ${asked.length} ${kind.name} requests (${deniedTokens} tokens) got nothing in the ${windowMs} ms from ${Math.round(from)}, while less urgent ones of ${begunTokens} tokens began: ${denied[0].id}`
+    const [deniedTokens, startedTokens] = [denied, started].map(sumTokens)
+    if (startedTokens <= minTokenRatio * deniedTokens) return null
+    return `${denied.length} of ${asked.length} ${kind.name} requests (${deniedTokens} tokens) got no answer in the ${windowMs} ms from ${Math.round(from)}, while less urgent requests of ${startedTokens} tokens started; first denied: ${denied[0].id}`
   }
 
   #isUndisturbed (call: RankedCall): boolean {
--- a/src/soak/program-process.ts
+++ b/src/soak/program-process.ts
@@ -1,12 +1,12 @@
-/** One program of the product as a process of its own. Only processes started here are ever signalled, by their ids. */
+/** Runs one program of the product as a child process. Signals are only sent to processes started here, by their ids. */
 import { spawn } from 'node:child_process'
 import type { ChildProcess } from 'node:child_process'
 
-/** Lines of its log that are kept. */
+/** Maximum number of log lines kept. */
 const maxLines = 4000
 
 export class ProgramProcess {
-  /** The newest lines of its log. */
+  /** Newest lines of stdout and stderr. */
   readonly lines: string[] = []
   #program: string
   #settings: string
@@ -14,7 +14,7 @@
   #isExitExpected = false
   #onUnexpectedExit: (code: number | null) => void
 
-  /** `noteEnd` is told of each end that nobody asked for. */
+  /** `onUnexpectedExit` is called for each exit that was not requested through this class. */
   constructor (program: string, settings: string, onUnexpectedExit: (code: number | null) => void) {
     this.#program = program
     this.#settings = settings
@@ -23,7 +23,7 @@
 
   get isRunning (): boolean { return this.#child !== null }
 
-  /** Starts the process; does nothing where it runs. */
+  /** Starts the process; does nothing if it is running. */
   start (): void {
     if (this.#child !== null) return
     this.#isExitExpected = false
@@ -36,13 +36,13 @@
     })
   }
 
-  /** Sends a signal; one that ends the process is taken as wanted. */
+  /** Sends a signal; after SIGTERM or SIGKILL the exit counts as expected. */
   sendSignal (name: NodeJS.Signals): void {
     if (name === 'SIGTERM' || name === 'SIGKILL') this.#isExitExpected = true
     this.#child?.kill(name)
   }
 
-  /** Ends the process at once; resolves when it is gone. */
+  /** Sends SIGKILL; resolves once the process has exited. */
   async kill (): Promise<void> {
     const child = this.#child
     if (child === null) return
--- a/src/soak/ranked-callers.ts
+++ b/src/soak/ranked-callers.ts
@@ -1,7 +1,7 @@
 /**
- * Callers of a language-model service: kinds of request of unlike rank, target
- * and size, that arrive by themselves whether or not those before them were
- * served, and in bursts. Who is told to come back does so once, as told.
+ * Callers of a language-model service: open-loop load with bursts, of kinds of
+ * request with different priorities, targets and sizes. A caller that gets a
+ * Retry-After header retries once after that delay.
  */
 import { Agent } from 'node:http'
 import { performance } from 'node:perf_hooks'
@@ -15,39 +15,40 @@
 import { callerPort } from './soak-stage.js'
 import type { SoakStage } from './soak-stage.js'
 
-/** A time in which more comes than usual. */
+/** A period of higher load. */
 export interface Burst {
+  /** Begin, ms from the start of the run. */
   readonly at: number
   readonly ms: number
-  /** So many times the usual. */
+  /** Factor on the usual request rate. */
   readonly factor: number
-  /** One kind's name; null for all kinds. */
+  /** Name of the kind; null for all kinds. */
   readonly kind: string | null
 }
 
-/** What the callers need of their history. */
+/** Dependencies of the callers. */
 export interface RankedCallersOptions {
   readonly seed: number
   readonly testbed: SoakStage
   readonly checker: PrecedenceChecker
-  /** Gives numbers from 0 up to 1. */
+  /** Returns a number in [0, 1). */
   readonly random: () => number
 }
 
-/** Requests come in clumps of up to so many. */
+/** Maximum number of requests sent at once. */
 const maxInClump = 5
-/** Pauses between bursts, and their lengths, ms, and how strong they are: in the strongest, what goes first still finds room at the engines. */
+/** Bounds of the pauses between bursts and of their durations, ms, and of their factors: even in the strongest, the engines have capacity for the most urgent kind. */
 const minPauseMs = 1500
 const maxPauseMs = 4000
 const minBurstMs = 1500
 const maxBurstMs = 5000
 const minFactor = 1.5
 const maxFactor = 2.5
-/** Part of the bursts that are of one kind alone. */
+/** Fraction of the bursts that consist of a single kind. */
 const singleKindShare = 0.3
-/** A caller leaves where nothing came for this, for four targets or for eight pauses, whichever is longest, ms. */
+/** Minimum inactivity timeout of a caller, ms; longer if four targets or eight token pauses of its kind are longer. */
 const minTimeoutMs = 2000
-/** A caller comes back where the time named is at most this part of what is left to it. */
+/** A caller retries only if the delay is at most this fraction of its remaining time. */
 const maxRetryShare = 1 / 3
 
 export class RankedCallers {
@@ -69,7 +70,7 @@
     this.#running = rankedKinds.map(kind => this.#sendRepeatedly(kind))
   }
 
-  /** Resolves once no more come and those under way have ended. */
+  /** Stops sending; resolves once all requests have ended. */
   async finish (): Promise<void> {
     this.#isStopping = true
     await Promise.all(this.#running)
@@ -125,7 +126,7 @@
   }
 }
 
-/** Draws the bursts of a history of `lengthMs`. */
+/** Draws the bursts of a run of `lengthMs`. */
 export function drawBursts (random: () => number, lengthMs: number): Burst[] {
   const bursts: Burst[] = []
   let at = minPauseMs
@@ -139,7 +140,7 @@
   return bursts
 }
 
-/** The routes that the kinds take, and their service. */
+/** Composes the routes of all kinds to a service. */
 export function composeRankedRoutes (service: string): object[] {
   return rankedKinds.map(({ name, priority, targetMs, pauseMs, timeoutMs }) => ({
     name, host: callerHost, prefix: `/${name}/`, kind: 'events', timeoutMs, targetMs, pauseMs, priority, mostAttempts: 1, services: [{ service }]
--- a/src/soak/ranked-kind.ts
+++ b/src/soak/ranked-kind.ts
@@ -1,24 +1,25 @@
-/** Kinds of request to engines, and those that histories use. */
-
-/** A kind of request to engines. */
+/** A kind of request to engines, with its load profile. */
 export interface RankedKind {
   readonly name: string
-  /** 0 goes first. */
+  /** 0 is the most urgent. */
   readonly priority: number
+  /** Target for the first event of an answer, ms. */
   readonly targetMs: number
+  /** Target for the pause between two events, ms. */
   readonly pauseMs: number
-  /** The longest that a request of the kind is held, ms. */
+  /** Timeout of the kind's route, ms. */
   readonly timeoutMs: number
-  /** Of the middle prompt; they are drawn from a fifth of it to twice as much. */
+  /** Nominal prompt size; sizes are drawn from 0.2 to 2 times it. */
   readonly promptTokens: number
+  /** Number of events of an answer. */
   readonly events: number
-  /** Requests a second for each engine, while there is no burst. */
+  /** Requests/s per engine outside of bursts. */
   readonly rate: number
 }
 
 /**
- * In proportion as at the users' tyre shops: quick questions, claim tags and
- * fitting quotes. Together they ask two thirds of what the engines can read.
+ * The mix of requests of a chain of tyre shops: quick questions, claim tags and
+ * fitting quotes. Together their prompts take two thirds of the engines' prefill capacity.
  */
 export const rankedKinds: readonly RankedKind[] = [
   { name: 'question', priority: 0, targetMs: 250, pauseMs: 120, timeoutMs: 15_000, promptTokens: 700, events: 20, rate: 7.5 },
--- a/src/soak/soak-callers.ts
+++ b/src/soak/soak-callers.ts
@@ -1,7 +1,7 @@
 /**
- * The callers of a history and its operator: calls of every kind through every
- * gateway, and newer documents put at the registries. Each call is checked as it
- * ends.
+ * The callers and the operator of a soak run: calls of every kind through every
+ * gateway, and new document versions put to the registries. Each call is checked
+ * when it ends.
  */
 import { Agent } from 'node:http'
 import { performance } from 'node:perf_hooks'
@@ -14,31 +14,30 @@
 import { callerPort, engineService, engineShape, plainService } from './soak-stage.js'
 import type { SoakStage } from './soak-stage.js'
 
-/** What callers and the operator need of their history. */
+/** Dependencies of the callers and the operator. */
 export interface SoakCallersOptions {
   readonly seed: number
   readonly testbed: SoakStage
   readonly checker: GuaranteeChecker
-  /** Gives numbers from 0 up to 1. */
+  /** Returns a number in [0, 1). */
   readonly random: () => number
-  /** How often a gateway's process was started anew. */
   countRestarts (gateway: string): number
 }
 
-/** Callers at each gateway. */
+/** Number of callers per gateway. */
 const callersPerGateway = 3
 /** Pause of a caller between its calls, ms. */
 const callerPauseMs = 15
-/** Part of the calls that ask for a path of one version. */
+/** Fraction of the calls whose path exists in one document version only. */
 const versionShare = 0.25
-/** Versions back to which such calls go, the newest among them. */
+/** Such calls go to one of this number of newest versions. */
 const recentVersions = 3
-/** Pause between two documents, ms; drawn from half of it up to half as much again. */
+/** Nominal pause between two documents, ms; pauses are drawn from 0.5 to 1.5 times it. */
 const documentPauseMs = 600
-/** Tries of putting one document, and the pause between them, ms. */
+/** Maximum number of attempts to put one document, and the pause between them, ms. */
 const maxPutAttempts = 8
 const putRetryMs = 100
-/** Events of a stream: from the least, so many different counts. */
+/** Streams have from `minEvents` events up, with `eventCounts` different counts. */
 const minEvents = 3
 const eventCounts = 12
 const kinds: readonly WatchedCall['kind'][] = ['once', 'again', 'stream', 'resume']
@@ -47,7 +46,7 @@
   #options: SoakCallersOptions
   #sent = 0
   #version = 0
-  /** When each version was acknowledged. */
+  /** Time of acknowledgement by version. */
   #acknowledgedAt = new Map<number, number>()
   #isStopping = false
   #running: Promise<void>[] = []
@@ -56,22 +55,22 @@
     this.#options = options
   }
 
-  /** The newest version that was acknowledged. */
+  /** Newest acknowledged version. */
   get newestAcknowledged (): number { return Math.max(...this.#acknowledgedAt.keys()) }
 
-  /** Begins to call and to put documents. */
+  /** Starts calling and putting documents. */
   start (): void {
     const callers = this.#options.testbed.gateways.flatMap((_, i) => Array.from({ length: callersPerGateway }, () => this.#callRepeatedly(i)))
     this.#running = [...callers, this.#putRepeatedly()]
   }
 
-  /** Resolves once the calls under way have ended and no more will come. */
+  /** Stops; resolves once the calls in flight have ended. */
   async finish (): Promise<void> {
     this.#isStopping = true
     await Promise.all(this.#running)
   }
 
-  /** Puts the next document; a lost acknowledgement is made up for by sending it again. Resolves with true once one came. */
+  /** Puts the next document version; sends it again if no acknowledgement arrives. Resolves with false if all attempts fail. */
   async putDocument (): Promise<boolean> {
     const { testbed } = this.#options
     this.#version += 1
@@ -88,7 +87,7 @@
     return false
   }
 
-  /** Makes one call that may be repeated, over a connection of its own; true where it was answered. */
+  /** Makes one repeatable call over a new connection; resolves with true if its status is 200. */
   async callOnce (gateway: number): Promise<boolean> {
     const call = await this.#call(gateway, new Agent(), 'again')
     this.#options.checker.check(call)
@@ -120,13 +119,13 @@
     return await this.#send(gateway, agent, { id, kind, path, version: this.#version })
   }
 
-  // Asks for a path that only the newest, or an older, version knows.
+  // Calls a path that exists only in one of the newest document versions.
   async #callVersion (gateway: number, agent: Agent): Promise<void> {
     const version = Math.max(1, this.#version - Math.floor(this.#options.random() * recentVersions))
     const acknowledgedAt = this.#acknowledgedAt.get(version)
     if (acknowledgedAt === undefined) return
     const call = await this.#send(gateway, agent, { id: this.#createId(), kind: 'again', path: `/v-${version}/x`, version })
-    // A later version that was not acknowledged may be in force all the same.
+    // A later version may be in force even without an acknowledgement, so an older version is checked only if a later one was acknowledged.
     const laterAcknowledgedAt = [...this.#acknowledgedAt].filter(([number]) => number > version).map(([, at]) => at)
     const isNewest = version === this.#version
     if (laterAcknowledgedAt.length > 0 || isNewest) this.#options.checker.checkVersionCall(call, acknowledgedAt, laterAcknowledgedAt.length === 0 ? null : Math.min(...laterAcknowledgedAt))
@@ -147,7 +146,7 @@
   }
 }
 
-// The language-model service stands in it where there are engines.
+// Composes a routing document; it includes the language-model service if there are engines.
 function composeDocument (version: number, hasEngines: boolean): object {
   const services = [{ service: plainService }]
   const route = (name: string, kind: string, more: object = {}) => ({ name, host: callerHost, prefix: `/${name}/`, kind, timeoutMs: holdMs, targetMs: 300, mostAttempts: 2, services, ...more })
--- a/src/soak/soak-history.ts
+++ b/src/soak/soak-history.ts
@@ -1,7 +1,7 @@
 /**
- * One history: the real programs under load while the drawn faults come, what
- * callers and endpoints see checked as it goes, and all of it well again at the
- * end. Times and faults come from the seed; the machine's own timing doesn't.
+ * One soak run: the real programs under load while the drawn faults are applied.
+ * It checks what callers and endpoints observe, and the recovery at the end. Faults
+ * and their times follow from the seed; the timing of the processes does not.
  */
 import { performance } from 'node:perf_hooks'
 import { setTimeout as sleep } from 'node:timers/promises'
@@ -21,29 +21,29 @@
 import { SoakStage } from './soak-stage.js'
 import type { TestbedBox } from './soak-stage.js'
 
-/** What a history came to. */
+/** Result of a soak run. */
 export interface SoakReport {
   readonly violations: readonly string[]
   readonly calls: number
-  /** Calls that got a whole answer. */
+  /** Number of calls with a complete answer of status 200. */
   readonly served: number
   readonly faults: number
-  /** Of the calls to engines, which are not among the others. */
+  /** Results of the calls to engines, which `calls` and `served` do not count. */
   readonly ranked: readonly RankedSummary[]
-  /** Of requests that end their endpoints; null without such. */
+  /** Results of harmful requests; null without any. */
   readonly crashes: CrashSummary | null
-  /** The newest lines of each process, where something was violated. */
+  /** Newest log lines of each process; empty if there are no violations. */
   readonly logs: ReadonlyMap<string, readonly string[]>
 }
 
-/** Added to the seed of what endpoints say: their draws are apart from those of the other faults. */
+/** Offset of the seed for notices of endpoints, so that their random numbers are independent of those of the other faults. */
 const noticeSeedOffset = 1_000_003
-/** The longest that the stage may take to serve, at first and after the faults, ms. */
+/** Maximum time until all gateways serve, at the start and after the faults, ms. */
 const startTimeoutMs = 20_000
 const recoveryTimeoutMs = 15_000
-/** How often it is looked whether what is waited for holds, ms. */
+/** Polling interval of conditions, ms. */
 const pollMs = 100
-/** What still runs has ended after this, ms. */
+/** Time after which all requests that still run at endpoints have ended, ms. */
 const settleMs = holdMs + 500
 
 export class SoakHistory {
@@ -64,7 +64,7 @@
     const notices = shape.notices ? drawNotices(createRandom(noticeSeedOffset + seed), shape, lengthMs) : []
     this.#faults = [...drawFaults(createRandom(seed), shape, lengthMs), ...notices]
     this.#checker = new GuaranteeChecker(disturbances)
-    this.#testbed = new SoakStage(shape, seed, (name, code) => this.#checker.reportViolation('a process ended by itself', `${name} with ${code}`))
+    this.#testbed = new SoakStage(shape, seed, (name, code) => this.#checker.reportViolation('a process exited unexpectedly', `${name} with code ${code}`))
     this.#noticeChecker = new NoticeChecker(disturbances, this.#checker)
     this.#player = new FaultPlayer(this.#testbed, disturbances, this.#checker)
     this.#callers = new SoakCallers({
@@ -80,11 +80,11 @@
     this.#rankedCallers = shape.engines === 0 ? null : new RankedCallers(rankedOptions, drawBursts(createRandom(seed), lengthMs))
   }
 
-  /** Plays the history once; rejects where the stage can't be set up. */
+  /** Runs once; rejects if the testbed can't be set up. */
   async run (): Promise<SoakReport> {
     try {
       await this.#testbed.start()
-      await this.#waitFor(startTimeoutMs, 'the stage serves', async () => await this.#callers.putDocument() && await this.#isServing())
+      await this.#waitFor(startTimeoutMs, 'all gateways serve at the start', async () => await this.#callers.putDocument() && await this.#isServing())
       this.#callers.start()
       this.#rankedCallers?.start()
       this.#crashCallers?.start()
@@ -97,7 +97,7 @@
       this.#checker.checkRuns(this.#testbed.endpoints.flatMap(({ standin }) => standin.runs))
       this.#noticeChecker.checkArrivals(this.#testbed.endpoints)
       this.#crashCallers?.check()
-      for (const broken of this.#precedenceChecker.findViolations()) this.#checker.reportViolation('less urgent requests went first', broken)
+      for (const broken of this.#precedenceChecker.findViolations()) this.#checker.reportViolation('less urgent requests were served before more urgent ones', broken)
       this.#checkLogs()
       return this.#report()
     } finally {
@@ -105,20 +105,20 @@
     }
   }
 
-  /** Ends everything that the history started. */
+  /** Stops everything that the run started. */
   stop (): Promise<void> { return this.#testbed.stop() }
 
   get #boxes (): TestbedBox[] { return [...this.#testbed.registries, ...this.#testbed.gateways] }
 
   async #checkRecovery (): Promise<void> {
-    await this.#waitFor(recoveryTimeoutMs, 'all is served again after the faults', () => this.#isServing())
+    await this.#waitFor(recoveryTimeoutMs, 'all gateways serve again after the faults', () => this.#isServing())
     const newest = this.#callers.newestAcknowledged
     await this.#waitFor(recoveryTimeoutMs, 'the newest document can be read', async () => (await this.#readVersion()) !== null)
     const version = await this.#readVersion()
     if (version !== null && version < newest) this.#checker.reportViolation('an acknowledged document is lost', `read ${version}, acknowledged ${newest}`)
   }
 
-  // The version of the document in force; null where it can't be read.
+  // Reads the version of the document in force; null if it can't be read.
   async #readVersion (): Promise<number | null> {
     const { status, body } = await this.#testbed.ask(0, 'GET', '/v1/routing')
     return status === 200 ? (JSON.parse(body) as { version: number }).version : null
@@ -137,12 +137,12 @@
       if (await holds()) return
       await sleep(pollMs)
     }
-    this.#checker.reportViolation('it did not come about', condition)
+    this.#checker.reportViolation('a condition was not met in time', condition)
   }
 
   #checkLogs (): void {
     for (const { name, process } of this.#boxes) {
-      for (const line of process.lines) if (line.includes('event=violation')) this.#checker.reportViolation('a process saw a fault of its own', `${name}: ${line}`)
+      for (const line of process.lines) if (line.includes('event=violation')) this.#checker.reportViolation('a process logged a violation', `${name}: ${line}`)
     }
   }
 
--- a/src/soak/soak-stage.ts
+++ b/src/soak/soak-stage.ts
@@ -1,7 +1,7 @@
 /**
- * What a history is played on: registries and gateways as processes, stand-in
- * endpoints behind proxies, and proxies before the registries' links. All of it
- * stands on loopback addresses that the history's number tells apart.
+ * The testbed of a soak run: registries and gateways as processes, stand-in
+ * endpoints behind proxies, and proxies before the registries' links. All of them
+ * use loopback addresses of a network that is derived from the run's number.
  */
 import { appendFileSync, existsSync, mkdirSync, mkdtempSync, readFileSync, readdirSync, rmSync, writeFileSync } from 'node:fs'
 import { tmpdir } from 'node:os'
@@ -16,36 +16,37 @@
 import type { HttpResult } from './http-call.js'
 import { ProgramProcess } from './program-process.js'
 
-/** A registry's or a gateway's process, and where it is reached. */
+/** The process of a registry or a gateway, and its address. */
 export interface TestbedBox {
   readonly name: string
   readonly host: string
   readonly process: ProgramProcess
-  /** Null for a gateway. */
+  /** Data folder; null for a gateway. */
   readonly data: string | null
 }
 
-/** A stand-in endpoint and the proxy before it. */
+/** A stand-in endpoint, the proxy before it, and what the endpoint registers. */
 export interface TestbedEndpoint {
   readonly standin: StandinEndpoint
   readonly proxy: FaultProxy
+  /** Port of the proxy. */
   readonly port: number
   readonly service: string
   readonly zone: string
   stage: 'ready' | 'draining'
   sequence: number
-  /** When its life began, Unix ms. */
+  /** Start of its process, Unix ms; simulated. */
   born: number
 }
 
-/** The services of a history's documents. */
+/** Names of the services in a run's documents. */
 export const plainService = 'desk'
 export const engineService = 'assistant'
-/** An engine that reads some 70 tokens/ms, as the users' do; a piece takes 30 ms, and an event some 150 where it reads all the time. */
+/** An engine that reads some 70 tokens/ms, like the users' engines; a chunk of a prompt takes 30 ms, and an event some 150 ms under continuous prefill. */
 export const engineShape: PacedEngineShape = { batch: 64, baseMs: 4, streamMs: 0.03, contextMs: 0.004, prefillMs: 12, kvTokens: 600_000, prefixTokens: 0, prefixEntries: 0, tokensPerEvent: 5 }
-/** Where gateways take callers. */
+/** Port on which gateways accept callers. */
 export const callerPort = 7003
-/** The other ports, the same on every address. */
+/** Other ports, the same on every address. */
 const linkPort = 7000
 const loadPort = 7001
 const operatorPort = 7002
@@ -53,18 +54,18 @@
 const zones = ['zone-a', 'zone-b', 'zone-c']
 const endpointHeaders = { requestId: 'x-wrenlane-request-id', expectedEndpoint: 'x-wrenlane-endpoint', notRun: 'x-wrenlane-not-run', mark: '', lastEvent: 'last-event-id', tokens: 'x-wrenlane-tokens', limit: 'x-wrenlane-limit', leaving: 'x-wrenlane-leaving' }
 const programFolder = fileURLToPath(new URL('../bin/', import.meta.url))
-/** Registries that boxes are told of at their start. */
+/** Maximum number of registries in the seed list of a box. */
 const maxSeeds = 3
-/** What an endpoint does with a request that ends it: some time after it was read it is gone, and back after as long as a process takes to start. */
+/** How an endpoint crashes: 60 ms after it has started a harmful request; it is back after as long as a process takes to start. */
 const crash: CrashShape = { afterMs: 60, downMs: 2500 }
-/** How often endpoints say where they are, ms. */
+/** Interval between registrations of an endpoint, ms. */
 const heartbeatMs = 400
-/** A call to a registry is given up after this, ms. */
+/** Timeout of calls to registries and of readiness checks, ms. */
 const operatorTimeoutMs = 1000
-/** Loopback networks that histories use, the second part of their addresses: no test or deployment of another kind uses these. */
+/** First second octet of the loopback networks for soak runs, and their number; no other test or deployment uses these. */
 const firstNetwork = 150
 const networkCount = 80
-/** A torn record: some bytes of one that was being written when the power went. */
+/** A torn record: some bytes of a record whose write was cut off by a power loss. */
 const tornBytes = Buffer.from([0, 0, 1, 42, 7, 7, 7])
 
 export class SoakStage {
@@ -86,7 +87,7 @@
     this.#onUnexpectedExit = onUnexpectedExit
   }
 
-  /** Starts everything; resolves before the boxes serve. `stop` must be called also where this rejects. */
+  /** Starts everything; resolves before the boxes serve. `stop` must be called even if this rejects. */
   async start (): Promise<void> {
     for (let i = 0; i < this.#shape.registries; i++) await this.#addRegistry(i)
     for (let i = 0; i < this.#shape.gateways; i++) this.#addGateway(i)
@@ -96,7 +97,7 @@
     this.#heartbeatTimer = setInterval(() => { for (const endpoint of [...this.endpoints, ...this.engines]) if (!endpoint.standin.isDown) void this.register(endpoint) }, heartbeatMs)
   }
 
-  /** Ends everything that was started and removes its files. */
+  /** Stops everything that was started and removes its files. */
   async stop (): Promise<void> {
     if (this.#heartbeatTimer !== null) clearInterval(this.#heartbeatTimer)
     for (const { process } of [...this.gateways, ...this.registries]) await process.kill()
@@ -108,26 +109,26 @@
     rmSync(this.folder, { recursive: true, force: true, maxRetries: 3 })
   }
 
-  /** Empties a registry's disk; its process must have ended. */
+  /** Deletes a registry's data; its process must have exited. */
   wipe (registry: number): void {
     const { data } = this.registries[registry]
     if (data !== null) rmSync(data, { recursive: true, force: true })
     this.#writeRegistry(registry, false)
   }
 
-  /** Leaves a torn record at the end of a registry's newest file; its process must have ended. */
+  /** Appends a torn record to a registry's newest log file; its process must have exited. */
   tear (registry: number): void {
     const { data } = this.registries[registry]
-    // A disk that was just lost has no record to tear.
+    // After a wipe there is no log file yet.
     if (data === null || !existsSync(data)) return
     const newest = readdirSync(data).filter(name => name.startsWith('log.')).sort((a, b) => Number(a.slice(4)) - Number(b.slice(4))).at(-1)
     if (newest === undefined) return
-    // A process that ended before it had cut off a torn record wrote nothing after it.
+    // Appends no second torn record if the process exited before it truncated the last one.
     const path = join(data, newest)
     if (!readFileSync(path).subarray(-tornBytes.length).equals(tornBytes)) appendFileSync(path, tornBytes)
   }
 
-  /** Has an endpoint say where it is; resolves with true once a registry took its word. */
+  /** Registers an endpoint; resolves with true if a registry accepted it, with false if all of them failed. */
   async register (endpoint: TestbedEndpoint): Promise<boolean> {
     endpoint.sequence += 1
     const { standin, port, service, zone, stage, sequence, born } = endpoint
@@ -139,19 +140,19 @@
     return false
   }
 
-  /** Calls a registry as an operator or an endpoint does. */
+  /** Calls a registry's operator port, as operators and endpoints do. */
   ask (registry: number, method: string, path: string, body = ''): Promise<HttpResult> {
     const { host } = this.registries[registry]
     return callHttp({ host, port: operatorPort, method, path, headers: { 'content-type': 'application/json' }, timeout: operatorTimeoutMs }, body)
   }
 
-  /** True where a gateway says that it is ready. */
+  /** Whether a gateway reports that it is ready. */
   async isReady (gateway: number): Promise<boolean> {
     const { status } = await callHttp({ host: this.gateways[gateway].host, port: readyPort, path: '/readyz', timeout: operatorTimeoutMs }, '')
     return status === 200
   }
 
-  // The i-th address of a part: 0 registries, 1 gateways, 2 endpoints, 3 the proxies before registries' links.
+  // The i-th address of a part of the testbed: 0 registries and the proxies before their links, 1 gateways, 2 endpoints, 3 the registries' link servers behind these proxies.
   #composeAddress (part: number, i: number): string { return `127.${this.#network}.${part}.${i + 1}` }
 
   get #seeds (): string[] {
@@ -170,7 +171,7 @@
     this.#writeRegistry(i, true)
   }
 
-  // `first`: whether the registry may begin a log. One that lost its disk waits to be let in.
+  // `first`: whether the registry may form a new log. After the loss of its disk it must wait to be added instead.
   #writeRegistry (i: number, first: boolean): void {
     const { name, host, data } = this.registries[i]
     const faults = (this.#shape.registries - 1) >> 1
@@ -204,7 +205,7 @@
     return endpoint
   }
 
-  // A process that has started again knows nothing of before, its sequence included.
+  // A restarted process has lost its state, including its sequence number.
   async #restart (endpoint: TestbedEndpoint, host: string): Promise<void> {
     await endpoint.proxy.listen(host, endpoint.port)
     endpoint.sequence = 0
--- a/test/fault-draw.test.ts
+++ b/test/fault-draw.test.ts
@@ -9,7 +9,7 @@
 
 function isWipe ({ fault }: TimedFault): boolean { return fault.target === 'registry' && fault.action.type === 'wipe' }
 
-// How long a fault of the registries or their links lasts, ms; null for others.
+// Duration of a fault of the registries or their links, ms; null for other faults.
 function measureFaultMs (fault: SoakFault): number | null {
   switch (fault.target) {
     case 'registry': return fault.action.type === 'reload' ? null : fault.action.ms
@@ -19,9 +19,10 @@
   }
 }
 
-// A registry that had lost its disk was back for 0.6 s when its link was reset and all registries were killed; the next disk was lost
-// a second later, before it had caught up: two disks of three, which no replica can make up for. The history was taken for broken.
-test('a second disk is lost only once the first one\'s registry has had time to catch up, undisturbed', () => {
+// Guards against soak runs that fail for a loss that replication can't survive: 0.6 s after a registry was back with an empty disk, its
+// link was reset and all registries were killed; a second later another disk was lost, before the first registry had caught up. That
+// loses two disks of three.
+test('a second disk is lost only after the first registry had undisturbed time to catch up', () => {
   let pairs = 0
   for (let seed = 1; seed <= 400; seed++) {
     const faults = drawFaults(createRandom(seed * 1_000_003), shape, 40_000)
--- a/test/fault-proxy.test.ts
+++ b/test/fault-proxy.test.ts
@@ -7,7 +7,7 @@
 import type { ProxyMode } from '../src/soak/index.js'
 import { host, until } from './support/deployment.js'
 
-/** A connection through a proxy, and all that came out at its end. */
+/** Opens a connection through a proxy to a server; `out` returns what the server has received. */
 async function openThrough (): Promise<{ proxy: FaultProxy, socket: Socket, out: () => string, close: () => void }> {
   let got = ''
   const server = createServer(inner => inner.on('data', (chunk: Buffer) => { got += chunk.toString() }).on('error', () => {}))
@@ -29,7 +29,7 @@
 const modes: readonly ProxyMode[] = ['delay', 'throttle']
 
 for (const mode of modes) {
-  test(`bytes keep their order where a proxy ends to ${mode}`, async () => {
+  test(`bytes keep their order when a proxy leaves mode ${mode}`, async () => {
     const { proxy, socket, out, close } = await openThrough()
     try {
       const parts = Array.from({ length: 20 }, (_, i) => `${i},`.repeat(40))
@@ -46,14 +46,14 @@
   })
 }
 
-test('a narrow proxy carries no more than its share, whatever comes at once', async () => {
+test('a throttling proxy keeps to its rate even if many bytes arrive at once', async () => {
   const { proxy, socket, out, close } = await openThrough()
   try {
     proxy.setMode('throttle')
     const startedAt = performance.now()
     socket.write('x'.repeat(5000))
     await until(() => out().length === 5000, 'all of it')
-    // 10 bytes/ms; a timer may fire a ms early.
+    // 5000 bytes at 10 bytes/ms take 500 ms; timers may fire a little early.
     assert.ok(performance.now() - startedAt >= 490)
   } finally {
     close()
--- a/test/guarantee-checker.test.ts
+++ b/test/guarantee-checker.test.ts
@@ -8,18 +8,18 @@
   return { id: `call-${version}-${sentAt}`, gateway: 'gateway-0', gatewayRestarts: 0, kind: 'again', path: '', body: '', version, sentAt, endedAt, result, ...more }
 }
 
-// A history was taken for broken ("used 8 after 9") where a call had been let in under 8 and its endpoint answered after 832 ms, 35 ms
-// after a later call had been answered under 9, which had come into force in between.
+// Guards against a false violation ("used version 8 after 9"): a call was accepted under version 8, version 9 came into force, a later
+// call was answered under 9, and 35 ms after that the endpoint answered the first call, 832 ms after it was sent.
 const answers: readonly { readonly name: string, readonly calls: readonly WatchedCall[], readonly isReverted: boolean }[] = [
-  { name: 'an older one that was sent before the newer was seen', calls: [createCall(9, 800, 806), createCall(8, 10, 842)], isReverted: false },
-  { name: 'an older one that was sent after the newer was seen', calls: [createCall(9, 800, 806), createCall(8, 810, 820)], isReverted: true },
-  { name: 'an older one in another life of the gateway', calls: [createCall(9, 800, 806), createCall(8, 810, 820, { gatewayRestarts: 1 })], isReverted: false },
-  { name: 'an older one, with newer ones seen again meanwhile', calls: [createCall(9, 800, 806), createCall(9, 900, 906), createCall(8, 850, 920)], isReverted: true },
+  { name: 'an older one whose call was sent before the newer was seen', calls: [createCall(9, 800, 806), createCall(8, 10, 842)], isReverted: false },
+  { name: 'an older one whose call was sent after the newer was seen', calls: [createCall(9, 800, 806), createCall(8, 810, 820)], isReverted: true },
+  { name: 'an older one after a restart of the gateway', calls: [createCall(9, 800, 806), createCall(8, 810, 820, { gatewayRestarts: 1 })], isReverted: false },
+  { name: 'an older one, with the newer one seen again before its answer', calls: [createCall(9, 800, 806), createCall(9, 900, 906), createCall(8, 850, 920)], isReverted: true },
   { name: 'a newer one', calls: [createCall(8, 10, 20), createCall(9, 30, 40)], isReverted: false }
 ]
 
 for (const { name, calls, isReverted: reverts } of answers) {
-  test(`a document is taken for reverted ${reverts ? 'where' : 'not where'} a version answers after another: ${name}`, () => {
+  test(`a gateway that answers under one version after another ${isReverted ? 'has' : 'has not'} reverted: ${name}`, () => {
     const watch = new PromiseWatch(new Disturbances())
     for (const call of calls) watch.checkVersionCall(call, call.sentAt, null)
     assert.equal(watch.violations.length > 0, reverts, watch.violations.join())
--- a/test/soak-processes.test.ts
+++ b/test/soak-processes.test.ts
@@ -2,14 +2,14 @@
 import { test } from 'node:test'
 import { SoakHistory } from '../src/soak/index.js'
 
-/** Short histories over processes; those that ever failed stand here with their cause. */
+/** Short soak runs, among them the seeds that once failed; `why` is the title: the cause of the failure, or what the run covers. */
 const histories: readonly { seed: number, seconds: number, gateways: number, registries: number, engines?: number, endpoints?: number, crashers?: number, notices?: boolean, why: string }[] = [
-  { seed: 1, seconds: 6, gateways: 3, registries: 3, why: 'a signal to read settings ended a gateway that was still starting' },
-  { seed: 27, seconds: 6, gateways: 3, registries: 3, why: 'a second signal to end, which asks for an end at once, was taken for a planned stop' },
+  { seed: 1, seconds: 6, gateways: 3, registries: 3, why: 'SIGHUP terminated a gateway that was still starting' },
+  { seed: 27, seconds: 6, gateways: 3, registries: 3, why: 'a second SIGTERM, which requests an immediate exit, counted as a graceful stop' },
   { seed: 7, seconds: 6, gateways: 2, registries: 5, why: 'five registries' },
   { seed: 2, seconds: 15, gateways: 3, registries: 3, engines: 4, why: 'claim tags were refused while fitting quotes were let in' },
-  { seed: 4, seconds: 10, gateways: 3, registries: 3, endpoints: 9, crashers: 3, why: 'a request that ended its endpoints was sent to endpoints again and again' },
-  { seed: 5, seconds: 15, gateways: 4, registries: 3, notices: true, why: 'limits, rests and words of leaving on answers beside other faults' }
+  { seed: 4, seconds: 10, gateways: 3, registries: 3, endpoints: 9, crashers: 3, why: 'a harmful request that crashes its endpoints was sent to endpoints repeatedly' },
+  { seed: 5, seconds: 15, gateways: 4, registries: 3, notices: true, why: 'limits, back-off and leaving announced on answers, along with other faults' }
 ]
 
 for (const { seed, seconds, gateways, registries, engines = 0, endpoints = 4, crashers = 0, notices = false, why } of histories) {
