--- a/test/guarantee-checker.test.ts
+++ b/test/guarantee-checker.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { Disturbances, PromiseWatch } from '../src/soak/index.js'
+import { Disturbances, GuaranteeChecker } from '../src/soak/index.js'
 import type { WatchedCall } from '../src/soak/index.js'
 
 function createCall (version: number, sentAt: number, endedAt: number, more: Partial<WatchedCall> = {}): WatchedCall {
@@ -18,10 +18,10 @@
   { name: 'a newer one', calls: [createCall(8, 10, 20), createCall(9, 30, 40)], isReverted: false }
 ]
 
-for (const { name, calls, isReverted: reverts } of answers) {
+for (const { name, calls, isReverted } of answers) {
   test(`a gateway that answers under one version after another ${isReverted ? 'has' : 'has not'} reverted: ${name}`, () => {
-    const watch = new PromiseWatch(new Disturbances())
-    for (const call of calls) watch.checkVersionCall(call, call.sentAt, null)
-    assert.equal(watch.violations.length > 0, reverts, watch.violations.join())
+    const checker = new GuaranteeChecker(new Disturbances())
+    for (const call of calls) checker.checkVersionCall(call, call.sentAt, null)
+    assert.equal(checker.violations.length > 0, isReverted, checker.violations.join())
   })
 }
