--- a/src/proof/history-peer.ts
+++ b/src/proof/history-peer.ts
@@ -5,7 +5,7 @@
 export type PersistEffect = Extract<RaftEffect, { type: 'persist' }>
 export type SendEffect = Extract<RaftEffect, { type: 'send' }>
 
-/** An in-memory disk; holds only what was synced. */
+/** An in-memory disk; unsynced writes are kept outside it and are lost in a crash unless the caller writes some of them. */
 export class FakeDisk {
   #stored: StoredLog
 
--- a/src/proof/lease-history.ts
+++ b/src/proof/lease-history.ts
@@ -54,9 +54,9 @@
   callsInFlight = 0
   readonly timing: LeaseTiming
 
-  constructor (name: string, pace: number, timing: LeaseTiming) {
+  constructor (name: string, clockRate: number, timing: LeaseTiming) {
     this.name = name
-    this.clockRate = pace
+    this.clockRate = clockRate
     this.timing = timing
     this.holder = this.startHolder(0)
   }
--- a/src/proof/raft-history.ts
+++ b/src/proof/raft-history.ts
@@ -58,7 +58,7 @@
   /** Runs `steps` random steps, then ends all faults and checks the final state. */
   run (steps: number): HistoryReport {
     for (let i = 0; i < steps; i++) this.#runRandomStep()
-    this.#heal()
+    this.#recover()
     return {
       violations: this.#checker.violations,
       acknowledged: this.#checker.acknowledged,
@@ -271,14 +271,14 @@
     this.#addPeer(`${name}#${Number(generation) + 1}` as ReplicaId, emptyDisk)
   }
 
-  #repair (old: ReplicaId): void {
+  #repair (lostId: ReplicaId): void {
     const leader = this.#findLeader()
     if (leader?.node == null) return
     const { members } = leader.node
-    const [name] = old.split('#')
+    const [name] = lostId.split('#')
     const replacement = [...this.#peers.keys()].find(id => id.startsWith(`${name}#`))
     if (replacement === undefined) return
-    const nextMembers = this.#nextMembers(members, old, replacement)
+    const nextMembers = this.#nextMembers(members, lostId, replacement)
     if (nextMembers === null) {
       // Redundancy is restored only once the membership change is committed.
       if (!leader.node.isSettled) return
@@ -290,13 +290,13 @@
     this.#step(leader, { type: 'changeMembers', at: 0, wall: this.#steps, proposal: this.#counter, members: nextMembers })
   }
 
-  #nextMembers (members: Members, old: ReplicaId, replacement: ReplicaId): Members | null {
+  #nextMembers (members: Members, lostId: ReplicaId, replacement: ReplicaId): Members | null {
     const { voters, learners } = members
     if (!voters.includes(replacement)) {
       if (!learners.includes(replacement)) return { voters, learners: [replacement] }
       return { voters: [...voters, replacement], learners: [] }
     }
-    return voters.includes(old) ? { voters: voters.filter(id => id !== old), learners: [] } : null
+    return voters.includes(lostId) ? { voters: voters.filter(id => id !== lostId), learners: [] } : null
   }
 
   #findLeader (): Peer | undefined {
@@ -305,7 +305,7 @@
 
   // Recovery: all faults end, and every acknowledged value must be present.
 
-  #heal (): void {
+  #recover (): void {
     this.#cutLinks.clear()
     this.#network = []
     for (const peer of this.#peers.values()) peer.isPaused = false
--- a/src/soak/crash-callers.ts
+++ b/src/soak/crash-callers.ts
@@ -10,7 +10,7 @@
 import { composeCaller } from './caller-words.js'
 import type { Disturbances } from './disturbances.js'
 import { callHttp } from './http-call.js'
-import { holdMs } from './guarantee-checker.js'
+import { routeTimeoutMs } from './guarantee-checker.js'
 import type { GuaranteeChecker } from './guarantee-checker.js'
 import { callerPort } from './soak-stage.js'
 import type { SoakStage } from './soak-stage.js'
@@ -139,7 +139,7 @@
 
   #send (gateway: number, id: string, path: string, body: string): ReturnType<typeof callHttp> {
     const { host } = this.#options.testbed.gateways[gateway]
-    return callHttp({ host, port: callerPort, method: 'POST', path, headers: composeCaller(id), timeout: 4 * holdMs }, body)
+    return callHttp({ host, port: callerPort, method: 'POST', path, headers: composeCaller(id), timeout: 4 * routeTimeoutMs }, body)
   }
 
   #createId (): string {
--- a/src/soak/disturbances.ts
+++ b/src/soak/disturbances.ts
@@ -2,7 +2,7 @@
 export class Disturbances {
   #spans: { readonly part: string, readonly from: number, to: number }[] = []
 
-  /** Records the begin of a disturbance of a part; the returned function records its end. */
+  /** Records the start of a disturbance of a part; the returned function records its end. */
   begin (part: string, at: number): (at: number) => void {
     const span = { part, from: at, to: Infinity }
     this.#spans.push(span)
--- a/src/soak/fault-draw.ts
+++ b/src/soak/fault-draw.ts
@@ -20,7 +20,7 @@
 
 const endpointFaults = ['full', 'error', 'lose', 'hang', 'break', 'surplus'] as const
 
-/** How an endpoint treats its requests. */
+/** How an endpoint misbehaves; the types are described in the stand-in endpoint. */
 export type EndpointFault = typeof endpointFaults[number]
 
 /** A notice that an endpoint gives about itself in the headers of its answers. */
@@ -43,7 +43,7 @@
   | { readonly target: 'notice', readonly endpoint: number, readonly notice: SoakNotice, readonly ms: number }
 
 export interface TimedFault {
-  /** Begin, ms from the start of the run. */
+  /** Start of the fault, ms after the start of the run. */
   readonly at: number
   readonly fault: SoakFault
 }
@@ -64,7 +64,7 @@
 const proxyModes: readonly ProxyMode[] = ['delay', 'throttle', 'reset', 'one-way', 'silent']
 /** Time before the first fault, ms, so that keep-alive connections are open by then. */
 const warmUpMs = 1000
-/** Bounds of the time between the begins of two faults, ms; most faults overlap. */
+/** Bounds of the time between the starts of two faults, ms; most faults overlap. */
 const minPauseMs = 150
 const maxPauseMs = 1500
 /** Bounds of the duration of a fault, ms. */
@@ -99,6 +99,7 @@
 /** Bounds of the duration of a notice, ms; longer than other faults, as a limit is checked over windows of some seconds. */
 const minNoticeMs = 4000
 const maxNoticeMs = 9000
+/** Bounds of the time between two draws of a notice, ms. */
 const minNoticePauseMs = 500
 const maxNoticePauseMs = 2500
 
--- a/src/soak/fault-player.ts
+++ b/src/soak/fault-injector.ts
@@ -17,7 +17,7 @@
 /** Number of events after which an endpoint breaks off a stream. */
 const breakAfterEvents = 2
 
-export class FaultPlayer {
+export class FaultInjector {
   #testbed: SoakStage
   #disturbances: Disturbances
   #checker: GuaranteeChecker
@@ -33,15 +33,15 @@
   countRestarts (box: string): number { return this.#restartCounts.get(box) ?? 0 }
 
   /** Applies each fault at its time, counted from now; resolves once all are over. */
-  async playAll (faults: readonly TimedFault[]): Promise<void> {
+  async injectAll (faults: readonly TimedFault[]): Promise<void> {
     const startedAt = performance.now()
     await Promise.all(faults.map(async ({ at, fault }) => {
       await sleep(Math.max(0, startedAt + at - performance.now()))
-      await this.#play(fault)
+      await this.#inject(fault)
     }))
   }
 
-  async #play (fault: SoakFault): Promise<void> {
+  async #inject (fault: SoakFault): Promise<void> {
     const { registries, gateways, endpoints, links } = this.#testbed
     switch (fault.target) {
       case 'gateway': return await this.#applyProcessFault(gateways[fault.box], fault.action, null)
@@ -84,8 +84,8 @@
     // A second SIGTERM would make the program exit at once instead of gracefully.
     if (action.type === 'stop' && this.#stopping.has(box)) return
     // The guarantees of a gateway also hold during its graceful stop, so the stop is recorded under a name of its own.
-    const isPlanned = action.type === 'stop' && registry === null
-    const endDisturbance = this.#disturbances.begin(isPlanned ? `stop ${box.name}` : box.name, performance.now())
+    const isGatewayStop = action.type === 'stop' && registry === null
+    const endDisturbance = this.#disturbances.begin(isGatewayStop ? `stop ${box.name}` : box.name, performance.now())
     await this.#perform(box, action, registry)
     if (action.type !== 'pause') this.#restart(box)
     endDisturbance(performance.now())
@@ -163,7 +163,7 @@
       const runs = endpoint.standin.runs.slice(seenRuns)
       seenRuns += runs.length
       const now = performance.now()
-      if (isRegistered) for (const run of runs) this.#checker.checkRunWhileLeaving(run, now - registeredAt - runDetectionLagMs, now)
+      if (isRegistered) for (const run of runs) this.#checker.checkRunWhileDraining(run, now - registeredAt - runDetectionLagMs, now)
     }
     endpoint.stage = 'ready'
   }
--- a/src/soak/fault-proxy.ts
+++ b/src/soak/fault-proxy.ts
@@ -73,8 +73,8 @@
     from.on('end', () => line.add(this.#computeDelay(0), () => to.end()))
   }
 
-  #relay (chunk: Buffer, to: Socket, line: DelayLine, isForth: boolean): void {
-    if (this.#mode === 'silent' || (this.#mode === 'one-way' && !isForth)) return
+  #relay (chunk: Buffer, to: Socket, line: DelayLine, isToUpstream: boolean): void {
+    if (this.#mode === 'silent' || (this.#mode === 'one-way' && !isToUpstream)) return
     line.add(this.#computeDelay(chunk.length), () => { to.write(chunk) })
   }
 
--- a/src/soak/guarantee-checker.ts
+++ b/src/soak/guarantee-checker.ts
@@ -8,7 +8,7 @@
 import type { HttpResult } from './http-call.js'
 
 /** One call through one gateway, with its result. */
-export interface WatchedCall {
+export interface CheckedCall {
   readonly id: string
   readonly gateway: string
   /** Number of restarts of the gateway's process when the call was sent. */
@@ -26,7 +26,7 @@
 /** Statuses that guarantee that the request did not run and never will. */
 const notRunStatuses = new Set([408, 421, 429, 503])
 /** Timeout of the routes, ms. */
-export const holdMs = 1500
+export const routeTimeoutMs = 1500
 /** Time after a request's timeout within which its final answer must arrive, ms. */
 const answerMarginMs = 700
 /** Time after its acknowledgement from which a document must be in force, ms. */
@@ -38,7 +38,7 @@
 
 export class GuaranteeChecker {
   readonly violations: string[] = []
-  readonly calls: WatchedCall[] = []
+  readonly calls: CheckedCall[] = []
   #disturbances: Disturbances
   /** For each run of a gateway's process, the newest document version seen in use, and when the answer that showed it arrived. */
   #newestVersions = new Map<string, { readonly version: number, readonly at: number }>()
@@ -50,7 +50,7 @@
   reportViolation (rule: string, detail: string): void { this.violations.push(`${rule}: ${detail}`) }
 
   /** Records a call and checks its result by itself. */
-  check (call: WatchedCall): void {
+  check (call: CheckedCall): void {
     this.calls.push(call)
     this.#checkAnswer(call)
     this.#checkDuration(call)
@@ -60,7 +60,7 @@
    * Checks a call of a path that exists in one document version only. `acknowledgedAt`: when that
    * version was acknowledged; `nextAcknowledgedAt`: when the first later one was, null for none.
    */
-  checkVersionCall (call: WatchedCall, acknowledgedAt: number, nextAcknowledgedAt: number | null): void {
+  checkVersionCall (call: CheckedCall, acknowledgedAt: number, nextAcknowledgedAt: number | null): void {
     const gatewayRun = `${call.gateway} ${call.gatewayRestarts}`
     const seen = this.#newestVersions.get(gatewayRun)
     const { status } = call.result
@@ -77,7 +77,7 @@
   }
 
   /** Checks a run that an endpoint started `sinceMs` after a registry had accepted its registration as draining; `at`: when the run was found. */
-  checkRunWhileLeaving (run: EndpointRun, sinceMs: number, at: number): void {
+  checkRunWhileDraining (run: EndpointRun, sinceMs: number, at: number): void {
     const isUndisturbed = !this.#disturbances.wasDisturbed(['registry', 'gateway', 'link', 'proxy'], at - undisturbedMs, at)
     if (sinceMs > drainMs && isUndisturbed) this.reportViolation('a draining endpoint got a new request', `${run.requestId}, ${Math.round(sinceMs)} ms after its registration`)
   }
@@ -91,29 +91,29 @@
       const mayRepeat = call.kind === 'again' || call.kind === 'resume'
       if (!mayRepeat && ran > 1) this.reportViolation('a request that may run at most once ran again', `${call.id} ran ${ran} times`)
       if (notRunStatuses.has(call.result.status) && ran > 0) this.reportViolation('a request ran although its status says that it did not', `${call.id} got ${call.result.status} and ran ${ran} times`)
-      if (ran > 0 && call.result.status === 0 && this.#isPlannedStopAlone(call)) this.reportViolation('a graceful stop cut a request off', `${call.id}: ${call.result.error}`)
+      if (ran > 0 && call.result.status === 0 && this.#isGatewayStopOnlyCause(call)) this.reportViolation('a graceful stop cut a request off', `${call.id}: ${call.result.error}`)
     }
   }
 
-  #checkAnswer (call: WatchedCall): void {
-    const { status, isComplete: isWhole, body } = call.result
+  #checkAnswer (call: CheckedCall): void {
+    const { status, isComplete, body } = call.result
     if (status !== 200) return
     const expected = composeExpected(call)
-    if (isWhole ? body !== expected : !expected.startsWith(body)) this.reportViolation('an answer does not belong to its request', `${call.id} got ${JSON.stringify(body.slice(0, 200))}`)
+    if (isComplete ? body !== expected : !expected.startsWith(body)) this.reportViolation('an answer does not belong to its request', `${call.id} got ${JSON.stringify(body.slice(0, 200))}`)
   }
 
-  #checkDuration (call: WatchedCall): void {
+  #checkDuration (call: CheckedCall): void {
     const tookMs = call.endedAt - call.sentAt
-    if (tookMs > holdMs + answerMarginMs && this.#isUndisturbed(call, call.endedAt)) this.reportViolation('no final answer within the timeout', `${call.id} took ${Math.round(tookMs)} ms`)
+    if (tookMs > routeTimeoutMs + answerMarginMs && this.#isUndisturbed(call, call.endedAt)) this.reportViolation('no final answer within the timeout', `${call.id} took ${Math.round(tookMs)} ms`)
   }
 
   // Whether nothing that the call depends on was disturbed from `undisturbedMs` before it until `until`.
-  #isUndisturbed (call: WatchedCall, until: number): boolean {
+  #isUndisturbed (call: CheckedCall, until: number): boolean {
     return !this.#disturbances.wasDisturbed([call.gateway, 'registry', 'link'], call.sentAt - undisturbedMs, until)
   }
 
   // Whether only the graceful stop of its gateway can have ended the call.
-  #isPlannedStopAlone (call: WatchedCall): boolean {
+  #isGatewayStopOnlyCause (call: CheckedCall): boolean {
     const from = call.sentAt - undisturbedMs
     const isStopped = this.#disturbances.wasDisturbed([`stop ${call.gateway}`], from, call.endedAt)
     return isStopped && !this.#disturbances.wasDisturbed([call.gateway, 'proxy', 'endpoint'], from, call.endedAt)
@@ -121,7 +121,7 @@
 }
 
 // Composes the body of a complete answer to the call.
-function composeExpected ({ id, kind, path, body }: WatchedCall): string {
+function composeExpected ({ id, kind, path, body }: CheckedCall): string {
   if (kind === 'once' || kind === 'again') return composeWhole({ requestId: id, method: 'POST', path, body })
   const count = Number(/events-(\d+)/.exec(path)?.[1] ?? 0)
   return Array.from({ length: count }, (_, i) => composeEvent(path, i + 1)).join('')
--- a/src/soak/index.ts
+++ b/src/soak/index.ts
@@ -6,4 +6,4 @@
 export { FaultProxy } from './fault-proxy.js'
 export { Disturbances } from './disturbances.js'
 export { GuaranteeChecker } from './guarantee-checker.js'
-export type { WatchedCall } from './guarantee-checker.js'
+export type { CheckedCall } from './guarantee-checker.js'
--- a/src/soak/limit-bounds.ts
+++ b/src/soak/limit-bounds.ts
@@ -6,7 +6,7 @@
 export const settleMs = 3000
 /** Length of the windows over which a limit is checked, ms. */
 export const windowMs = 4000
-/** A window may contain `maxFactor` times the requests of the limit, plus `extraRequests`. */
+/** A window may contain `maxFactor` times the requests that the limit allows on average, plus `extraRequests`. */
 const maxFactor = 1.5
 const extraRequests = 5
 /** Maximum number of requests from a box during its back-off. */
--- a/src/soak/notice-checker.ts
+++ b/src/soak/notice-checker.ts
@@ -54,10 +54,10 @@
       lastAt = at
       if (at < limitFrom + settleMs || !isUndisturbed(at - windowMs - settleMs, at)) continue
       const inWindow = sent.slice(0, i + 1).filter(one => one.at > Math.max(at - windowMs, limitFrom + toldMs) && one.limit !== null && !this.#isExempt(one))
-      const most = Math.max(...inWindow.map(one => one.limit ?? 0), limit)
-      const allowed = countAllowed(most)
+      const maxLimit = Math.max(...inWindow.map(one => one.limit ?? 0), limit)
+      const allowed = countAllowed(maxLimit)
       if (inWindow.length <= allowed) continue
-      this.#checker.reportViolation('an endpoint got more requests than its limit allows', `${id}: ${inWindow.length} in ${windowMs} ms, limit ${most}, allowed ${allowed}`)
+      this.#checker.reportViolation('an endpoint got more requests than its limit allows', `${id}: ${inWindow.length} in ${windowMs} ms, limit ${maxLimit}, allowed ${allowed}`)
       // Later windows overlap with this one.
       return
     }
--- a/src/soak/ranked-callers.ts
+++ b/src/soak/ranked-callers.ts
@@ -17,7 +17,7 @@
 
 /** A period of higher load. */
 export interface Burst {
-  /** Begin, ms from the start of the run. */
+  /** Start of the burst, ms after the start of the callers. */
   readonly at: number
   readonly ms: number
   /** Factor on the usual request rate. */
@@ -35,9 +35,12 @@
   readonly random: () => number
 }
 
-/** Maximum number of requests sent at once. */
-const maxInClump = 5
-/** Bounds of the pauses between bursts and of their durations, ms, and of their factors: even in the strongest, the engines have capacity for the most urgent kind. */
+/** Maximum number of requests of a kind that are sent at once. */
+const maxBatchSize = 5
+/**
+ * Bounds of the pauses between bursts, of the durations of bursts, ms, and of their factors. Even in the strongest burst, the
+ * engines have capacity for the most urgent kind.
+ */
 const minPauseMs = 1500
 const maxPauseMs = 4000
 const minBurstMs = 1500
@@ -46,7 +49,7 @@
 const maxFactor = 2.5
 /** Fraction of the bursts that consist of a single kind. */
 const singleKindShare = 0.3
-/** Minimum inactivity timeout of a caller, ms; longer if four targets or eight token pauses of its kind are longer. */
+/** Minimum inactivity timeout of a caller, ms; longer if `targetMs` of its kind times four, or `pauseMs` times eight, is longer. */
 const minTimeoutMs = 2000
 /** A caller retries only if the delay is at most this fraction of its remaining time. */
 const maxRetryShare = 1 / 3
@@ -79,11 +82,11 @@
 
   async #sendRepeatedly (kind: RankedKind): Promise<void> {
     const { random, testbed } = this.#options
-    const clumpRate = kind.rate * testbed.engines.length / ((1 + maxInClump) / 2)
+    const batchRate = kind.rate * testbed.engines.length / ((1 + maxBatchSize) / 2)
     while (!this.#isStopping) {
-      await sleep(-Math.log(1 - random()) * 1000 / (clumpRate * this.#findFactor(kind)))
-      const clump = 1 + Math.floor(random() * maxInClump)
-      for (let i = 0; i < clump && !this.#isStopping; i++) this.#startCall(kind)
+      await sleep(-Math.log(1 - random()) * 1000 / (batchRate * this.#findFactor(kind)))
+      const batchSize = 1 + Math.floor(random() * maxBatchSize)
+      for (let i = 0; i < batchSize && !this.#isStopping; i++) this.#startCall(kind)
     }
   }
 
--- a/src/soak/soak-callers.ts
+++ b/src/soak/soak-callers.ts
@@ -8,8 +8,8 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import { callerHost, callerKey, composeCaller } from './caller-words.js'
 import { callHttp } from './http-call.js'
-import { holdMs } from './guarantee-checker.js'
-import type { GuaranteeChecker, WatchedCall } from './guarantee-checker.js'
+import { routeTimeoutMs } from './guarantee-checker.js'
+import type { GuaranteeChecker, CheckedCall } from './guarantee-checker.js'
 import { composeRankedRoutes } from './ranked-callers.js'
 import { callerPort, engineService, engineShape, plainService } from './soak-stage.js'
 import type { SoakStage } from './soak-stage.js'
@@ -40,7 +40,7 @@
 /** Streams have from `minEvents` events up, with `eventCounts` different counts. */
 const minEvents = 3
 const eventCounts = 12
-const kinds: readonly WatchedCall['kind'][] = ['once', 'again', 'stream', 'resume']
+const kinds: readonly CheckedCall['kind'][] = ['once', 'again', 'stream', 'resume']
 
 export class SoakCallers {
   #options: SoakCallersOptions
@@ -112,7 +112,7 @@
     }
   }
 
-  async #call (gateway: number, agent: Agent, kind: WatchedCall['kind']): Promise<WatchedCall> {
+  async #call (gateway: number, agent: Agent, kind: CheckedCall['kind']): Promise<CheckedCall> {
     const id = this.#createId()
     const isStream = kind === 'stream' || kind === 'resume'
     const path = isStream ? `/${kind}/events-${minEvents + this.#sent % eventCounts}` : `/${kind}/${this.#sent}`
@@ -131,12 +131,12 @@
     if (laterAcknowledgedAt.length > 0 || isNewest) this.#options.checker.checkVersionCall(call, acknowledgedAt, laterAcknowledgedAt.length === 0 ? null : Math.min(...laterAcknowledgedAt))
   }
 
-  async #send (gateway: number, agent: Agent, { id, kind, path, version }: Pick<WatchedCall, 'id' | 'kind' | 'path' | 'version'>): Promise<WatchedCall> {
+  async #send (gateway: number, agent: Agent, { id, kind, path, version }: Pick<CheckedCall, 'id' | 'kind' | 'path' | 'version'>): Promise<CheckedCall> {
     const { name, host: gatewayHost } = this.#options.testbed.gateways[gateway]
     const body = `body of ${id}`
     const gatewayRestarts = this.#options.countRestarts(name)
     const sentAt = performance.now()
-    const result = await callHttp({ host: gatewayHost, port: callerPort, method: 'POST', path, headers: composeCaller(id), agent, timeout: 4 * holdMs }, body)
+    const result = await callHttp({ host: gatewayHost, port: callerPort, method: 'POST', path, headers: composeCaller(id), agent, timeout: 4 * routeTimeoutMs }, body)
     return { id, gateway: name, gatewayRestarts, kind, path, body, version, sentAt, endedAt: performance.now(), result }
   }
 
@@ -149,7 +149,7 @@
 // Composes a routing document; it includes the language-model service if there are engines.
 function composeDocument (version: number, hasEngines: boolean): object {
   const services = [{ service: plainService }]
-  const route = (name: string, kind: string, more: object = {}) => ({ name, host: callerHost, prefix: `/${name}/`, kind, timeoutMs: holdMs, targetMs: 300, mostAttempts: 2, services, ...more })
+  const route = (name: string, kind: string, more: object = {}) => ({ name, host: callerHost, prefix: `/${name}/`, kind, timeoutMs: routeTimeoutMs, targetMs: 300, mostAttempts: 2, services, ...more })
   const routes = [
     route('once', 'once'),
     route('again', 'repeatable'),
--- a/src/soak/soak-history.ts
+++ b/src/soak/soak-history.ts
@@ -11,11 +11,11 @@
 import { Disturbances } from './disturbances.js'
 import { drawFaults, drawNotices } from './fault-draw.js'
 import type { SoakShape, TimedFault } from './fault-draw.js'
-import { FaultPlayer } from './fault-player.js'
+import { FaultInjector } from './fault-injector.js'
 import { NoticeChecker } from './notice-checker.js'
 import { PrecedenceChecker } from './precedence-checker.js'
 import type { RankedSummary } from './precedence-checker.js'
-import { GuaranteeChecker, holdMs } from './guarantee-checker.js'
+import { GuaranteeChecker, routeTimeoutMs } from './guarantee-checker.js'
 import { RankedCallers, drawBursts } from './ranked-callers.js'
 import { SoakCallers } from './soak-callers.js'
 import { SoakStage } from './soak-stage.js'
@@ -44,7 +44,7 @@
 /** Polling interval of conditions, ms. */
 const pollMs = 100
 /** Time after which all requests that still run at endpoints have ended, ms. */
-const settleMs = holdMs + 500
+const settleMs = routeTimeoutMs + 500
 
 export class SoakHistory {
   #lengthMs: number
@@ -52,7 +52,7 @@
   #testbed: SoakStage
   #checker: GuaranteeChecker
   #noticeChecker: NoticeChecker
-  #player: FaultPlayer
+  #injector: FaultInjector
   #callers: SoakCallers
   #precedenceChecker: PrecedenceChecker
   #rankedCallers: RankedCallers | null
@@ -66,13 +66,13 @@
     this.#checker = new GuaranteeChecker(disturbances)
     this.#testbed = new SoakStage(shape, seed, (name, code) => this.#checker.reportViolation('a process exited unexpectedly', `${name} with code ${code}`))
     this.#noticeChecker = new NoticeChecker(disturbances, this.#checker)
-    this.#player = new FaultPlayer(this.#testbed, disturbances, this.#checker)
+    this.#injector = new FaultInjector(this.#testbed, disturbances, this.#checker)
     this.#callers = new SoakCallers({
       seed,
       testbed: this.#testbed,
       checker: this.#checker,
       random: createRandom(seed),
-      countRestarts: gateway => this.#player.countRestarts(gateway)
+      countRestarts: gateway => this.#injector.countRestarts(gateway)
     })
     this.#precedenceChecker = new PrecedenceChecker(disturbances)
     const rankedOptions = { seed, testbed: this.#testbed, checker: this.#precedenceChecker, random: createRandom(seed) }
@@ -88,7 +88,7 @@
       this.#callers.start()
       this.#rankedCallers?.start()
       this.#crashCallers?.start()
-      await Promise.all([this.#player.playAll(this.#faults), sleep(this.#lengthMs)])
+      await Promise.all([this.#injector.injectAll(this.#faults), sleep(this.#lengthMs)])
       await this.#rankedCallers?.finish()
       await this.#crashCallers?.finish()
       await this.#callers.finish()
--- a/test/guarantee-checker.test.ts
+++ b/test/guarantee-checker.test.ts
@@ -1,16 +1,16 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { Disturbances, GuaranteeChecker } from '../src/soak/index.js'
-import type { WatchedCall } from '../src/soak/index.js'
+import type { CheckedCall } from '../src/soak/index.js'
 
-function createCall (version: number, sentAt: number, endedAt: number, more: Partial<WatchedCall> = {}): WatchedCall {
+function createCall (version: number, sentAt: number, endedAt: number, more: Partial<CheckedCall> = {}): CheckedCall {
   const result = { status: 200, body: '', isComplete: true, error: '', firstByteAt: endedAt, retryAfterMs: null }
   return { id: `call-${version}-${sentAt}`, gateway: 'gateway-0', gatewayRestarts: 0, kind: 'again', path: '', body: '', version, sentAt, endedAt, result, ...more }
 }
 
 // Guards against a false violation ("used version 8 after 9"): a call was accepted under version 8, version 9 came into force, a later
 // call was answered under 9, and 35 ms after that the endpoint answered the first call, 832 ms after it was sent.
-const answers: readonly { readonly name: string, readonly calls: readonly WatchedCall[], readonly isReverted: boolean }[] = [
+const answers: readonly { readonly name: string, readonly calls: readonly CheckedCall[], readonly isReverted: boolean }[] = [
   { name: 'an older one whose call was sent before the newer was seen', calls: [createCall(9, 800, 806), createCall(8, 10, 842)], isReverted: false },
   { name: 'an older one whose call was sent after the newer was seen', calls: [createCall(9, 800, 806), createCall(8, 810, 820)], isReverted: true },
   { name: 'an older one after a restart of the gateway', calls: [createCall(9, 800, 806), createCall(8, 810, 820, { gatewayRestarts: 1 })], isReverted: false },
