--- a/src/soak/precedence-checker.ts
+++ b/src/soak/precedence-checker.ts
@@ -22,15 +22,15 @@
 export interface RankedSummary {
   readonly kind: string
   readonly asked: number
-  /** Number of requests whose answer began. */
+  /** Number of requests whose answer began with status 200. */
   readonly served: number
-  /** Number of requests whose answer began within the kind's target. */
+  /** Number of served requests whose answer began within the kind's target. */
   readonly inTime: number
 }
 
 /** Length of the windows in which requests are compared, ms. */
 const windowMs = 5000
-/** A kind counts as denied in a window if at least `minDenied` of its requests, and more than `minDeniedShare` of them, got no answer; fewer may be chance. */
+/** A kind counts as denied in a window if at least `minDenied` of its requests, and more than `minDeniedShare` of them, got no successful answer; fewer may be chance. */
 const minDenied = 10
 const minDeniedShare = 1 / 12
 /** A violation requires that less urgent requests with more than this many times the denied tokens started in the same time. */
@@ -88,7 +88,7 @@
     const started = this.#calls.filter(({ kind: { priority }, firstByteAt }) => priority > kind.priority && firstByteAt !== null && firstByteAt >= first && firstByteAt < last)
     const [deniedTokens, startedTokens] = [denied, started].map(sumTokens)
     if (startedTokens <= minTokenRatio * deniedTokens) return null
-    return `${denied.length} of ${asked.length} ${kind.name} requests (${deniedTokens} tokens) got no answer in the ${windowMs} ms from ${Math.round(from)}, while less urgent requests of ${startedTokens} tokens started; first denied: ${denied[0].id}`
+    return `${denied.length} of ${asked.length} ${kind.name} requests (${deniedTokens} tokens) got no successful answer in the ${windowMs} ms from ${Math.round(from)}, while less urgent requests of ${startedTokens} tokens started; first denied: ${denied[0].id}`
   }
 
   #isUndisturbed (call: RankedCall): boolean {
--- a/src/soak/soak-history.ts
+++ b/src/soak/soak-history.ts
@@ -97,7 +97,7 @@
       this.#checker.checkRuns(this.#testbed.endpoints.flatMap(({ standin }) => standin.runs))
       this.#noticeChecker.checkArrivals(this.#testbed.endpoints)
       this.#crashCallers?.check()
-      for (const broken of this.#precedenceChecker.findViolations()) this.#checker.reportViolation('less urgent requests were served before more urgent ones', broken)
+      for (const violation of this.#precedenceChecker.findViolations()) this.#checker.reportViolation('less urgent requests were served before more urgent ones', violation)
       this.#checkLogs()
       return this.#report()
     } finally {
