--- a/src/soak/fault-proxy.ts
+++ b/src/soak/fault-proxy.ts
@@ -1,4 +1,4 @@
-/** A TCP proxy on loopback that misbehaves on command. */
+/** A TCP proxy on loopback that injects network faults. */
 import { connect, createServer } from 'node:net'
 import type { Server, Socket } from 'node:net'
 import { performance } from 'node:perf_hooks'
@@ -7,58 +7,58 @@
 import { DelayLine } from './delay-line.js'
 import type { ProxyMode } from './fault-draw.js'
 
-/** How late a delaying proxy passes bytes on, ms. */
+/** Delay of bytes in mode `delay`, ms. */
 const delayMs = 120
-/** What all connections of a narrow proxy share, bytes/ms: a document of some KB takes most of a second. */
-const narrowBytesPerMs = 10
+/** Rate shared by all connections in mode `throttle`, bytes/ms: a document of some KB takes most of a second. */
+const throttleBytesPerMs = 10
 
 export class FaultProxy {
   #server: Server
   #sockets = new Set<Socket>()
   #mode: ProxyMode = 'pass'
-  /** When a narrow proxy has carried all that came so far. */
+  /** When all bytes received so far will have been forwarded at the throttled rate. */
   #freeAt = 0
 
-  /** Connections are passed on to `host`, at the port that `port` gives then. */
+  /** Forwards connections to `host`; `port` is called for each connection. */
   constructor (host: string, port: () => number) {
-    this.#server = createServer(inner => this.#join(inner, connect(port(), host)))
+    this.#server = createServer(client => this.#connect(client, connect(port(), host)))
   }
 
-  /** Begins to take connections, on any free port where `port` is 0; resolves with it. */
+  /** Starts listening, on any free port if `port` is 0; resolves with the port. */
   listen (host: string, port = 0): Promise<number> {
     return listen(this.#server, { host, port })
   }
 
-  /** Treats connections so from now on; those that stand are reset for `reset`, and after silence, as their bytes are lost. */
-  set (mode: ProxyMode): void {
-    const isOver = this.#mode === 'silent' || this.#mode === 'one-way'
+  /** Sets how connections are treated from now on. Open connections are reset for `reset`, and after `silent` and `one-way`, as bytes of theirs are lost. */
+  setMode (mode: ProxyMode): void {
+    const hasLostBytes = this.#mode === 'silent' || this.#mode === 'one-way'
     this.#mode = mode
-    if (mode === 'reset' || isOver) for (const socket of this.#sockets) resetSocket(socket)
+    if (mode === 'reset' || hasLostBytes) for (const socket of this.#sockets) resetSocket(socket)
   }
 
-  /** Resets all connections and takes no more until `listen`, as where a process has died. */
+  /** Resets all connections and accepts no more until `listen`, like a crashed process. */
   halt (): void {
     this.#server.close()
     for (const socket of this.#sockets) resetSocket(socket)
   }
 
-  /** Ends the proxy and its connections. */
+  /** Closes the proxy and its connections. */
   close (): void {
     this.#server.close()
     for (const socket of this.#sockets) socket.destroy()
   }
 
-  #join (inner: Socket, outer: Socket): void {
+  #connect (client: Socket, upstream: Socket): void {
     if (this.#mode === 'reset') {
-      outer.destroy()
-      resetSocket(inner)
+      upstream.destroy()
+      resetSocket(client)
       return
     }
-    this.#pass(inner, outer, true)
-    this.#pass(outer, inner, false)
+    this.#forward(client, upstream, true)
+    this.#forward(upstream, client, false)
   }
 
-  #pass (from: Socket, to: Socket, isForth: boolean): void {
+  #forward (from: Socket, to: Socket, isToUpstream: boolean): void {
     const line = new DelayLine()
     this.#sockets.add(from)
     from.setNoDelay(true)
@@ -69,20 +69,20 @@
       line.close()
       to.destroy()
     })
-    from.on('data', chunk => this.#relay(chunk, to, line, isForth))
-    from.on('end', () => line.add(this.#measureDelay(0), () => to.end()))
+    from.on('data', chunk => this.#relay(chunk, to, line, isToUpstream))
+    from.on('end', () => line.add(this.#computeDelay(0), () => to.end()))
   }
 
-  #relay (chunk: Buffer, to: Socket, line: DelayLine, isForth: boolean): void {
-    if (this.#mode === 'silent' || (this.#mode === 'one-way' && !isForth)) return
-    line.add(this.#measureDelay(chunk.length), () => { to.write(chunk) })
+  #relay (chunk: Buffer, to: Socket, line: DelayLine, isToUpstream: boolean): void {
+    if (this.#mode === 'silent' || (this.#mode === 'one-way' && !isToUpstream)) return
+    line.add(this.#computeDelay(chunk.length), () => { to.write(chunk) })
   }
 
-  // How late bytes go on, ms.
-  #measureDelay (bytes: number): number {
+  // Delay until bytes are forwarded, ms.
+  #computeDelay (bytes: number): number {
     switch (this.#mode) {
       case 'delay': return delayMs
-      case 'narrow': return this.#carryNarrowly(bytes)
+      case 'throttle': return this.#reserveBandwidth(bytes)
       case 'pass':
       case 'reset':
       case 'one-way':
@@ -90,9 +90,9 @@
     }
   }
 
-  #carryNarrowly (bytes: number): number {
+  #reserveBandwidth (bytes: number): number {
     const now = performance.now()
-    this.#freeAt = Math.max(this.#freeAt, now) + bytes / narrowBytesPerMs
+    this.#freeAt = Math.max(this.#freeAt, now) + bytes / throttleBytesPerMs
     return this.#freeAt - now
   }
 }
