--- a/src/tasks/box-members.ts
+++ b/src/tasks/box-members.ts
@@ -1,4 +1,4 @@
-/** The other boxes as an entry box knows them: who there is, who shares the load, and the links to those it speaks to. */
+/** The other entry boxes known to a box: the membership, the boxes that share workspace limits, and links to peers. */
 import { performance } from 'node:perf_hooks'
 import type { EntrySettings } from '../config/index.js'
 import type { Member } from '../coordination/index.js'
@@ -9,35 +9,35 @@
 import { MemberTask } from './member-task.js'
 import { rotate } from './rotate.js'
 
-/** Boxes of the own zone that a box asks for configuration. */
-const zonePeers = 2
+/** Number of boxes in the same zone that a box polls for configuration at a time. */
+const maxZonePeers = 2
 
-/** The box that knows them. */
+/** Functions of the box that `BoxMembers` depends on. */
 export interface BoxMembersHost {
   readonly settings: EntrySettings
   readonly secret: string
   readonly links: LinkPool<BoxMessage>
   readonly log: EventLog
   readonly metrics: Metrics
-  /** A box came, changed or went; `isGone` where its requests are lost with it. */
+  /** Called when a box has joined, changed its state or gone. `isGone`: it has failed or left, and its requests are lost. */
   noteChange (id: BoxId, isGone: boolean): void
 }
 
 export class BoxMembers {
   #host: BoxMembersHost
   #task: MemberTask | null = null
-  #dialed = new Set<string>()
+  #dialedAddresses = new Set<string>()
 
   constructor (host: BoxMembersHost) {
     this.#host = host
   }
 
-  /** False before the box has taken its place among the others. */
+  /** True once `start` has been called. */
   get isStarted (): boolean { return this.#task !== null }
   get bytesIn (): number { return this.#task?.bytesIn ?? 0 }
   get bytesOut (): number { return this.#task?.bytesOut ?? 0 }
 
-  /** `port`: of the box's own links. */
+  /** Joins the membership. `port`: the port on which this box accepts links. */
   async start (incarnation: number, port: number): Promise<void> {
     const { settings, secret, metrics } = this.#host
     const { control, zone, id, members } = settings
@@ -62,27 +62,27 @@
       .map(member => ({ id: brandId<BoxId>(member.id), zone: brandId<ZoneName>(member.zone) }))
   }
 
-  /** Boxes that share the workspaces' limits with this one. */
+  /** The other boxes among which workspace limits are divided. */
   listSharers (): string[] {
     const remembered = this.#task?.remembered ?? []
     const sharers = listSharers(remembered.map(({ id, zone, state }) => ({ id, zone, isGone: state === 'gone' })))
     return sharers.filter(sharer => sharer.id !== this.#host.settings.id).map(sharer => sharer.id)
   }
 
-  /** Some boxes of the own zone, others for each `turn`. */
+  /** Some other boxes in the same zone; the choice rotates with `turn`. */
   listZonePeers (turn: number): Member[] {
     const { id, zone } = this.#host.settings
     const peers = this.#members.filter(member => member.zone === zone && member.id !== id)
-    return rotate(peers, turn).slice(0, zonePeers)
+    return rotate(peers, turn).slice(0, maxZonePeers)
   }
 
-  /** Dials those of the boxes that are known and not linked yet. */
-  dial (wanted: ReadonlySet<BoxId>): void {
+  /** Dials the given boxes, except those that are unknown or already dialed. */
+  dial (ids: ReadonlySet<BoxId>): void {
     for (const member of this.#members) {
-      if (member.id === this.#host.settings.id || !wanted.has(brandId<BoxId>(member.id))) continue
+      if (member.id === this.#host.settings.id || !ids.has(brandId<BoxId>(member.id))) continue
       const key = `${member.host}:${member.port}`
-      if (this.#dialed.has(key)) continue
-      this.#dialed.add(key)
+      if (this.#dialedAddresses.has(key)) continue
+      this.#dialedAddresses.add(key)
       this.#host.links.dial(member.host, member.port)
     }
   }
@@ -94,7 +94,7 @@
     const isGone = member.state === 'gone'
     if (isGone) {
       this.#host.links.hangUp(member.host, member.port)
-      this.#dialed.delete(`${member.host}:${member.port}`)
+      this.#dialedAddresses.delete(`${member.host}:${member.port}`)
     }
     this.#host.noteChange(brandId<BoxId>(member.id), isGone)
   }
--- a/src/tasks/caller-exchanges.ts
+++ b/src/tasks/caller-exchanges.ts
@@ -1,4 +1,4 @@
-/** The exchanges of an entry box's callers: what each needs of the box, what they may spend, and what is told of their ends. */
+/** Starts the request exchanges of an entry box, holds their retry budgets, and records their outcomes in logs and metrics. */
 import type { Agent, ServerResponse } from 'node:http'
 import { performance } from 'node:perf_hooks'
 import type { Configuration, Service, ServiceEndpoint } from '../config/index.js'
@@ -7,15 +7,15 @@
 import type { BoxId, Placer, RequestId, ZoneName } from '../core/index.js'
 import type { EventLog, Metrics } from '../runtime/index.js'
 import { ChatExchange } from './chat-exchange.js'
-import type { ChatHost, ChatOrder, ChatSummary } from './chat-exchange.js'
-import { Fault } from './fault.js'
+import type { ChatHost, ChatContext, ChatSummary } from './chat-exchange.js'
+import { RequestError } from './request-error.js'
 import type { KeeperClient } from './keeper-client.js'
 import type { Limits } from './limits.js'
 import { rotate } from './rotate.js'
 import { ServiceExchange } from './service-exchange.js'
-import type { ClaimEnd, ServiceHost, ServiceOrder, ServiceSummary } from './service-exchange.js'
+import type { ClaimOutcome, ServiceHost, ServiceContext, ServiceSummary } from './service-exchange.js'
 
-/** The box whose callers they are. */
+/** What the exchanges depend on. */
 export interface CallerExchangesHost {
   readonly id: BoxId
   readonly zone: ZoneName
@@ -26,52 +26,52 @@
   readonly keepers: KeeperClient
   readonly log: EventLog
   readonly metrics: Metrics
-  /** The configuration in force. */
+  /** The current configuration. */
   getConfiguration (): Configuration
 }
 
 export class CallerExchanges {
   #host: CallerExchangesHost
-  #budgets = new Map<string, RetryBudget>()
-  #requests = 0
-  #attempts = 0
-  #services = 0
+  #retryBudgets = new Map<string, RetryBudget>()
+  #requestCount = 0
+  #attemptCount = 0
+  #serviceCallsInFlight = 0
 
   constructor (host: CallerExchangesHost) {
     this.#host = host
   }
 
-  /** Requests that came so far. */
-  get requests (): number { return this.#requests }
-  /** Calls of services in flight. */
-  get services (): number { return this.#services }
+  /** Number of requests received since start. */
+  get requestCount (): number { return this.#requestCount }
+  /** Number of service calls in flight. */
+  get serviceCallsInFlight (): number { return this.#serviceCallsInFlight }
 
-  nextRequestId (): RequestId {
+  createRequestId (): RequestId {
     const { id, incarnation } = this.#host
-    this.#requests += 1
-    return brandId<RequestId>(`${id}-${incarnation.toString(36)}-${this.#requests.toString(36)}`)
+    this.#requestCount += 1
+    return brandId<RequestId>(`${id}-${incarnation.toString(36)}-${this.#requestCount.toString(36)}`)
   }
 
-  /** Throws a `Fault` where the workspace has used up its limit. */
-  startChat (order: ChatOrder, response: ServerResponse): void {
-    const answer = this.#host.limits.enter(order.workspace, order.promptTokens)
-    if (answer.type === 'over') {
-      throw new Fault('workspace-limit', `workspace ${order.workspace.name} has used up its limit`, { retryAfterMs: answer.retryAfterMs })
+  /** Throws a `RequestError` if the workspace has exceeded a limit. */
+  startChat (context: ChatContext, response: ServerResponse): void {
+    const admission = this.#host.limits.admit(context.workspace, context.promptTokens)
+    if (admission.type === 'over') {
+      throw new RequestError('workspace-limit', `workspace ${context.workspace.name} has exceeded a limit`, { retryAfterMs: admission.retryAfterMs })
     }
-    new ChatExchange(this.#createChatHost(), order, response).run()
+    new ChatExchange(this.#createChatHost(), context, response).run()
   }
 
-  startService (order: ServiceOrder, response: ServerResponse): void {
-    this.#services += 1
-    void new ServiceExchange(this.#createServiceHost(), order, response).run()
+  startService (context: ServiceContext, response: ServerResponse): void {
+    this.#serviceCallsInFlight += 1
+    void new ServiceExchange(this.#createServiceHost(), context, response).run()
   }
 
-  noteRefused (requestId: string, fault: Fault): void {
-    this.#host.metrics.count('requests', { kind: fault.kind })
-    this.#host.log.info('refused', { request: requestId, kind: fault.kind, text: fault.message })
+  noteRefused (requestId: string, error: RequestError): void {
+    this.#host.metrics.count('requests', { kind: error.kind })
+    this.#host.log.info('refused', { request: requestId, kind: error.kind, text: error.message })
   }
 
-  // Chats.
+  // Chat completions.
 
   #createChatHost (): ChatHost {
     const { id, agent, placer } = this.#host
@@ -85,30 +85,30 @@
       noteFirstToken: request => placer.noteFirstToken(request),
       end: (request, how, tokens, backoffMs) => placer.end(request, how, tokens, backoffMs),
       cancel: request => placer.cancel(request),
-      takeRetry: name => this.#openBudget(name).take(),
+      takeRetry: name => this.#getRetryBudget(name).take(),
       noteEnd: summary => this.#noteChatEnd(summary)
     }
   }
 
-  #openBudget (name: string): RetryBudget {
-    const known = this.#budgets.get(name)
-    if (known !== undefined) return known
-    const made = new RetryBudget()
-    this.#budgets.set(name, made)
-    return made
+  #getRetryBudget (name: string): RetryBudget {
+    const existing = this.#retryBudgets.get(name)
+    if (existing !== undefined) return existing
+    const created = new RetryBudget()
+    this.#retryBudgets.set(name, created)
+    return created
   }
 
   #noteChatEnd (summary: ChatSummary): void {
-    const { order, kind, tokens, firstTokenMs } = summary
+    const { context, kind, tokens, firstTokenMs } = summary
     const { limits, log } = this.#host
-    limits.leave(order.workspace.name, tokens)
-    if (kind === 'ok') this.#openBudget(order.class.name).noteSuccess()
-    const met = kind === 'ok' && firstTokenMs !== null && firstTokenMs <= order.class.firstTokenMs
-    this.#countChat(summary, met)
+    limits.release(context.workspace.name, tokens)
+    if (kind === 'ok') this.#getRetryBudget(context.class.name).noteSuccess()
+    const isTargetMet = kind === 'ok' && firstTokenMs !== null && firstTokenMs <= context.class.firstTokenMs
+    this.#countChat(summary, isTargetMet)
     log.info('request', {
-      request: order.requestId,
-      workspace: order.workspace.name,
-      class: order.class.name,
+      request: context.requestId,
+      workspace: context.workspace.name,
+      class: context.class.name,
       kind,
       status: summary.status,
       attempts: summary.attempts,
@@ -116,60 +116,60 @@
       tokens,
       firstTokenMs: firstTokenMs === null ? null : Math.round(firstTokenMs),
       totalMs: Math.round(summary.totalMs),
-      met
+      met: isTargetMet
     })
   }
 
-  #countChat ({ order, kind, wastedTokens, firstTokenMs }: ChatSummary, met: boolean): void {
+  #countChat ({ context, kind, wastedTokens, firstTokenMs }: ChatSummary, isTargetMet: boolean): void {
     const { metrics } = this.#host
-    const tags = { class: order.class.name }
+    const tags = { class: context.class.name }
     metrics.count('requests', { ...tags, kind })
-    if (met) metrics.count('goodput', tags)
+    if (isTargetMet) metrics.count('goodput', tags)
     if (wastedTokens > 0) metrics.count('wasted-tokens', tags, wastedTokens)
     if (firstTokenMs !== null) metrics.time('first-token', firstTokenMs, tags)
   }
 
-  // Calls of services.
+  // Service calls.
 
   #createServiceHost (): ServiceHost {
     return {
       agent: this.#host.agent,
       now: () => performance.now(),
-      nextAttempt: () => this.#nextAttempt(),
+      createAttemptId: () => this.#createAttemptId(),
       sendClaim: (command, timeoutMs) => this.#sendClaim(command, timeoutMs),
       orderEndpoints: service => this.#orderEndpoints(service),
       noteEnd: summary => this.#noteServiceEnd(summary)
     }
   }
 
-  #nextAttempt (): string {
+  #createAttemptId (): string {
     const { id, incarnation } = this.#host
-    this.#attempts += 1
-    return `${id}/${incarnation}/${this.#attempts}`
+    this.#attemptCount += 1
+    return `${id}/${incarnation}/${this.#attemptCount}`
   }
 
-  async #sendClaim (command: ClaimCommand, timeoutMs: number): Promise<ClaimEnd> {
+  async #sendClaim (command: ClaimCommand, timeoutMs: number): Promise<ClaimOutcome> {
     const { keepers } = this.#host
     if (command.type === 'claim' && !keepers.isConnected) return { type: 'unsent' }
-    const end = await keepers.call({ type: 'command', command: { part: 'claims', command } }, timeoutMs)
-    if (end.type !== 'reply') return end
-    if (end.reply.type !== 'result') return { type: 'unanswered' }
-    return { type: 'result', result: end.reply.result as Extract<ClaimEnd, { type: 'result' }>['result'] }
+    const outcome = await keepers.call({ type: 'command', command: { part: 'claims', command } }, timeoutMs)
+    if (outcome.type !== 'reply') return outcome
+    if (outcome.reply.type !== 'result') return { type: 'unanswered' }
+    return { type: 'result', result: outcome.reply.result as Extract<ClaimOutcome, { type: 'result' }>['result'] }
   }
 
   #orderEndpoints (service: Service): readonly ServiceEndpoint[] {
-    const near = service.endpoints.filter(endpoint => endpoint.zone === this.#host.zone)
-    const far = service.endpoints.filter(endpoint => endpoint.zone !== this.#host.zone)
-    return [...rotate(near, this.#attempts), ...rotate(far, this.#attempts)]
+    const sameZone = service.endpoints.filter(endpoint => endpoint.zone === this.#host.zone)
+    const otherZones = service.endpoints.filter(endpoint => endpoint.zone !== this.#host.zone)
+    return [...rotate(sameZone, this.#attemptCount), ...rotate(otherZones, this.#attemptCount)]
   }
 
-  #noteServiceEnd ({ order, kind, status, totalMs }: ServiceSummary): void {
-    this.#services -= 1
-    this.#host.metrics.count('calls', { service: order.service.name, kind })
+  #noteServiceEnd ({ context, kind, status, totalMs }: ServiceSummary): void {
+    this.#serviceCallsInFlight -= 1
+    this.#host.metrics.count('calls', { service: context.service.name, kind })
     this.#host.log.info('call', {
-      request: order.requestId,
-      workspace: order.workspace,
-      service: order.service.name,
+      request: context.requestId,
+      workspace: context.workspace,
+      service: context.service.name,
       kind,
       status,
       totalMs: Math.round(totalMs)
--- a/src/tasks/chat-body.ts
+++ b/src/tasks/chat-body.ts
@@ -1,15 +1,15 @@
-/** The bodies that engines are sent. */
+/** Request bodies for engines. */
 import type { ChatRequest } from '../protocol/index.js'
 
-/** How far the answer has come, for an attempt that goes on with it. */
+/** The part of a response that has been received, for an attempt that resumes it. */
 export interface ChatProgress {
   readonly text: string
   readonly tokens: number
 }
 
 /**
- * True where an answer can be put together from its streamed text alone, and so
- * be resumed: no tools, no choices, nothing beside the text.
+ * True if the response consists of a single streamed text, so that it can be
+ * resumed: no tools, no audio, no log probabilities, and only one choice.
  */
 export function isTextOnly (chat: ChatRequest): boolean {
   if (chat.tools !== undefined || chat.functions !== undefined || chat.logprobs === true || chat.audio !== undefined) return false
@@ -17,9 +17,9 @@
 }
 
 /**
- * The body for one attempt. Engines always stream, so that an answer can be
- * cancelled, timed and resumed; a resumed one has its beginning as the last
- * message, which the engine is asked to continue.
+ * Composes the body for one attempt. Engines always stream, so that a response can
+ * be cancelled, timed and resumed. To resume a response, its received text is sent
+ * as the last message and the engine is asked to continue that message.
  */
 export function composeEngineBody (chat: ChatRequest, priority: number, progress: ChatProgress | null): string {
   const body: Record<string, unknown> = {
--- a/src/tasks/config-follower.ts
+++ b/src/tasks/config-follower.ts
@@ -1,6 +1,6 @@
 /**
- * A box's copy of the configuration. It moves forward only, whoever brings the
- * word: a keeper, a box of the zone, or the file of an earlier start.
+ * A box's copy of the configuration, updated by keepers, by boxes in the same zone
+ * or from the cache file of an earlier run. Its revision never decreases.
  */
 import { readFileSync } from 'node:fs'
 import { open, rename } from 'node:fs/promises'
@@ -20,20 +20,20 @@
   #recent: Revision[] = []
   #configuration: Configuration = readConfiguration({}, 0)
   #cacheFile: string
-  #saving = false
-  #changed: (configuration: Configuration) => void
+  #isSaving = false
+  #noteChanged: (configuration: Configuration) => void
 
-  /** `cacheFile` may be empty; `changed` is called after every step forward. */
-  constructor (cacheFile: string, changed: (configuration: Configuration) => void) {
+  /** `cacheFile`: empty for no cache. `noteChanged` is called after every update. */
+  constructor (cacheFile: string, noteChanged: (configuration: Configuration) => void) {
     this.#cacheFile = cacheFile
-    this.#changed = changed
+    this.#noteChanged = noteChanged
   }
 
   get revision (): number { return this.#revision }
   get document (): Document { return this.#document }
   get configuration (): Configuration { return this.#configuration }
 
-  /** Takes what an earlier start kept, if there is any. */
+  /** Loads the cache file if there is one. */
   load (): void {
     if (this.#cacheFile === '') return
     let text
@@ -46,33 +46,33 @@
       const cached = JSON.parse(text) as Cached
       this.takeWhole(cached.document, cached.revision)
     } catch {
-      // A cache that can't be read is no cache: the keepers or peers have it.
+      // An unreadable cache is ignored; keepers or peers supply the configuration.
     }
   }
 
-  /** Takes accepted revisions; false where some before them are missing. */
+  /** Applies accepted revisions. Returns false if earlier revisions are missing. */
   takeRevisions (revisions: readonly Revision[]): boolean {
-    const fresh = revisions.filter(one => one.revision > this.#revision)
-    if (fresh.length === 0) return true
-    if (fresh[0].revision !== this.#revision + 1) return false
+    const newer = revisions.filter(item => item.revision > this.#revision)
+    if (newer.length === 0) return true
+    if (newer[0].revision !== this.#revision + 1) return false
     let document = this.#document
-    for (const one of fresh) document = applyChanges(document, one.changes)
-    this.#recent.push(...fresh)
+    for (const item of newer) document = applyChanges(document, item.changes)
+    this.#recent.push(...newer)
     if (this.#recent.length > 256) this.#recent.splice(0, this.#recent.length - 256)
-    this.#set(document, fresh[fresh.length - 1].revision)
+    this.#set(document, newer[newer.length - 1].revision)
     return true
   }
 
-  /** Takes a whole document, where it's newer. */
+  /** Replaces the document if `revision` is newer than the current one. */
   takeWhole (document: Document, revision: number): void {
     if (revision <= this.#revision) return
     this.#recent = []
     this.#set(document, revision)
   }
 
-  /** What a peer with `revision` lacks; null where only the whole will do. */
+  /** The revisions after `revision`; null if they are no longer all available, so that the full document must be sent. */
   findSince (revision: number): Revision[] | null {
-    const since = this.#recent.filter(one => one.revision > revision)
+    const since = this.#recent.filter(item => item.revision > revision)
     return since.length === this.#revision - revision ? since : null
   }
 
@@ -80,13 +80,13 @@
     this.#document = document
     this.#revision = revision
     this.#configuration = readConfiguration(document, revision)
-    this.#changed(this.#configuration)
+    this.#noteChanged(this.#configuration)
     if (this.#cacheFile !== '') void this.#save()
   }
 
   async #save (): Promise<void> {
-    if (this.#saving) return
-    this.#saving = true
+    if (this.#isSaving) return
+    this.#isSaving = true
     try {
       let saved = -1
       while (saved !== this.#revision) {
@@ -94,9 +94,9 @@
         await this.#write(JSON.stringify({ document: this.#document, revision: saved }))
       }
     } catch {
-      // Without a cache a start while cut off has less; nothing else needs it.
+      // The cache is needed only by a restart while neither keepers nor peers are reachable.
     } finally {
-      this.#saving = false
+      this.#isSaving = false
     }
   }
 
--- a/src/tasks/engine-watch.ts
+++ b/src/tasks/engine-poller.ts
@@ -1,49 +1,52 @@
-/** Reads the load reports and cache events of the engines that this box schedules. */
+/** Polls the load reports and cache events of the engines that this box schedules. */
 import { get } from 'node:http'
 import type { Agent } from 'node:http'
 import type { EngineEntry } from '../config/index.js'
 import type { LoadReport } from '../core/index.js'
 
-/** What the watch needs of its box. */
-export interface EngineWatchHost {
+/** Functions of the box that the poller depends on. */
+export interface EnginePollerHost {
   readonly agent: Agent
-  /** The engines to watch now. */
+  /** The engines to poll. */
   listEngines (): readonly EngineEntry[]
   noteReport (engine: EngineEntry, report: LoadReport): void
+  /** `prefixes`: the digests of evicted prefixes; `unknown` if events may have been missed. */
   noteEvicted (engine: EngineEntry, prefixes: readonly string[] | 'unknown'): void
 }
 
-const everyMs = 1000
-const perEngineMs = 150
-const eventsEveryTurn = 3
-const timeoutMs = 2000
-const largestAnswer = 256 * 1024
+const tickIntervalMs = 1000
+/** The interval between polls is this time multiplied by the number of engines. */
+const intervalPerEngineMs = 150
+/** Cache events are read in one of this many polls. */
+const cacheEventsDivisor = 3
+const requestTimeoutMs = 2000
+const maxResponseLength = 256 * 1024
 
-export class EngineWatch {
-  #host: EngineWatchHost
+export class EnginePoller {
+  #host: EnginePollerHost
   #timer: NodeJS.Timeout
-  #nextAt = 0
-  #turn = 0
-  #missed = new Set<string>()
+  #remainingMs = 0
+  #pollCount = 0
+  #enginesWithMissedEvents = new Set<string>()
 
-  constructor (host: EngineWatchHost) {
+  constructor (host: EnginePollerHost) {
     this.#host = host
-    this.#timer = setInterval(() => this.#poll(host.listEngines()), everyMs)
+    this.#timer = setInterval(() => this.#poll(host.listEngines()), tickIntervalMs)
   }
 
   close (): void {
     clearInterval(this.#timer)
   }
 
-  // With many engines each is asked less often, so the traffic stays the same.
+  // The more engines there are, the less often each is polled, so that the traffic stays constant.
   #poll (engines: readonly EngineEntry[]): void {
-    this.#nextAt -= everyMs
-    if (this.#nextAt > 0) return
-    this.#nextAt = engines.length * perEngineMs
-    this.#turn += 1
+    this.#remainingMs -= tickIntervalMs
+    if (this.#remainingMs > 0) return
+    this.#remainingMs = engines.length * intervalPerEngineMs
+    this.#pollCount += 1
     for (const engine of engines) {
       void this.#readReport(engine)
-      if (this.#turn % eventsEveryTurn === 0) void this.#readEvents(engine)
+      if (this.#pollCount % cacheEventsDivisor === 0) void this.#readEvents(engine)
     }
   }
 
@@ -53,25 +56,25 @@
     this.#host.noteReport(engine, { running: report.running ?? 0, waiting: report.waiting ?? 0, kvUsed: report.kvUsed ?? 0, stepMs: report.stepMs, leaving: report.leaving === true })
   }
 
-  // A poll that failed may have lost events: what is cached is unknown then.
+  // Events may have been lost with a failed poll, so the content of the cache is then unknown.
   async #readEvents (engine: EngineEntry): Promise<void> {
     const events = await this.#fetch(engine, '/v1/cache/events') as { evicted?: string[] } | null
     if (events === null) {
-      this.#missed.add(engine.id)
+      this.#enginesWithMissedEvents.add(engine.id)
       return
     }
-    if (this.#missed.delete(engine.id)) this.#host.noteEvicted(engine, 'unknown')
+    if (this.#enginesWithMissedEvents.delete(engine.id)) this.#host.noteEvicted(engine, 'unknown')
     if (events.evicted !== undefined && events.evicted.length > 0) this.#host.noteEvicted(engine, events.evicted)
   }
 
   #fetch (engine: EngineEntry, path: string): Promise<unknown> {
     return new Promise(resolve => {
-      const request = get({ host: engine.host, port: engine.port, path, agent: this.#host.agent, timeout: timeoutMs }, response => {
+      const request = get({ host: engine.host, port: engine.port, path, agent: this.#host.agent, timeout: requestTimeoutMs }, response => {
         let text = ''
         response.setEncoding('utf8')
         response.on('data', (chunk: string) => {
           text += chunk
-          if (text.length > largestAnswer) request.destroy()
+          if (text.length > maxResponseLength) request.destroy()
         })
         response.on('end', () => resolve(response.statusCode === 200 ? parseJson(text) : null))
         response.on('error', () => resolve(null))
--- a/src/tasks/engine-stream.ts
+++ b/src/tasks/engine-stream.ts
@@ -1,12 +1,13 @@
 /**
- * One attempt at an engine: the request in the published protocol, the answer
- * as events. Bytes count as written from the moment a socket is connected.
+ * One attempt at an engine: sends the chat completion request and reads the
+ * response as server-sent events. Bytes count as written as soon as a socket is
+ * connected.
  */
 import { request as httpRequest } from 'node:http'
 import type { Agent, ClientRequest, IncomingMessage } from 'node:http'
 import { SseSplitter, readBackoffMs } from '../protocol/index.js'
 
-/** Where and what to ask. */
+/** An engine address and the request to send to it. */
 export interface EngineCall {
   readonly host: string
   readonly port: number
@@ -15,7 +16,7 @@
   readonly requestId: string
 }
 
-/** How an attempt failed. */
+/** How an attempt failed. `silent`: time-out; `status`: a retryable error status. */
 export type EngineFailure =
   | 'unreachable'
   | 'reset'
@@ -23,38 +24,38 @@
   | 'broken-events'
   | 'status'
 
-/** What an attempt does as its answer comes in. */
-export interface EngineSink {
-  /** The engine has begun to answer. */
+/** Callbacks for the response. Exactly one of `finish`, `reject` and `fail` is called, unless the attempt is cancelled. */
+export interface EngineStreamHandler {
+  /** Called when a response with status 200 begins. */
   begin (): void
-  /** Whole events; returns false to be paused until `resume`. */
-  take (events: readonly Buffer[]): boolean
-  /** The stream has ended by the engine's will. */
+  /** Receives complete events. Returns false to pause the stream until `resume` is called. */
+  receive (events: readonly Buffer[]): boolean
+  /** Called when the engine has ended the stream. */
   finish (): void
-  /** The engine answered with an error of its own: the request is at fault. */
+  /** Called for a status other than 200 that is not retryable; the request is assumed to be invalid. */
   reject (status: number, body: string): void
-  /** `backoffMs`: how long the engine wants no work, where it says so. */
+  /** `backoffMs`: time for which the engine asked to get no further requests; 0 if it did not ask. */
   fail (failure: EngineFailure, backoffMs?: number): void
 }
 
-const largestErrorBody = 64 * 1024
-const engineBusyStatuses = new Set([429, 500, 502, 503, 504])
+const maxErrorBodyLength = 64 * 1024
+const retryableStatuses = new Set([429, 500, 502, 503, 504])
 
 export class EngineStream {
-  #sink: EngineSink
+  #handler: EngineStreamHandler
   #request: ClientRequest
   #response: IncomingMessage | null = null
   #splitter = new SseSplitter()
-  #ended = false
-  #idle: NodeJS.Timeout | null = null
-  #idleMs: number
-  #armedMs = 0
-  wroteBytes = false
-
-  /** `firstMs`: time for the first event; `idleMs`: time between events after it. */
-  constructor (call: EngineCall, sink: EngineSink, firstMs: number, idleMs: number) {
-    this.#sink = sink
-    this.#idleMs = idleMs
+  #isEnded = false
+  #timer: NodeJS.Timeout | null = null
+  #idleTimeoutMs: number
+  #timerMs = 0
+  hasWrittenBytes = false
+
+  /** `firstEventTimeoutMs` applies until the first event, `idleTimeoutMs` between later events. */
+  constructor (call: EngineCall, handler: EngineStreamHandler, firstEventTimeoutMs: number, idleTimeoutMs: number) {
+    this.#handler = handler
+    this.#idleTimeoutMs = idleTimeoutMs
     this.#request = httpRequest({
       host: call.host,
       port: call.port,
@@ -68,42 +69,42 @@
       }
     })
     this.#request.on('socket', socket => {
-      if (socket.connecting) socket.once('connect', () => { this.wroteBytes = true })
-      else this.wroteBytes = true
+      if (socket.connecting) socket.once('connect', () => { this.hasWrittenBytes = true })
+      else this.hasWrittenBytes = true
     })
     this.#request.on('response', response => this.#receive(response))
-    this.#request.on('error', () => this.#fail(this.wroteBytes ? 'reset' : 'unreachable'))
+    this.#request.on('error', () => this.#fail(this.hasWrittenBytes ? 'reset' : 'unreachable'))
     this.#request.end(call.body)
-    this.#arm(firstMs)
+    this.#startTimer(firstEventTimeoutMs)
   }
 
-  /** Ends the attempt; the engine sees its connection close and stops. */
+  /** Ends the attempt by closing the connection, which makes the engine stop generating. */
   cancel (): void {
     this.#end()
     this.#request.destroy()
   }
 
-  /** Goes on after `take` returned false. */
+  /** Resumes the stream after `receive` has returned false. */
   resume (): void {
-    if (this.#ended) return
-    this.#arm(this.#idleMs)
+    if (this.#isEnded) return
+    this.#startTimer(this.#idleTimeoutMs)
     this.#response?.resume()
   }
 
   #receive (response: IncomingMessage): void {
-    if (this.#ended) return
+    if (this.#isEnded) return
     this.#response = response
     response.on('error', () => this.#fail('reset'))
     response.on('close', () => this.#fail('reset'))
     const status = response.statusCode ?? 0
     if (status !== 200) return this.#readError(status, response)
-    this.#sink.begin()
+    this.#handler.begin()
     response.on('data', (chunk: Buffer) => this.#read(chunk))
     response.on('end', () => this.#finish())
   }
 
   #read (chunk: Buffer): void {
-    if (this.#ended) return
+    if (this.#isEnded) return
     let events
     try {
       events = this.#splitter.push(chunk)
@@ -111,57 +112,57 @@
       return this.#fail('broken-events')
     }
     if (events.length === 0) return
-    this.#arm(this.#idleMs)
-    if (this.#sink.take(events) || this.#ended) return
-    this.#disarm()
+    this.#startTimer(this.#idleTimeoutMs)
+    if (this.#handler.receive(events) || this.#isEnded) return
+    this.#stopTimer()
     this.#response?.pause()
   }
 
   #finish (): void {
-    if (this.#ended) return
+    if (this.#isEnded) return
     this.#end()
-    this.#sink.finish()
+    this.#handler.finish()
   }
 
   #readError (status: number, response: IncomingMessage): void {
-    if (engineBusyStatuses.has(status)) {
+    if (retryableStatuses.has(status)) {
       response.resume()
       return this.#fail('status', readBackoffMs(status, response.headers, Date.now()) ?? 0)
     }
     let body = ''
-    response.on('data', (chunk: Buffer) => { if (body.length < largestErrorBody) body += chunk.toString() })
+    response.on('data', (chunk: Buffer) => { if (body.length < maxErrorBodyLength) body += chunk.toString() })
     response.on('end', () => {
-      if (this.#ended) return
+      if (this.#isEnded) return
       this.#end()
-      this.#sink.reject(status, body)
+      this.#handler.reject(status, body)
     })
   }
 
   #fail (failure: EngineFailure, backoffMs = 0): void {
-    if (this.#ended) return
+    if (this.#isEnded) return
     this.#end()
     this.#request.destroy()
-    this.#sink.fail(failure, backoffMs)
+    this.#handler.fail(failure, backoffMs)
   }
 
   #end (): void {
-    this.#ended = true
-    this.#disarm()
+    this.#isEnded = true
+    this.#stopTimer()
   }
 
-  // The timer of the first event gives way to one that each event refreshes.
-  #arm (ms: number): void {
-    if (this.#idle !== null && this.#armedMs === ms) {
-      this.#idle.refresh()
+  // Reuses the running timer if it has the same duration, so that events only refresh it.
+  #startTimer (ms: number): void {
+    if (this.#timer !== null && this.#timerMs === ms) {
+      this.#timer.refresh()
       return
     }
-    this.#disarm()
-    this.#armedMs = ms
-    this.#idle = setTimeout(() => this.#fail('silent'), ms)
+    this.#stopTimer()
+    this.#timerMs = ms
+    this.#timer = setTimeout(() => this.#fail('silent'), ms)
   }
 
-  #disarm (): void {
-    if (this.#idle !== null) clearTimeout(this.#idle)
-    this.#idle = null
+  #stopTimer (): void {
+    if (this.#timer !== null) clearTimeout(this.#timer)
+    this.#timer = null
   }
 }
--- a/src/tasks/entry-box.ts
+++ b/src/tasks/entry-box.ts
@@ -1,6 +1,7 @@
 /**
- * An entry box: its tasks, put together. Callers come in over HTTP; keepers
- * bring the configuration; other boxes own some shards, this one owns others.
+ * An entry box: connects its tasks. Callers send requests over HTTP, keepers
+ * supply the configuration, and this box runs the schedulers of the shards that
+ * it owns while it submits requests to shards of other boxes too.
  */
 import { Agent } from 'node:http'
 import { performance } from 'node:perf_hooks'
@@ -15,83 +16,82 @@
 import { CallerExchanges } from './caller-exchanges.js'
 import { CallerServer } from './caller-server.js'
 import { ConfigFollower } from './config-follower.js'
-import { sendNews } from './config-news.js'
-import { ConfigSpread } from './config-spread.js'
-import { EngineWatch } from './engine-watch.js'
+import { sendConfigUpdate } from './config-update.js'
+import { ConfigSync } from './config-sync.js'
+import { EnginePoller } from './engine-poller.js'
 import { KeeperClient } from './keeper-client.js'
 import { Limits } from './limits.js'
-import { LoadTeller } from './load-teller.js'
+import { ShardLoadReporter } from './shard-load-reporter.js'
 import { OpenLinks } from './open-links.js'
-import { describeOwned } from './owner-status.js'
-import { ShardDirectory, configureShard, listReporting } from './shard-directory.js'
+import { describeOwnedShards } from './owner-status.js'
+import { ShardDirectory, configureShard, listReportingEngines } from './shard-directory.js'
 import { ShardOwner } from './shard-owner.js'
 
-/** What an entry box is given beside its settings. */
-export interface EntrySurroundings {
+/** What an entry box depends on besides its settings. */
+export interface EntryDependencies {
   readonly log: EventLog
   readonly metrics: Metrics
   readonly secret: string
 }
 
-/** Loads are told, waiting requests looked at, and configuration asked for this often, ms. */
-const loadsEveryMs = 250
-const tickEveryMs = 100
-const watchEveryMs = 2000
-/** A planned stop looks this often whether all is done, ms. */
-const stopPollMs = 20
-/** Sockets to one engine: far beyond its places. */
-const engineSockets = 4096
+const loadReportIntervalMs = 250
+const placerTickIntervalMs = 100
+const configPollIntervalMs = 2000
+/** Interval at which a graceful shutdown checks for requests in flight. */
+const drainPollIntervalMs = 20
+/** Sockets per engine; far above the number of concurrent requests that an engine serves. */
+const maxEngineSockets = 4096
 
 export class EntryBox {
   readonly id: BoxId
   readonly zone: ZoneName
   readonly settings: EntrySettings
-  #around: EntrySurroundings
+  #dependencies: EntryDependencies
   #incarnation = Date.now()
   #links: LinkPool<BoxMessage>
   #openLinks = new OpenLinks<BoxMessage>()
-  #loadTeller = new LoadTeller(this.#openLinks)
+  #loadReporter = new ShardLoadReporter(this.#openLinks)
   #keepers: KeeperClient
   #follower: ConfigFollower
-  #spread: ConfigSpread
+  #configSync: ConfigSync
   #members: BoxMembers
   #exchanges: CallerExchanges
   #owner: ShardOwner
   #placer: Placer
   #limits: Limits
-  #watch: EngineWatch
+  #enginePoller: EnginePoller
   #server: CallerServer
-  #agent = new Agent({ keepAlive: true, maxSockets: engineSockets, maxFreeSockets: 256, scheduling: 'lifo' })
+  #agent = new Agent({ keepAlive: true, maxSockets: maxEngineSockets, maxFreeSockets: 256, scheduling: 'lifo' })
   #directory: ShardDirectory
   #timers: NodeJS.Timeout[] = []
-  #leaving = false
-  #killed = false
+  #isLeaving = false
+  #isKilled = false
   #violations = 0
   port = 0
   controlPort = 0
 
-  constructor (settings: EntrySettings, around: EntrySurroundings) {
+  constructor (settings: EntrySettings, dependencies: EntryDependencies) {
     this.id = brandId<BoxId>(settings.id)
     this.zone = brandId<ZoneName>(settings.zone)
     this.settings = settings
     this.#directory = new ShardDirectory({ id: this.id, zone: this.zone }, settings.enginesPerShard)
-    this.#around = around
+    this.#dependencies = dependencies
     const now = (): number => performance.now()
     this.#links = new LinkPool({
       id: settings.id,
-      secret: around.secret,
-      clock: around.log.clock,
+      secret: dependencies.secret,
+      clock: dependencies.log.clock,
       receive: (link, message) => this.#receive(link, message),
       noteOpen: link => this.#noteOpen(link),
       noteClosed: link => this.#openLinks.remove(link),
       noteFault: (fault, peer) => {
-        around.metrics.count('link-fault', { fault })
-        around.log.warn('link-fault', { fault, peer })
+        dependencies.metrics.count('link-fault', { fault })
+        dependencies.log.warn('link-fault', { fault, peer })
       }
     })
     this.#keepers = new KeeperClient(settings.keepers, this.#links, now)
     this.#follower = new ConfigFollower(settings.cacheFile, configuration => this.#noteConfiguration(configuration))
-    this.#spread = new ConfigSpread({
+    this.#configSync = new ConfigSync({
       keepers: settings.keepers.map(({ id }) => id),
       links: this.#openLinks,
       follower: this.#follower,
@@ -101,32 +101,32 @@
     this.#owner = new ShardOwner({
       now,
       random: Math.random,
-      answer: (box, shard, answer) => this.#answerShard(box, shard, answer),
+      reply: (box, shard, reply) => this.#sendShardReply(box, shard, reply),
       noteViolation: (rule, detail) => this.#noteViolation(rule, detail),
-      noteYield: (request, engine, to) => around.log.info('yield', { request, engine, to })
+      noteYield: (request, engine, to) => dependencies.log.info('yield', { request, engine, to })
     })
     this.#placer = new Placer({
       box: this.id,
       zone: this.zone,
       now,
       random: Math.random,
-      send: (owner, shard, word) => this.#sendShard(owner, shard, word),
+      send: (owner, shard, message) => this.#sendShardMessage(owner, shard, message),
       isReachable: owner => owner === this.id || this.#openLinks.find(owner) !== undefined,
       noteViolation: (rule, detail) => this.#noteViolation(rule, detail)
     })
     this.#limits = new Limits(now)
-    this.#watch = new EngineWatch({
+    this.#enginePoller = new EnginePoller({
       agent: this.#agent,
-      listEngines: () => listReporting(this.#owner.shards, this.configuration),
-      noteReport: (engine, report) => this.#noteEngine(engine.id, shard => this.#owner.noteEngine(shard, { type: 'report', at: now(), engine: engine.id, report })),
-      noteEvicted: (engine, prefixes) => this.#noteEngine(engine.id, shard => this.#owner.noteEngine(shard, { type: 'evicted', at: now(), engine: engine.id, prefixes }))
+      listEngines: () => listReportingEngines(this.#owner.shards, this.configuration),
+      noteReport: (engine, report) => this.#notifyShardOf(engine.id, shard => this.#owner.noteEngine(shard, { type: 'report', at: now(), engine: engine.id, report })),
+      noteEvicted: (engine, prefixes) => this.#notifyShardOf(engine.id, shard => this.#owner.noteEngine(shard, { type: 'evicted', at: now(), engine: engine.id, prefixes }))
     })
     this.#members = new BoxMembers({
       settings,
-      secret: around.secret,
+      secret: dependencies.secret,
       links: this.#links,
-      log: around.log,
-      metrics: around.metrics,
+      log: dependencies.log,
+      metrics: dependencies.metrics,
       noteChange: (id, isGone) => this.#noteMember(id, isGone)
     })
     this.#exchanges = new CallerExchanges({
@@ -137,24 +137,24 @@
       placer: this.#placer,
       limits: this.#limits,
       keepers: this.#keepers,
-      log: around.log,
-      metrics: around.metrics,
+      log: dependencies.log,
+      metrics: dependencies.metrics,
       getConfiguration: () => this.configuration
     })
     this.#server = new CallerServer(this.#createCallerHost(now))
   }
 
   get configuration (): Configuration { return this.#follower.configuration }
-  get inFlight (): number { return this.#placer.inFlight + this.#exchanges.services }
+  get inFlight (): number { return this.#placer.inFlight + this.#exchanges.serviceCallsInFlight }
   get violations (): number { return this.#violations }
-  /** True where a link to another box is open. */
+  /** True if a link to the box is open. */
   isLinked (box: BoxId): boolean { return this.#openLinks.find(box) !== undefined }
   get traffic (): { readonly bytesIn: number, readonly bytesOut: number } {
     const { bytesIn, bytesOut } = this.#links.traffic
     return { bytesIn: bytesIn + this.#members.bytesIn, bytesOut: bytesOut + this.#members.bytesOut }
   }
 
-  /** Opens all sockets and begins to serve. */
+  /** Opens all sockets and starts serving. */
   async start (): Promise<void> {
     this.#follower.load()
     this.controlPort = await this.#links.listen(this.settings.control.host, this.settings.control.port)
@@ -162,39 +162,40 @@
     this.#updateShards()
     this.port = await this.#server.listen()
     this.#timers = [
-      setInterval(() => this.#tellLoads(), loadsEveryMs),
-      setInterval(() => this.#placer.tick(), tickEveryMs),
-      setInterval(() => this.#spread.ask(), watchEveryMs)
+      setInterval(() => this.#reportLoads(), loadReportIntervalMs),
+      setInterval(() => this.#placer.tick(), placerTickIntervalMs),
+      setInterval(() => this.#configSync.poll(), configPollIntervalMs)
     ]
-    this.#around.log.info('entry-started', { zone: this.zone, port: this.port, control: this.controlPort })
+    this.#dependencies.log.info('entry-started', { zone: this.zone, port: this.port, control: this.controlPort })
   }
 
   /**
-   * A planned stop: readiness goes red, the balancer's lag passes, what is in
-   * flight ends, and nothing is cut. Resolves with what was cut at the limit.
+   * Shuts down gracefully: fails the readiness probe, waits until the load balancer
+   * has noticed, stops accepting connections and waits for the requests in flight.
+   * Resolves with the number of requests that were aborted when `drainMs` ran out.
    */
   async stop (): Promise<number> {
-    this.#leaving = true
-    this.#around.log.info('leaving', { inFlight: this.inFlight })
+    this.#isLeaving = true
+    this.#dependencies.log.info('leaving', { inFlight: this.inFlight })
     this.#members.leave()
     this.#updateShards()
     await sleep(this.settings.balancerLagMs)
     this.#server.stopAccepting()
-    const until = performance.now() + this.settings.drainMs
-    while (this.inFlight > 0 && performance.now() < until) await sleep(stopPollMs)
-    const cut = this.inFlight
+    const deadline = performance.now() + this.settings.drainMs
+    while (this.inFlight > 0 && performance.now() < deadline) await sleep(drainPollIntervalMs)
+    const abortedCount = this.inFlight
     this.kill()
-    this.#around.log.info('entry-stopped', { cut })
-    return cut
+    this.#dependencies.log.info('entry-stopped', { cut: abortedCount })
+    return abortedCount
   }
 
-  /** Ends at once; what was in flight is cut. */
+  /** Stops at once and aborts all requests in flight. */
   kill (): void {
-    if (this.#killed) return
-    this.#killed = true
+    if (this.#isKilled) return
+    this.#isKilled = true
     for (const timer of this.#timers) clearInterval(timer)
-    this.#server.cut()
-    this.#watch.close()
+    this.#server.closeAllConnections()
+    this.#enginePoller.close()
     this.#owner.close()
     this.#keepers.close()
     this.#members.close()
@@ -208,16 +209,16 @@
       zone: this.zone,
       revision: this.#follower.revision,
       ready: this.#isReady,
-      leaving: this.#leaving,
+      leaving: this.#isLeaving,
       inFlight: this.inFlight,
-      ...describeOwned(this.#owner, this.id),
+      ...describeOwnedShards(this.#owner, this.id),
       violations: this.#violations,
       incarnation: String(this.#incarnation),
       sentAt: Date.now()
     }
   }
 
-  get #isReady (): boolean { return !this.#leaving && this.#follower.revision > 0 }
+  get #isReady (): boolean { return !this.#isLeaving && this.#follower.revision > 0 }
 
   // Callers.
 
@@ -227,12 +228,12 @@
       settings: this.settings,
       get configuration () { return box.configuration },
       get isReady () { return box.#isReady },
-      get isLeaving () { return box.#leaving },
+      get isLeaving () { return box.#isLeaving },
       now,
-      nextRequestId: () => this.#exchanges.nextRequestId(),
-      startChat: (order, response) => this.#exchanges.startChat(order, response),
-      startService: (order, response) => this.#exchanges.startService(order, response),
-      noteRefused: (requestId, fault) => this.#exchanges.noteRefused(requestId, fault)
+      createRequestId: () => this.#exchanges.createRequestId(),
+      startChat: (context, response) => this.#exchanges.startChat(context, response),
+      startService: (context, response) => this.#exchanges.startService(context, response),
+      noteRefused: (requestId, error) => this.#exchanges.noteRefused(requestId, error)
     }
   }
 
@@ -240,7 +241,7 @@
 
   #noteOpen (link: Link<BoxMessage>): void {
     this.#openLinks.add(link)
-    if (this.#isKeeper(link.peer)) this.#spread.watch(link, true)
+    if (this.#isKeeper(link.peer)) this.#configSync.sendWatch(link, true)
     else this.#placer.reopen(brandId<BoxId>(link.peer))
   }
 
@@ -253,16 +254,16 @@
     switch (message.type) {
       case 'reply': return this.#keepers.receive(from, message.call, message.body)
       case 'revisions':
-        if (!this.#follower.takeRevisions(message.revisions)) this.#spread.watch(link, false)
+        if (!this.#follower.takeRevisions(message.revisions)) this.#configSync.sendWatch(link, false)
         return
       case 'whole': return this.#follower.takeWhole(message.document, message.revision)
-      case 'ask-config': return sendNews(link, this.#follower, message.revision)
-      case 'shard-word': return this.#takeWord(link, message.shard, message.word)
+      case 'ask-config': return sendConfigUpdate(link, this.#follower, message.revision)
+      case 'shard-word': return this.#receiveShardMessage(link, message.shard, message.word)
       case 'shard-answer': return this.#placer.receive(message.shard, message.answer)
       case 'not-owner': return this.#placer.noteNotOwner(message.shard, message.request)
       case 'loads':
         this.#placer.noteLoads(from, message.loads.map(unpackLoad))
-        if (message.demands !== null) this.#limits.note(from, message.demands)
+        if (message.demands !== null) this.#limits.setDemands(from, message.demands)
         return
       case 'keeper-hello': return
       default: this.#noteViolation('known-messages', message.type)
@@ -272,78 +273,78 @@
   // Configuration.
 
   #noteConfiguration (configuration: Configuration): void {
-    this.#around.log.info('configuration', { revision: configuration.revision })
-    this.#around.metrics.gauge('revision', configuration.revision)
+    this.#dependencies.log.info('configuration', { revision: configuration.revision })
+    this.#dependencies.metrics.gauge('revision', configuration.revision)
     this.#updateShards()
-    this.#spread.tellRevision()
+    this.#configSync.reportRevision()
   }
 
   // Members and shards.
 
   #noteMember (id: BoxId, isGone: boolean): void {
-    if (isGone) this.#owner.loseBox(id)
+    if (isGone) this.#owner.removeBox(id)
     this.#updateShards()
   }
 
-  #listZonePeers (): ReturnType<BoxMembers['listZonePeers']> { return this.#members.listZonePeers(this.#exchanges.requests) }
+  #listZonePeers (): ReturnType<BoxMembers['listZonePeers']> { return this.#members.listZonePeers(this.#exchanges.requestCount) }
 
   #updateShards (): void {
     if (!this.#members.isStarted) return
     this.#directory.update(this.configuration, this.#members.listBoxes())
     this.#limits.setSharers(this.#members.listSharers())
-    const { own, used } = this.#directory
-    this.#owner.assign(own, shard => configureShard(shard, this.configuration))
-    this.#dialOwners(used)
-    this.#placer.setShards(used)
-    for (const shard of own) this.#drainConfigured(shard)
+    const { ownShards, usedShards } = this.#directory
+    this.#owner.assign(ownShards, shard => configureShard(shard, this.configuration))
+    this.#dialOwners(usedShards)
+    this.#placer.setShards(usedShards)
+    for (const shard of ownShards) this.#applyConfiguredDrains(shard)
   }
 
-  #drainConfigured (shard: Shard): void {
+  #applyConfiguredDrains (shard: Shard): void {
     for (const id of shard.engines) {
       this.#owner.drain(id, this.configuration.engines.get(id)?.leaving === true)
     }
   }
 
   #dialOwners (shards: readonly PlacerShard[]): void {
-    const wanted = new Set<BoxId>()
-    for (const { owner } of shards) if (owner !== undefined) wanted.add(owner)
-    for (const peer of this.#listZonePeers()) wanted.add(brandId<BoxId>(peer.id))
-    this.#members.dial(wanted)
+    const peers = new Set<BoxId>()
+    for (const { owner } of shards) if (owner !== undefined) peers.add(owner)
+    for (const peer of this.#listZonePeers()) peers.add(brandId<BoxId>(peer.id))
+    this.#members.dial(peers)
   }
 
-  #sendShard (owner: BoxId, shard: ShardId, word: ShardWord): boolean {
-    if (owner === this.id) return this.#owner.take(shard, word)
-    return this.#openLinks.find(owner)?.send({ type: 'shard-word', shard, word }) === true
+  #sendShardMessage (owner: BoxId, shard: ShardId, message: ShardWord): boolean {
+    if (owner === this.id) return this.#owner.receive(shard, message)
+    return this.#openLinks.find(owner)?.send({ type: 'shard-word', shard, word: message }) === true
   }
 
-  #takeWord (link: Link<BoxMessage>, shard: ShardId, word: ShardWord): void {
-    if (this.#owner.take(shard, word) || word.type !== 'submit') return
-    const { request, attempt } = word.submission
+  #receiveShardMessage (link: Link<BoxMessage>, shard: ShardId, message: ShardWord): void {
+    if (this.#owner.receive(shard, message) || message.type !== 'submit') return
+    const { request, attempt } = message.submission
     link.send({ type: 'not-owner', shard, request, attempt })
   }
 
-  #answerShard (box: BoxId, shard: ShardId, answer: ShardAnswer): void {
-    if (box === this.id) return this.#placer.receive(shard, answer)
-    this.#openLinks.find(box)?.send({ type: 'shard-answer', shard, answer })
+  #sendShardReply (box: BoxId, shard: ShardId, reply: ShardAnswer): void {
+    if (box === this.id) return this.#placer.receive(shard, reply)
+    this.#openLinks.find(box)?.send({ type: 'shard-answer', shard, answer: reply })
   }
 
-  #tellLoads (): void {
+  #reportLoads (): void {
     const { loads } = this.#owner
     this.#placer.noteLoads(this.id, loads)
     const peers = this.#openLinks.peers.filter(peer => !this.#isKeeper(peer) && !peer.startsWith('operator'))
-    this.#loadTeller.tell(peers, loads, this.#limits.demands)
+    this.#loadReporter.report(peers, loads, this.#limits.demands)
   }
 
   // Engines.
 
-  #noteEngine (engine: EngineId, note: (shard: ShardId) => void): void {
+  #notifyShardOf (engine: EngineId, note: (shard: ShardId) => void): void {
     const shard = this.#directory.findShard(engine)
     if (shard !== undefined) note(shard)
   }
 
   #noteViolation (rule: string, detail: string): void {
     this.#violations += 1
-    this.#around.metrics.count('violation', { rule })
-    this.#around.log.error('violation', { rule, detail })
+    this.#dependencies.metrics.count('violation', { rule })
+    this.#dependencies.log.error('violation', { rule, detail })
   }
 }
--- a/src/tasks/keeper-box.ts
+++ b/src/tasks/keeper-box.ts
@@ -1,7 +1,8 @@
 /**
- * A keeper: a replica of the log, the state that it drives, and the calls of
- * boxes and operators. Until the keepers have formed a log, it waits for all of
- * them; a keeper with an empty disk beside a formed log waits to be let in.
+ * A keeper: a replica of the log, the state machine that the log drives, and the
+ * handling of calls from boxes and operators. Before the log exists, the keeper
+ * waits until it has contact with all the others. A keeper with an empty disk waits
+ * to be added as a member if the others have already formed a log.
  */
 import { performance } from 'node:perf_hooks'
 import type { KeeperSettings } from '../config/index.js'
@@ -11,54 +12,53 @@
 import { LinkPool } from '../protocol/index.js'
 import type { BoxMessage, BoxStatus, KeeperCall, KeeperReply, KeeperStatus, Link } from '../protocol/index.js'
 import type { EventLog, Metrics } from '../runtime/index.js'
-import { sendNews } from './config-news.js'
+import { sendConfigUpdate } from './config-update.js'
 import { KeeperRepair } from './keeper-repair.js'
-import { countSpare } from './spare-voters.js'
+import { countSpareVoters } from './spare-voters.js'
 
-interface Hello {
+interface KeeperHello {
   readonly replica: ReplicaId
   readonly formed: Members | null
 }
 
-interface Watcher {
+interface ConfigWatcher {
   revision: number
 }
 
-/** Keepers greet one another this often, ms. */
-const helloMs = 300
-/** What a box said of itself is shown for so long, ms. */
-const boxStatusKeptMs = 60_000
+const helloIntervalMs = 300
+/** How long the last status of a box is kept after its last message. */
+const boxStatusRetentionMs = 60_000
 
-/** What a keeper is given beside its settings. */
-export interface KeeperSurroundings {
+/** What a keeper depends on besides its settings. */
+export interface KeeperDependencies {
   readonly log: EventLog
   readonly metrics: Metrics
   readonly secret: string
-  /** Called when the disk failed: the process should end with an error. */
+  /** Called after a disk failure; the process must exit with an error. */
   readonly noteFatal: (error: Error) => void
 }
 
 export class KeeperBox {
   #settings: KeeperSettings
-  #around: KeeperSurroundings
+  #dependencies: KeeperDependencies
   #links: LinkPool<BoxMessage>
   #log: KeeperLog | null = null
-  #hellos = new Map<string, Hello>()
-  #watchers = new Map<Link<BoxMessage>, Watcher>()
-  #boxes = new Map<string, { status: BoxStatus, at: number }>()
+  #hellos = new Map<string, KeeperHello>()
+  #watchers = new Map<Link<BoxMessage>, ConfigWatcher>()
+  #boxStatuses = new Map<string, { status: BoxStatus, at: number }>()
   #timer: NodeJS.Timeout | null = null
   #loggedRevision = 0
   #repairs: KeeperRepair
   port = 0
 
-  constructor (settings: KeeperSettings, around: KeeperSurroundings) {
+  constructor (settings: KeeperSettings, dependencies: KeeperDependencies) {
     this.#settings = settings
-    this.#around = around
-    this.#repairs = new KeeperRepair(around.log)
+    this.#dependencies = dependencies
+    this.#repairs = new KeeperRepair(dependencies.log)
     this.#links = new LinkPool({
       id: settings.id,
-      secret: around.secret,
-      clock: around.log.clock,
+      secret: dependencies.secret,
+      clock: dependencies.log.clock,
       receive: (link, message) => this.#receive(link, message),
       noteOpen: link => this.#sendHello(link),
       noteClosed: link => this.#watchers.delete(link),
@@ -67,53 +67,53 @@
   }
 
   get replica (): Replica | null { return this.#log?.replica ?? null }
-  get state (): KeeperState { return this.#opened.state }
+  get state (): KeeperState { return this.#openedLog.state }
   get traffic (): { readonly bytesIn: number, readonly bytesOut: number } { return this.#links.traffic }
   get store (): LogStore | null { return this.#log?.store ?? null }
 
-  get #opened (): KeeperLog {
+  get #openedLog (): KeeperLog {
     if (this.#log === null) throw new Error('the keeper has not started')
     return this.#log
   }
 
-  /** Opens the disk and begins to serve. Throws where the disk's log is damaged. */
+  /** Opens the stored log and starts serving. Throws if the stored log is corrupt. */
   async start (): Promise<void> {
     this.#log = await this.#openLog()
     this.port = await this.#links.listen(this.#settings.control.host, this.#settings.control.port)
-    for (const keeper of this.#others()) this.#links.dial(keeper.host, keeper.port)
-    this.#timer = setInterval(() => this.#tick(), helloMs)
+    for (const keeper of this.#listOtherKeepers()) this.#links.dial(keeper.host, keeper.port)
+    this.#timer = setInterval(() => this.#tick(), helloIntervalMs)
     this.#tick()
-    this.#around.log.info('keeper-started', { replica: this.#log.id, formed: this.#log.isFormed })
+    this.#dependencies.log.info('keeper-started', { replica: this.#log.id, formed: this.#log.isFormed })
   }
 
-  /** Hands leadership over, then ends. */
+  /** Transfers leadership if this keeper is the leader, then stops. */
   async stop (): Promise<void> {
     await this.replica?.transfer()
     this.kill()
     await this.#log?.store.close().catch(() => {})
-    this.#around.log.info('keeper-stopped')
+    this.#dependencies.log.info('keeper-stopped')
   }
 
-  /** Ends at once, as a crash does. */
+  /** Stops at once without transferring leadership or closing the store, as a crash would. */
   kill (): void {
     if (this.#timer !== null) clearInterval(this.#timer)
     this.#log?.stop()
     this.#links.close()
   }
 
-  #others () {
+  #listOtherKeepers () {
     return this.#settings.keepers.filter(keeper => keeper.id !== this.#settings.id)
   }
 
   // Forming the log for the first time.
 
   #tick (): void {
-    for (const { host, port } of this.#others()) {
+    for (const { host, port } of this.#listOtherKeepers()) {
       const link = this.#links.find(host, port)
       if (link !== undefined) this.#sendHello(link)
     }
-    void this.#formIfAlone()
-    this.#dropOldBoxes()
+    void this.#formIfFirst()
+    this.#evictStaleStatuses()
   }
 
   #sendHello (link: Link<BoxMessage>): void {
@@ -123,35 +123,36 @@
     link.send({ type: 'keeper-hello', name: this.#settings.id, replica: log.id, formed })
   }
 
-  #noteHello (name: string, hello: Hello): void {
+  #noteHello (name: string, hello: KeeperHello): void {
     this.#hellos.set(name, hello)
-    // Beside a formed log, an empty disk waits as a replica without a vote.
+    // If the other keepers have formed a log, a keeper with an empty disk starts as a non-voting replica.
     if (hello.formed !== null && this.replica === null && this.#log?.isForming === false) this.#log.startReplica()
   }
 
-  async #formIfAlone (): Promise<void> {
+  // The keeper with the first name forms the log once all others have reported that they have none.
+  async #formIfFirst (): Promise<void> {
     const log = this.#log
     if (log === null || log.replica !== null || log.isForming) return
     const names = this.#settings.keepers.map(keeper => keeper.id).sort()
     if (names[0] !== this.#settings.id) return
-    const hellos = this.#others().map(keeper => this.#hellos.get(keeper.id))
+    const hellos = this.#listOtherKeepers().map(keeper => this.#hellos.get(keeper.id))
     const voters = [log.id]
     for (const hello of hellos) {
       if (hello === undefined || hello.formed !== null) return
       voters.push(hello.replica)
     }
     await this.#form({ voters, learners: [] })
-    for (const { host, port } of this.#others()) {
+    for (const { host, port } of this.#listOtherKeepers()) {
       this.#links.find(host, port)?.send({ type: 'form', members: { voters, learners: [] } })
     }
   }
 
   async #form (members: Members): Promise<void> {
-    if (await this.#log?.form(members) === true) this.#around.log.info('log-formed', { voters: members.voters.join(',') })
+    if (await this.#log?.form(members) === true) this.#dependencies.log.info('log-formed', { voters: members.voters.join(',') })
   }
 
   async #openLog (): Promise<KeeperLog> {
-    const { log, noteFatal } = this.#around
+    const { log, noteFatal } = this.#dependencies
     const { data, id, heartbeatMs, electionMs, snapshotEvery } = this.#settings
     return await KeeperLog.open({ folder: data, name: id }, {
       timing: { heartbeatMs, electionMs },
@@ -169,7 +170,7 @@
 
   #sendRaft (to: ReplicaId, message: Extract<BoxMessage, { type: 'raft' }>['message']): void {
     const name = getReplicaHost(to)
-    const keeper = this.#settings.keepers.find(one => one.id === name)
+    const keeper = this.#settings.keepers.find(candidate => candidate.id === name)
     const from = this.#log?.id
     if (keeper === undefined || from === undefined) return
     this.#links.find(keeper.host, keeper.port)?.send({ type: 'raft', from, to, message })
@@ -188,7 +189,7 @@
       case 'form':
         if (this.#isKeeper(link.peer)) void this.#form(message.members)
         return
-      case 'call': return void this.#answer(link, message.call, message.body)
+      case 'call': return void this.#reply(link, message.call, message.body)
       case 'watch': return this.#watch(link, message.revision, message.status)
       default: this.#noteViolation('known-messages', message.type)
     }
@@ -198,17 +199,17 @@
     return this.#settings.keepers.some(keeper => keeper.id === name)
   }
 
-  async #answer (link: Link<BoxMessage>, call: number, body: KeeperCall): Promise<void> {
+  async #reply (link: Link<BoxMessage>, call: number, body: KeeperCall): Promise<void> {
     let reply: KeeperReply
     try {
-      reply = await this.#carryOut(body)
+      reply = await this.#execute(body)
     } catch (error) {
       reply = { type: 'fault', text: (error as Error).message }
     }
     link.send({ type: 'reply', call, body: reply })
   }
 
-  async #carryOut (body: KeeperCall): Promise<KeeperReply> {
+  async #execute (body: KeeperCall): Promise<KeeperReply> {
     switch (body.type) {
       case 'command': return await this.#propose(body.command)
       case 'plan': return await this.#plan(body)
@@ -226,9 +227,9 @@
 
   async #propose (command: KeeperCommand): Promise<KeeperReply> {
     if (this.#log?.isLeader !== true) return this.#redirect()
-    const end = await this.#log.propose(command)
-    switch (end.type) {
-      case 'applied': return { type: 'result', result: end.result as Extract<KeeperReply, { type: 'result' }>['result'] }
+    const outcome = await this.#log.propose(command)
+    switch (outcome.type) {
+      case 'applied': return { type: 'result', result: outcome.result as Extract<KeeperReply, { type: 'result' }>['result'] }
       case 'rejected': return this.#redirect()
       case 'lost': return { type: 'lost' }
     }
@@ -236,12 +237,12 @@
 
   async #plan (body: Extract<KeeperCall, { type: 'plan' }>): Promise<KeeperReply> {
     const parsed = parseIntent(body.intent)
-    if (!parsed.ok) return { type: 'mistakes', mistakes: parsed.mistakes.map(one => formatMistake('intent', one)) }
+    if (!parsed.ok) return { type: 'mistakes', mistakes: parsed.mistakes.map(mistake => formatMistake('intent', mistake)) }
     if (this.#log?.isLeader !== true || !await this.#log.read()) return this.#redirect()
     const { document, revision } = this.state.config
     const changes = planIntent(parsed.value, document)
     const mistakes = checkDocument(applyChanges(document, changes))
-    if (mistakes.length > 0) return { type: 'mistakes', mistakes: mistakes.map(one => formatMistake('intent', one)) }
+    if (mistakes.length > 0) return { type: 'mistakes', mistakes: mistakes.map(mistake => formatMistake('intent', mistake)) }
     return await this.#propose({ part: 'config', command: { type: 'plan', id: body.id, base: revision, changes } })
   }
 
@@ -251,7 +252,7 @@
     return { type: 'document', document, revision }
   }
 
-  // Repair: let a keeper with another disk in, and its old replica out.
+  // Repair: replaces the old replica of a keeper whose disk was replaced.
 
   async #repair (name: string, id: CommandId): Promise<KeeperReply> {
     const { replica } = this
@@ -260,51 +261,51 @@
     if (completed !== undefined) return { type: 'repaired', members: completed }
     const findFreshReplica = (): ReplicaId | undefined => this.#hellos.get(name)?.replica
     const fresh = findFreshReplica()
-    if (fresh === undefined) return { type: 'fault', text: `keeper ${name} has not been heard from` }
+    if (fresh === undefined) return { type: 'fault', text: `no message from keeper ${name} has been received` }
     const { keeperUnderRepair } = this.#repairs
     if (keeperUnderRepair !== null && keeperUnderRepair !== name) return { type: 'fault', text: `keeper ${keeperUnderRepair} is being repaired` }
     const isRepaired = replica.members.voters.every(id => id === fresh || getReplicaHost(id) !== name) && replica.members.voters.includes(fresh)
     if (keeperUnderRepair === null && isRepaired) return { type: 'fault', text: `keeper ${name} is already a member with its current disk` }
-    const end = await this.#repairs.repair(replica, name, id, () => findFreshReplica() ?? fresh)
-    switch (end.type) {
-      case 'repaired': return end
+    const outcome = await this.#repairs.repair(replica, name, id, () => findFreshReplica() ?? fresh)
+    switch (outcome.type) {
+      case 'repaired': return outcome
       case 'not-leader': return this.#redirect()
-      case 'failed': return { type: 'fault', text: end.text }
+      case 'failed': return { type: 'fault', text: outcome.text }
     }
   }
 
-  // Spreading the configuration.
+  // Distribution of the configuration.
 
   #watch (link: Link<BoxMessage>, revision: number, status: BoxStatus | null): void {
     this.#watchers.set(link, { revision })
-    this.#noteBox(link.peer, revision, status)
-    sendNews(link, this.state.config, revision)
+    this.#recordBoxStatus(link.peer, revision, status)
+    sendConfigUpdate(link, this.state.config, revision)
   }
 
   #pushRevisions (): void {
     const { revision } = this.state.config
-    if (revision !== this.#loggedRevision) this.#around.log.info('accepted', { revision })
+    if (revision !== this.#loggedRevision) this.#dependencies.log.info('accepted', { revision })
     this.#loggedRevision = revision
     for (const [link, watcher] of this.#watchers) {
       if (watcher.revision >= this.state.config.revision) continue
-      sendNews(link, this.state.config, watcher.revision)
+      sendConfigUpdate(link, this.state.config, watcher.revision)
       watcher.revision = this.state.config.revision
     }
   }
 
-  #noteBox (id: string, revision: number, status: BoxStatus | null): void {
-    const known = status ?? this.#boxes.get(id)?.status
-    if (known !== undefined) this.#boxes.set(id, { status: { ...known, revision }, at: performance.now() })
+  #recordBoxStatus (id: string, revision: number, status: BoxStatus | null): void {
+    const latest = status ?? this.#boxStatuses.get(id)?.status
+    if (latest !== undefined) this.#boxStatuses.set(id, { status: { ...latest, revision }, at: performance.now() })
   }
 
-  #dropOldBoxes (): void {
+  #evictStaleStatuses (): void {
     const now = performance.now()
-    for (const [id, { at }] of this.#boxes) {
-      if (now - at > boxStatusKeptMs) this.#boxes.delete(id)
+    for (const [id, { at }] of this.#boxStatuses) {
+      if (now - at > boxStatusRetentionMs) this.#boxStatuses.delete(id)
     }
   }
 
-  // What operators see.
+  // Status for operators.
 
   #composeStatus (): KeeperStatus {
     const { replica } = this
@@ -323,19 +324,19 @@
       matches: Object.fromEntries(matches),
       revision: this.state.config.revision,
       claims: this.state.claims.size,
-      spare: countSpare(members, matches, replica?.node.commitIndex ?? 0),
+      spare: countSpareVoters(members, matches, replica?.node.commitIndex ?? 0),
       waiting: members.voters.length > 0 ? waiting : [],
-      boxes: [...this.#boxes.values()].map(one => one.status)
+      boxes: [...this.#boxStatuses.values()].map(entry => entry.status)
     }
   }
 
   #noteViolation (rule: string, detail: string): void {
-    this.#around.metrics.count('violation', { rule })
-    this.#around.log.error('violation', { rule, detail })
+    this.#dependencies.metrics.count('violation', { rule })
+    this.#dependencies.log.error('violation', { rule, detail })
   }
 
   #noteLinkFault (fault: string, peer: string): void {
-    this.#around.metrics.count('link-fault', { fault })
-    this.#around.log.warn('link-fault', { fault, peer })
+    this.#dependencies.metrics.count('link-fault', { fault })
+    this.#dependencies.log.warn('link-fault', { fault, peer })
   }
 }
--- a/src/tasks/keeper-client.ts
+++ b/src/tasks/keeper-client.ts
@@ -1,124 +1,126 @@
 /**
- * Calls to the keepers: finds the leader, follows redirects, and tells a call
- * that was never sent from one whose end is not known.
+ * Calls the keepers: finds the leader, follows redirects, and distinguishes a call
+ * that was never sent from one whose outcome is unknown.
  */
 import type { KeeperAddress } from '../config/index.js'
 import type { BoxMessage, KeeperCall, KeeperReply, LinkPool } from '../protocol/index.js'
 
-/** How a call ended. */
-export type CallEnd =
+/** The outcome of a call. */
+export type CallOutcome =
   | { readonly type: 'reply', readonly reply: KeeperReply }
-  /** Not one byte of the call was sent to a keeper. */
+  /** No byte of the call was sent to a keeper. */
   | { readonly type: 'unsent' }
-  /** Sent, but no answer came in time. */
+  /** Sent, but no reply arrived before the time-out; the call may have been executed. */
   | { readonly type: 'unanswered' }
 
-interface OpenCall {
+interface PendingCall {
   readonly body: KeeperCall
-  readonly until: number
-  readonly resolve: (end: CallEnd) => void
-  sent: boolean
+  readonly deadline: number
+  readonly resolve: (outcome: CallOutcome) => void
+  isSent: boolean
   keeper: string | null
-  triedAt: number
+  lastTriedAt: number
 }
 
-const retryMs = 60
-const resendMs = 700
-const tickMs = 30
+/** Delay before a call is sent again after a redirect or without a reachable keeper. */
+const retryIntervalMs = 60
+/** Delay before an unanswered call is sent again, possibly to another keeper. */
+const resendIntervalMs = 700
+const tickIntervalMs = 30
 
 export class KeeperClient {
   #keepers: readonly KeeperAddress[]
   #links: LinkPool<BoxMessage>
   #now: () => number
-  #open = new Map<number, OpenCall>()
-  #counter = 0
+  #pending = new Map<number, PendingCall>()
+  #lastCallNumber = 0
   #leader: string | null = null
   #timer: NodeJS.Timeout
-  #turn = 0
+  #nextIndex = 0
 
   constructor (keepers: readonly KeeperAddress[], links: LinkPool<BoxMessage>, now: () => number) {
     this.#keepers = keepers
     this.#links = links
     this.#now = now
     for (const { host, port } of keepers) links.dial(host, port)
-    this.#timer = setInterval(() => this.#tick(), tickMs)
+    this.#timer = setInterval(() => this.#tick(), tickIntervalMs)
   }
 
-  /** True where a link to at least one keeper is open. */
+  /** True if a link to at least one keeper is open. */
   get isConnected (): boolean {
     return this.#keepers.some(({ host, port }) => this.#links.find(host, port) !== undefined)
   }
 
-  /** Calls the leader. A call that may have been carried out is resent, so its command must tell resends apart. */
-  call (body: KeeperCall, timeoutMs: number): Promise<CallEnd> {
+  /** Calls the leader. Calls are resent even if they may have been executed, so commands must be idempotent. */
+  call (body: KeeperCall, timeoutMs: number): Promise<CallOutcome> {
     return new Promise(resolve => {
-      this.#counter += 1
-      const open: OpenCall = { body, until: this.#now() + timeoutMs, resolve, sent: false, keeper: null, triedAt: -Infinity }
-      this.#open.set(this.#counter, open)
-      this.#try(this.#counter, open)
+      this.#lastCallNumber += 1
+      const pending: PendingCall = { body, deadline: this.#now() + timeoutMs, resolve, isSent: false, keeper: null, lastTriedAt: -Infinity }
+      this.#pending.set(this.#lastCallNumber, pending)
+      this.#send(this.#lastCallNumber, pending)
     })
   }
 
-  /** Takes a reply from a keeper. */
+  /** Handles a reply. `from`: the name of the keeper. */
   receive (from: string, call: number, reply: KeeperReply): void {
-    const open = this.#open.get(call)
-    if (open === undefined) return
+    const pending = this.#pending.get(call)
+    if (pending === undefined) return
     switch (reply.type) {
       case 'redirect':
         this.#leader = reply.leader
-        open.keeper = null
-        if (reply.leader !== null && reply.leader !== from) this.#try(call, open)
-        else open.triedAt = this.#now()
+        pending.keeper = null
+        if (reply.leader !== null && reply.leader !== from) this.#send(call, pending)
+        else pending.lastTriedAt = this.#now()
         return
       case 'lost':
-        open.keeper = null
-        open.triedAt = this.#now()
+        pending.keeper = null
+        pending.lastTriedAt = this.#now()
         return
       default:
         this.#leader = from
-        this.#open.delete(call)
-        open.resolve({ type: 'reply', reply })
+        this.#pending.delete(call)
+        pending.resolve({ type: 'reply', reply })
     }
   }
 
   close (): void {
     clearInterval(this.#timer)
-    for (const open of this.#open.values()) this.#giveUp(open)
-    this.#open.clear()
+    for (const pending of this.#pending.values()) this.#fail(pending)
+    this.#pending.clear()
   }
 
   #tick (): void {
     const now = this.#now()
-    for (const [call, open] of this.#open) {
-      if (now >= open.until) {
-        this.#open.delete(call)
-        this.#giveUp(open)
-      } else if (now - open.triedAt > (open.keeper === null ? retryMs : resendMs)) {
-        if (open.keeper !== null && this.#leader === open.keeper) this.#leader = null
-        this.#try(call, open)
+    for (const [call, pending] of this.#pending) {
+      if (now >= pending.deadline) {
+        this.#pending.delete(call)
+        this.#fail(pending)
+      } else if (now - pending.lastTriedAt > (pending.keeper === null ? retryIntervalMs : resendIntervalMs)) {
+        if (pending.keeper !== null && this.#leader === pending.keeper) this.#leader = null
+        this.#send(call, pending)
       }
     }
   }
 
-  #giveUp (open: OpenCall): void {
-    open.resolve({ type: open.sent ? 'unanswered' : 'unsent' })
+  #fail (pending: PendingCall): void {
+    pending.resolve({ type: pending.isSent ? 'unanswered' : 'unsent' })
   }
 
-  #try (call: number, open: OpenCall): void {
-    open.triedAt = this.#now()
-    const keeper = this.#choose()
+  #send (call: number, pending: PendingCall): void {
+    pending.lastTriedAt = this.#now()
+    const keeper = this.#chooseKeeper()
     if (keeper === undefined) return
     const link = this.#links.find(keeper.host, keeper.port)
-    if (link?.send({ type: 'call', call, body: open.body }) !== true) return
-    open.sent = true
-    open.keeper = keeper.id
+    if (link?.send({ type: 'call', call, body: pending.body }) !== true) return
+    pending.isSent = true
+    pending.keeper = keeper.id
   }
 
-  #choose (): KeeperAddress | undefined {
+  #chooseKeeper (): KeeperAddress | undefined {
     const reachable = this.#keepers.filter(({ host, port }) => this.#links.find(host, port) !== undefined)
     const leader = reachable.find(keeper => keeper.id === this.#leader)
     if (leader !== undefined) return leader
-    this.#turn += 1
-    return reachable[this.#turn % Math.max(1, reachable.length)]
+    this.#nextIndex += 1
+    return reachable[this.#nextIndex % Math.max(1, reachable.length)]
   }
 }
--- a/src/tasks/keeper-repair.ts
+++ b/src/tasks/keeper-repair.ts
@@ -9,25 +9,25 @@
 import { waitUntil } from '../runtime/index.js'
 import type { EventLog } from '../runtime/index.js'
 
-/** A step of a repair is given up after this, ms. */
-const stepMs = 30_000
-/** Delay before retrying a membership change that the leader was not ready for, ms. */
-const retryMs = 50
+/** Time-out of each step of a repair. */
+const stepTimeoutMs = 30_000
+/** Delay before retrying a membership change that the leader was not ready for. */
+const retryDelayMs = 50
 
 /** Number of completed commands that are kept to answer resent calls; the oldest is evicted first. */
 const maxCompletedCommands = 32
 
-export type RepairEnd =
+export type RepairOutcome =
   | { readonly type: 'repaired', readonly members: Members }
   | { readonly type: 'not-leader' }
   | { readonly type: 'failed', readonly text: string }
 
 /** `restart`: the keeper has reported another replica, so the repair starts over with that one. */
-type StepEnd = 'done' | 'restart' | Exclude<RepairEnd, { readonly type: 'repaired' }>
+type StepOutcome = 'done' | 'restart' | Exclude<RepairOutcome, { readonly type: 'repaired' }>
 
 interface Repair {
   readonly name: string
-  readonly end: Promise<RepairEnd>
+  readonly outcome: Promise<RepairOutcome>
 }
 
 export class KeeperRepair {
@@ -51,11 +51,11 @@
    * result; the caller must not start a repair while another keeper is under repair. `getFreshReplica` returns the replica that the
    * keeper last reported.
    */
-  async repair (replica: Replica, name: string, id: CommandId, getFreshReplica: () => ReplicaId): Promise<RepairEnd> {
-    this.#running ??= { name, end: this.#repair(replica, name, getFreshReplica).finally(() => { this.#running = null }) }
-    const end = await this.#running.end
-    if (end.type === 'repaired') this.#recordCompleted(id, end.members)
-    return end
+  async repair (replica: Replica, name: string, id: CommandId, getFreshReplica: () => ReplicaId): Promise<RepairOutcome> {
+    this.#running ??= { name, outcome: this.#repair(replica, name, getFreshReplica).finally(() => { this.#running = null }) }
+    const outcome = await this.#running.outcome
+    if (outcome.type === 'repaired') this.#recordCompleted(id, outcome.members)
+    return outcome
   }
 
   #recordCompleted (id: CommandId, members: Members): void {
@@ -64,12 +64,12 @@
     if (this.#completed.size > maxCompletedCommands) this.#completed.delete(oldest)
   }
 
-  async #repair (replica: Replica, name: string, getFreshReplica: () => ReplicaId): Promise<RepairEnd> {
-    let end: StepEnd = 'restart'
-    while (end === 'restart') end = await replaceReplica(replica, name, getFreshReplica)
-    if (end !== 'done') {
-      this.#log.warn('repair-failed', { keeper: name, reason: end.type === 'failed' ? end.text : 'leadership was lost' })
-      return end
+  async #repair (replica: Replica, name: string, getFreshReplica: () => ReplicaId): Promise<RepairOutcome> {
+    let outcome: StepOutcome = 'restart'
+    while (outcome === 'restart') outcome = await replaceReplica(replica, name, getFreshReplica)
+    if (outcome !== 'done') {
+      this.#log.warn('repair-failed', { keeper: name, reason: outcome.type === 'failed' ? outcome.text : 'leadership was lost' })
+      return outcome
     }
     this.#log.info('repaired', { voters: replica.members.voters.join(',') })
     return { type: 'repaired', members: replica.members }
@@ -78,7 +78,7 @@
 
 function composeCommandKey ({ operator, number, digest }: CommandId): string { return JSON.stringify([operator, number, digest]) }
 
-async function replaceReplica (replica: Replica, name: string, getFreshReplica: () => ReplicaId): Promise<StepEnd> {
+async function replaceReplica (replica: Replica, name: string, getFreshReplica: () => ReplicaId): Promise<StepOutcome> {
   const fresh = getFreshReplica()
   const isOld = (id: ReplicaId): boolean => id !== fresh && getReplicaHost(id) === name
   if (!replica.members.voters.includes(fresh)) {
@@ -97,26 +97,26 @@
 }
 
 // Waits until the new replica has every entry that is committed at the time of the call.
-async function waitForCatchUp (replica: Replica, fresh: ReplicaId, getFreshReplica: () => ReplicaId): Promise<StepEnd> {
+async function waitForCatchUp (replica: Replica, fresh: ReplicaId, getFreshReplica: () => ReplicaId): Promise<StepOutcome> {
   const target = replica.node.commitIndex
   const isCaughtUp = (): boolean => (replica.node.matches.get(fresh) ?? 0) >= target
-  const isInTime = await waitUntil(() => isCaughtUp() || !replica.isLeader || getFreshReplica() !== fresh, stepMs)
+  const isInTime = await waitUntil(() => isCaughtUp() || !replica.isLeader || getFreshReplica() !== fresh, stepTimeoutMs)
   if (!replica.isLeader) return { type: 'not-leader' }
   if (getFreshReplica() !== fresh) return 'restart'
   return isInTime ? 'done' : { type: 'failed', text: 'the new replica did not catch up in time; try again' }
 }
 
 // Proposes a membership change when no other is in progress, and retries while the leader is not ready for it.
-async function changeMembers (replica: Replica, change: (members: Members) => Members): Promise<StepEnd> {
-  const deadline = performance.now() + stepMs
+async function changeMembers (replica: Replica, change: (members: Members) => Members): Promise<StepOutcome> {
+  const deadline = performance.now() + stepTimeoutMs
   while (performance.now() < deadline) {
-    await waitUntil(() => replica.node.isSettled || !replica.isLeader, stepMs)
+    await waitUntil(() => replica.node.isSettled || !replica.isLeader, stepTimeoutMs)
     if (!replica.isLeader) return { type: 'not-leader' }
-    const end = await replica.changeMembers(change(replica.members))
-    if (end.type === 'applied') return 'done'
-    if (end.type === 'lost' || end.fault === 'not-leader') return { type: 'not-leader' }
-    if (end.fault !== 'not-ready' && end.fault !== 'change-in-progress') return { type: 'failed', text: `members could not be changed: ${end.fault}; try again` }
-    await new Promise(resolve => setTimeout(resolve, retryMs))
+    const outcome = await replica.changeMembers(change(replica.members))
+    if (outcome.type === 'applied') return 'done'
+    if (outcome.type === 'lost' || outcome.fault === 'not-leader') return { type: 'not-leader' }
+    if (outcome.fault !== 'not-ready' && outcome.fault !== 'change-in-progress') return { type: 'failed', text: `members could not be changed: ${outcome.fault}; try again` }
+    await new Promise(resolve => setTimeout(resolve, retryDelayMs))
   }
   return { type: 'failed', text: 'members could not be changed in time; try again' }
 }
--- a/src/tasks/limits.ts
+++ b/src/tasks/limits.ts
@@ -1,70 +1,70 @@
-/** The limits of workspaces, as far as this box's share of them goes. */
+/** Enforces this box's share of the workspaces' limits. */
 import { WorkspaceLimit, divideLimit } from '../core/index.js'
 import type { LimitAnswer, WorkspaceName } from '../core/index.js'
 import type { Workspace } from '../config/index.js'
 
-/** What boxes tell each other: the demand of workspaces that are active there. */
+/** Demand of the active workspaces on one box, requests per second; exchanged between boxes. */
 export type Demands = readonly (readonly [WorkspaceName, number])[]
 
-const mostTold = 64
-const leastDemand = 0.01
+const maxReportedDemands = 64
+const minDemand = 0.01
 
 export class Limits {
   #now: () => number
   #limits = new Map<WorkspaceName, WorkspaceLimit>()
-  #others = new Map<string, ReadonlyMap<WorkspaceName, number>>()
+  #demandsByBox = new Map<string, ReadonlyMap<WorkspaceName, number>>()
   #sharers: readonly string[] = []
 
   constructor (now: () => number) {
     this.#now = now
   }
 
-  /** The other boxes that share the limits; what any other box said is forgotten. */
+  /** Sets the other boxes that share the limits, and discards the demands of all others. */
   setSharers (boxes: readonly string[]): void {
     this.#sharers = boxes
-    for (const box of this.#others.keys()) {
-      if (!boxes.includes(box)) this.#others.delete(box)
+    for (const box of this.#demandsByBox.keys()) {
+      if (!boxes.includes(box)) this.#demandsByBox.delete(box)
     }
   }
 
-  enter (workspace: Workspace, tokens: number): LimitAnswer {
-    const limit = this.#open(workspace.name)
+  admit (workspace: Workspace, tokens: number): LimitAnswer {
+    const limit = this.#getOrCreate(workspace.name)
     limit.share = this.#findShare(workspace.name, limit)
     return limit.enter(this.#now(), workspace, tokens)
   }
 
-  leave (workspace: WorkspaceName, tokens: number): void {
+  release (workspace: WorkspaceName, tokens: number): void {
     this.#limits.get(workspace)?.leave(tokens)
   }
 
-  /** The demand here, the largest first and a bounded number of them. */
+  /** The largest demands on this box in descending order, at most `maxReportedDemands`. Drops the state of idle workspaces. */
   get demands (): Demands {
     const now = this.#now()
     const demands: (readonly [WorkspaceName, number])[] = []
     for (const [name, limit] of this.#limits) {
       const demand = limit.getDemand(now)
-      if (demand >= leastDemand) demands.push([name, Math.round(demand * 1000) / 1000])
+      if (demand >= minDemand) demands.push([name, Math.round(demand * 1000) / 1000])
       else if (limit.streams === 0) this.#limits.delete(name)
     }
-    return demands.sort((a, b) => b[1] - a[1]).slice(0, mostTold)
+    return demands.sort((a, b) => b[1] - a[1]).slice(0, maxReportedDemands)
   }
 
-  /** What another box said of its demand. */
-  note (box: string, demands: Demands): void {
-    this.#others.set(box, new Map(demands))
+  /** Records the demands reported by another box. */
+  setDemands (box: string, demands: Demands): void {
+    this.#demandsByBox.set(box, new Map(demands))
   }
 
   #findShare (name: WorkspaceName, limit: WorkspaceLimit): number {
-    // Through a cut the last word stands, so that each side spends what it had.
-    const others = this.#sharers.map(box => this.#others.get(box)?.get(name) ?? 0)
-    return divideLimit(limit.getDemand(this.#now()) + leastDemand, others)
+    // During a network partition the last reports stay in effect, so that each side keeps its last share.
+    const others = this.#sharers.map(box => this.#demandsByBox.get(box)?.get(name) ?? 0)
+    return divideLimit(limit.getDemand(this.#now()) + minDemand, others)
   }
 
-  #open (name: WorkspaceName): WorkspaceLimit {
-    const known = this.#limits.get(name)
-    if (known !== undefined) return known
-    const made = new WorkspaceLimit()
-    this.#limits.set(name, made)
-    return made
+  #getOrCreate (name: WorkspaceName): WorkspaceLimit {
+    const existing = this.#limits.get(name)
+    if (existing !== undefined) return existing
+    const created = new WorkspaceLimit()
+    this.#limits.set(name, created)
+    return created
   }
 }
--- a/src/tasks/member-task.ts
+++ b/src/tasks/member-task.ts
@@ -1,4 +1,4 @@
-/** The task that owns the membership and its UDP socket. */
+/** Runs the group membership over a UDP socket, with a MAC on every datagram. */
 import { createHmac, timingSafeEqual } from 'node:crypto'
 import { createSocket } from 'node:dgram'
 import type { Socket } from 'node:dgram'
@@ -7,9 +7,9 @@
 import { decodeForeign, encodeValue } from '../protocol/index.js'
 
 const macBytes = 16
-const tickMs = 50
+const tickIntervalMs = 50
 
-/** What the task is given. */
+/** What the task depends on. `secret` is shared by all boxes. */
 export interface MemberTaskHost {
   readonly secret: string
   now (): number
@@ -37,19 +37,19 @@
   get members (): Member[] { return this.#membership.members }
   get remembered (): Member[] { return this.#membership.remembered }
 
-  /** Opens the socket; the members' port is that of the control address. */
+  /** Opens the UDP socket on the host and port of the control address. */
   start (): Promise<void> {
     const { host, port } = this.#membership.self
     return new Promise((resolve, reject) => {
       this.#socket.once('error', reject)
       this.#socket.bind(port, host, () => {
-        this.#timer = setInterval(() => this.#step({ type: 'tick', at: this.#host.now() }), tickMs)
+        this.#timer = setInterval(() => this.#step({ type: 'tick', at: this.#host.now() }), tickIntervalMs)
         resolve()
       })
     })
   }
 
-  /** Tells the others that this box is leaving. */
+  /** Announces to other members that this box is leaving. */
   leave (): void {
     this.#step({ type: 'leave', at: this.#host.now() })
   }
@@ -79,13 +79,13 @@
 
   #receive (bytes: Buffer): void {
     this.bytesIn += bytes.length
-    const message = this.#open(bytes)
+    const message = this.#verify(bytes)
     if (message === undefined) return this.#host.noteBadDatagram()
     this.#step({ type: 'receive', at: this.#host.now(), message })
   }
 
-  // A replayed datagram is harmless: its news is old, so it's not taken.
-  #open (bytes: Buffer): MemberMessage | undefined {
+  // Replayed datagrams need no further check: their member records are outdated and are ignored.
+  #verify (bytes: Buffer): MemberMessage | undefined {
     if (bytes.length <= macBytes) return undefined
     const body = bytes.subarray(macBytes)
     if (!timingSafeEqual(this.#sign(body), bytes.subarray(0, macBytes))) return undefined
--- a/src/tasks/open-links.ts
+++ b/src/tasks/open-links.ts
@@ -1,6 +1,6 @@
 import type { Link } from '../protocol/index.js'
 
-/** The open links of a box by the peer's name; either side may have opened them. */
+/** The open links of a box by the peer's name, whichever side opened them. */
 export class OpenLinks<Message> {
   #links = new Map<string, Set<Link<Message>>>()
 
@@ -18,7 +18,7 @@
     if (links?.size === 0) this.#links.delete(link.peer)
   }
 
-  /** A link to the peer that is open; undefined for none. */
+  /** An open link to the peer, if any. */
   find (peer: string): Link<Message> | undefined {
     for (const link of this.#links.get(peer) ?? []) {
       if (link.isOpen) return link
--- a/src/tasks/owner-status.ts
+++ b/src/tasks/owner-status.ts
@@ -2,8 +2,8 @@
 import type { BoxStatus, EngineStatus } from '../protocol/index.js'
 import type { ShardOwner } from './shard-owner.js'
 
-/** The part of a box's status that its schedulers give. */
-export function describeOwned (owner: ShardOwner, box: BoxId): Pick<BoxStatus, 'queues' | 'engines'> {
+/** The part of a box's status that describes the shards that it owns. */
+export function describeOwnedShards (owner: ShardOwner, box: BoxId): Pick<BoxStatus, 'queues' | 'engines'> {
   const queues: Record<string, number> = {}
   const engines: EngineStatus[] = []
   for (const shard of owner.shards) {
--- a/src/tasks/answer-parts.ts
+++ b/src/tasks/response-assembler.ts
@@ -1,14 +1,14 @@
-/** Reads an answer's events as they pass, and puts a whole answer together. */
+/** Parses the server-sent events of a chat completion and assembles the complete response from them. */
 import { isDoneEvent, readEventData } from '../protocol/index.js'
 
-/** Token counts as engines give them. */
+/** Token counts as reported by engines. */
 export interface Usage {
   readonly prompt_tokens: number
   readonly completion_tokens: number
   readonly total_tokens: number
 }
 
-interface Chunk {
+interface ResponseChunk {
   readonly id?: string
   readonly created?: number
   readonly model?: string
@@ -17,60 +17,61 @@
   readonly choices?: readonly { readonly delta?: { readonly content?: string | null, readonly role?: string }, readonly finish_reason?: string | null }[]
 }
 
-/** What one event is. */
+/** Classification of one event. `broken`: its data is not valid JSON. */
 export type EventKind = 'text' | 'usage' | 'done' | 'broken'
 
-/** Gathers what an answer's events say. */
-export class AnswerParts {
+/** Accumulates the events of one response, which may come from several engines in turn. */
+export class ResponseAssembler {
   #text: string[] = []
   #tokens = 0
-  #first: Chunk | null = null
-  #finish: string | null = null
+  #firstChunk: ResponseChunk | null = null
+  #finishReason: string | null = null
   #usage: Usage | null = null
-  #done = false
+  #isDone = false
 
   get text (): string { return this.#text.join('') }
-  /** Events with text so far: tokens, as engines send one each. */
+  /** Number of events with text so far; equals the number of tokens, as engines send one token per event. */
   get tokens (): number { return this.#tokens }
-  get isDone (): boolean { return this.#done }
+  /** True once the final `[DONE]` event has been received. */
+  get isDone (): boolean { return this.#isDone }
 
-  /** Takes one event, and says what it is. */
-  take (event: Buffer): EventKind {
+  /** Adds one event and returns its kind. */
+  add (event: Buffer): EventKind {
     if (isDoneEvent(event)) {
-      this.#done = true
+      this.#isDone = true
       return 'done'
     }
     const data = readEventData(event)
     if (data === null) return 'text'
-    let chunk: Chunk
+    let chunk: ResponseChunk
     try {
-      chunk = JSON.parse(data) as Chunk
+      chunk = JSON.parse(data) as ResponseChunk
     } catch {
       return 'broken'
     }
-    return this.#note(chunk)
+    return this.#addChunk(chunk)
   }
 
-  /** The whole answer in the published shape. */
+  /** The complete response as an OpenAI-compatible JSON body. `model` is used if the engine did not name one. */
   compose (model: string): string {
     const message = { role: 'assistant', content: this.text }
     const usage = this.#usage ?? { prompt_tokens: 0, completion_tokens: this.#tokens, total_tokens: this.#tokens }
     return JSON.stringify({
-      id: this.#first?.id ?? '',
+      id: this.#firstChunk?.id ?? '',
       object: 'chat.completion',
-      created: this.#first?.created ?? 0,
-      model: this.#first?.model ?? model,
-      choices: [{ index: 0, message, logprobs: null, finish_reason: this.#finish ?? 'stop' }],
+      created: this.#firstChunk?.created ?? 0,
+      model: this.#firstChunk?.model ?? model,
+      choices: [{ index: 0, message, logprobs: null, finish_reason: this.#finishReason ?? 'stop' }],
       usage
     })
   }
 
-  #note (chunk: Chunk): EventKind {
-    this.#first ??= chunk
+  #addChunk (chunk: ResponseChunk): EventKind {
+    this.#firstChunk ??= chunk
     if (chunk.usage != null) this.#usage = chunk.usage
     const [choice] = chunk.choices ?? []
     if (choice === undefined) return chunk.usage != null ? 'usage' : 'text'
-    if (typeof choice.finish_reason === 'string') this.#finish = choice.finish_reason
+    if (typeof choice.finish_reason === 'string') this.#finishReason = choice.finish_reason
     const content = choice.delta?.content
     if (typeof content === 'string' && content !== '') {
       this.#text.push(content)
--- a/src/tasks/rotate.ts
+++ b/src/tasks/rotate.ts
@@ -1,6 +1,6 @@
-/** The items, from the one at `by` on, those before it last. */
-export function rotate<T> (items: readonly T[], by: number): T[] {
+/** Rotates a list to the left by `offset` positions, modulo its length. */
+export function rotate<T> (items: readonly T[], offset: number): T[] {
   if (items.length === 0) return []
-  const at = by % items.length
-  return [...items.slice(at), ...items.slice(0, at)]
+  const start = offset % items.length
+  return [...items.slice(start), ...items.slice(0, start)]
 }
--- a/src/tasks/service-exchange.ts
+++ b/src/tasks/service-exchange.ts
@@ -1,6 +1,7 @@
 /**
- * One call to a plain service. A call that may not be repeated is claimed
- * before its first byte, and settled before its answer is given.
+ * Handles one call to a plain service. A non-repeatable call is claimed at the
+ * keepers before its first byte is written, and its claim is settled before the
+ * response is sent to the caller.
  */
 import { createHash } from 'node:crypto'
 import { request as httpRequest } from 'node:http'
@@ -8,28 +9,28 @@
 import type { ClaimCommand, ClaimKey, ClaimResult, StoredAnswer } from '../coordination/index.js'
 import type { Service, ServiceEndpoint } from '../config/index.js'
 import type { ErrorKind } from '../core/index.js'
-import { outcomeHeader, replayedHeader, requestIdHeader, sendFault } from './answers.js'
-import { Fault, toFault } from './fault.js'
+import { outcomeHeader, replayedHeader, requestIdHeader, sendError } from './error-response.js'
+import { RequestError, toRequestError } from './request-error.js'
 
-/** How a command on claims ended at the keepers. */
-export type ClaimEnd =
+/** The outcome of a claim command at the keepers. */
+export type ClaimOutcome =
   | { readonly type: 'result', readonly result: ClaimResult }
   | { readonly type: 'unsent' }
   | { readonly type: 'unanswered' }
 
-/** What an exchange needs of its box. */
+/** Functions of the box that an exchange depends on. */
 export interface ServiceHost {
   readonly agent: Agent
   now (): number
-  nextAttempt (): string
-  sendClaim (command: ClaimCommand, timeoutMs: number): Promise<ClaimEnd>
-  /** The service's endpoints, the nearest first. */
+  createAttemptId (): string
+  sendClaim (command: ClaimCommand, timeoutMs: number): Promise<ClaimOutcome>
+  /** The service's endpoints in the order in which to try them, those in the same zone first. */
   orderEndpoints (service: Service): readonly ServiceEndpoint[]
   noteEnd (summary: ServiceSummary): void
 }
 
-/** A call as it was let in. */
-export interface ServiceOrder {
+/** A validated service call. */
+export interface ServiceContext {
   readonly requestId: string
   readonly workspace: string
   readonly service: Service
@@ -40,166 +41,167 @@
   readonly arrivedAt: number
 }
 
-/** How a call went. */
+/** The outcome of a call, for logs and metrics. */
 export interface ServiceSummary {
-  readonly order: ServiceOrder
+  readonly context: ServiceContext
   readonly kind: ErrorKind | 'ok' | 'replayed'
   readonly status: number
   readonly totalMs: number
 }
 
-/** An endpoint's answer, whole. */
-interface EndpointAnswer extends StoredAnswer {
+/** A complete response of an endpoint. */
+interface EndpointResponse extends StoredAnswer {
   readonly status: number
 }
 
-/** A call that failed at an endpoint. */
+/** A failed attempt at an endpoint. `hasWrittenBytes`: a connection was established, so the call may have run. */
 class EndpointError extends Error {
-  readonly wroteBytes: boolean
+  readonly hasWrittenBytes: boolean
   readonly isTimeout: boolean
 
-  constructor (text: string, wroteBytes: boolean, isTimeout: boolean) {
+  constructor (text: string, hasWrittenBytes: boolean, isTimeout: boolean) {
     super(text)
-    this.wroteBytes = wroteBytes
+    this.hasWrittenBytes = hasWrittenBytes
     this.isTimeout = isTimeout
   }
 }
 
-const claimMs = 1500
-const settleMs = 3000
+const claimTimeoutMs = 1500
+const settleTimeoutMs = 3000
+/** A claim expires this long after the time-out of the service. */
 const claimMarginMs = 30_000
-const largestAnswer = 16 * 2 ** 20
-const longestKey = 255
-const passedHeaders = ['content-type', 'accept', 'idempotency-key', 'accept-language']
+const maxResponseBytes = 16 * 2 ** 20
+const maxKeyLength = 255
+const forwardedHeaders = ['content-type', 'accept', 'idempotency-key', 'accept-language']
 
 export class ServiceExchange {
   #host: ServiceHost
-  #order: ServiceOrder
+  #context: ServiceContext
   #response: ServerResponse
-  #wroteBytes = false
+  #hasWrittenBytes = false
 
-  constructor (host: ServiceHost, order: ServiceOrder, response: ServerResponse) {
+  constructor (host: ServiceHost, context: ServiceContext, response: ServerResponse) {
     this.#host = host
-    this.#order = order
+    this.#context = context
     this.#response = response
   }
 
-  /** Runs the call to its end; faults are answered, not thrown. */
+  /** Runs the call to completion. Errors are sent to the caller, not thrown. */
   async run (): Promise<void> {
     try {
-      if (this.#isRepeatable) this.#answer(await this.#send(), 'ok')
+      if (this.#isRepeatable) this.#respond(await this.#send(), 'ok')
       else await this.#runOnce()
     } catch (error) {
-      const fault = toFault(error)
-      sendFault(this.#response, fault, this.#order.requestId, this.#wroteBytes)
-      this.#summarise(fault.kind, this.#response.statusCode)
+      const requestError = toRequestError(error)
+      sendError(this.#response, requestError, this.#context.requestId, this.#hasWrittenBytes)
+      this.#reportEnd(requestError.kind, this.#response.statusCode)
     }
   }
 
   get #isRepeatable (): boolean {
-    const { service, path, method } = this.#order
+    const { service, path, method } = this.#context
     if (service.repeatable || method === 'GET' || method === 'HEAD') return true
-    return service.repeatablePaths.some(start => path.startsWith(start))
+    return service.repeatablePaths.some(prefix => path.startsWith(prefix))
   }
 
   async #runOnce (): Promise<void> {
     const key = this.#readKey()
-    const attempt = this.#host.nextAttempt()
-    const ttlMs = this.#order.service.timeoutMs + claimMarginMs
+    const attempt = this.#host.createAttemptId()
+    const ttlMs = this.#context.service.timeoutMs + claimMarginMs
     const askedAt = this.#host.now()
-    const end = await this.#host.sendClaim({ type: 'claim', key, digest: this.#digest(), attempt, ttlMs }, claimMs)
-    if (end.type !== 'result') throw this.#refuseUnclaimed(key, attempt, end.type)
-    switch (end.result.type) {
+    const outcome = await this.#host.sendClaim({ type: 'claim', key, digest: this.#computeDigest(), attempt, ttlMs }, claimTimeoutMs)
+    if (outcome.type !== 'result') throw this.#abandonClaim(key, attempt, outcome.type)
+    switch (outcome.result.type) {
       case 'granted': return await this.#runClaimed(key, attempt, askedAt + ttlMs / 2)
-      case 'answered': return this.#answer(end.result.answer, 'replayed')
-      case 'answer-dropped': throw new Fault('answer-not-kept', 'the call ran before; its answer is no longer kept')
-      case 'in-progress': throw new Fault('in-progress', 'a call with this Idempotency-Key is being run', { retryAfterMs: Math.min(1000, end.result.untilMs) })
-      case 'other-body': throw new Fault('key-conflict', 'this Idempotency-Key was used with another call', { param: 'Idempotency-Key' })
-      case 'unknown': throw new Fault('claim-unknown', 'whether the call with this Idempotency-Key ran is not known')
-      default: throw new Fault('internal', `a claim was answered with ${end.result.type}`)
+      case 'answered': return this.#respond(outcome.result.answer, 'replayed')
+      case 'answer-dropped': throw new RequestError('answer-not-kept', 'the call has already run, but its response is no longer stored')
+      case 'in-progress': throw new RequestError('in-progress', 'a call with this Idempotency-Key is still running', { retryAfterMs: Math.min(1000, outcome.result.untilMs) })
+      case 'other-body': throw new RequestError('key-conflict', 'this Idempotency-Key was already used with a different call', { param: 'Idempotency-Key' })
+      case 'unknown': throw new RequestError('claim-unknown', 'it is unknown whether the call with this Idempotency-Key ran')
+      default: throw new RequestError('internal', `unexpected result of a claim: ${outcome.result.type}`)
     }
   }
 
-  // This attempt never writes a byte now, whatever becomes of its claim; the
-  // withdrawal only frees the key sooner.
-  #refuseUnclaimed (key: ClaimKey, attempt: string, how: 'unsent' | 'unanswered'): Fault {
-    if (how === 'unanswered') void this.#host.sendClaim({ type: 'withdraw', key, attempt }, 60_000)
-    return new Fault('no-quorum', 'the keepers cannot be reached; the call was not begun', { retryAfterMs: 2000 })
+  // This attempt writes nothing to an endpoint, whether or not its claim is granted
+  // later. The withdrawal only makes the key available sooner.
+  #abandonClaim (key: ClaimKey, attempt: string, outcome: 'unsent' | 'unanswered'): RequestError {
+    if (outcome === 'unanswered') void this.#host.sendClaim({ type: 'withdraw', key, attempt }, 60_000)
+    return new RequestError('no-quorum', 'no quorum of keepers is reachable; the call was not started', { retryAfterMs: 2000 })
   }
 
-  async #runClaimed (key: ClaimKey, attempt: string, startBy: number): Promise<void> {
-    let answer
+  async #runClaimed (key: ClaimKey, attempt: string, startDeadline: number): Promise<void> {
+    let response
     try {
-      // A box that was paused in between must not begin a call that others may have given up on.
-      if (this.#host.now() > startBy) throw new EndpointError('the claim is too old to begin', false, false)
-      answer = await this.#send()
+      // After a long pause of this process other boxes may already treat the claim as expired, so the call must not be started.
+      if (this.#host.now() > startDeadline) throw new EndpointError('the claim is too old to start the call', false, false)
+      response = await this.#send()
     } catch (error) {
-      if (!this.#wroteBytes) return await this.#withdraw(key, attempt, toFault(error))
-      await this.#host.sendClaim({ type: 'settle', key, attempt, answer: null }, settleMs)
+      if (!this.#hasWrittenBytes) return await this.#withdraw(key, attempt, toRequestError(error))
+      await this.#host.sendClaim({ type: 'settle', key, attempt, answer: null }, settleTimeoutMs)
       throw error
     }
-    await this.#host.sendClaim({ type: 'settle', key, attempt, answer }, settleMs)
-    this.#answer(answer, 'ok')
+    await this.#host.sendClaim({ type: 'settle', key, attempt, answer: response }, settleTimeoutMs)
+    this.#respond(response, 'ok')
   }
 
-  // "Not run" is said only after the withdrawal is committed.
-  async #withdraw (key: ClaimKey, attempt: string, fault: Fault): Promise<never> {
-    const end = await this.#host.sendClaim({ type: 'withdraw', key, attempt }, settleMs)
-    if (end.type === 'result' && end.result.type === 'withdrawn') throw fault
-    throw new Fault('claim-unknown', 'the call was not begun, but its claim could not be withdrawn; its Idempotency-Key stays taken')
+  // The caller is told "not-run" only after the withdrawal is committed.
+  async #withdraw (key: ClaimKey, attempt: string, error: RequestError): Promise<never> {
+    const outcome = await this.#host.sendClaim({ type: 'withdraw', key, attempt }, settleTimeoutMs)
+    if (outcome.type === 'result' && outcome.result.type === 'withdrawn') throw error
+    throw new RequestError('claim-unknown', 'the call was not started, but its claim could not be withdrawn; its Idempotency-Key stays in use')
   }
 
   #readKey (): ClaimKey {
-    const key = this.#order.headers['idempotency-key']
-    if (typeof key !== 'string' || key === '') throw new Fault('key-required', 'this call may not be repeated and needs an Idempotency-Key', { param: 'Idempotency-Key' })
-    if (key.length > longestKey) throw new Fault('bad-request', `an Idempotency-Key is at most ${longestKey} long`, { param: 'Idempotency-Key' })
-    return { workspace: this.#order.workspace, service: this.#order.service.name, key }
+    const key = this.#context.headers['idempotency-key']
+    if (typeof key !== 'string' || key === '') throw new RequestError('key-required', 'this call is not repeatable and requires an Idempotency-Key', { param: 'Idempotency-Key' })
+    if (key.length > maxKeyLength) throw new RequestError('bad-request', `the Idempotency-Key is too long: the limit is ${maxKeyLength} characters`, { param: 'Idempotency-Key' })
+    return { workspace: this.#context.workspace, service: this.#context.service.name, key }
   }
 
-  #digest (): string {
-    const { method, path, body } = this.#order
+  #computeDigest (): string {
+    const { method, path, body } = this.#context
     return createHash('sha256').update(`${method} ${path}\n`).update(body).digest('base64url')
   }
 
-  // Another endpoint is tried only while nothing was written.
-  async #send (): Promise<EndpointAnswer> {
-    let last: EndpointError | null = null
-    for (const endpoint of this.#host.orderEndpoints(this.#order.service)) {
+  // A non-repeatable call is tried at another endpoint only if no byte was written.
+  async #send (): Promise<EndpointResponse> {
+    let lastError: EndpointError | null = null
+    for (const endpoint of this.#host.orderEndpoints(this.#context.service)) {
       try {
         return await this.#sendTo(endpoint)
       } catch (error) {
-        last = error as EndpointError
-        this.#wroteBytes ||= last.wroteBytes
-        if (this.#wroteBytes && !this.#isRepeatable) break
+        lastError = error as EndpointError
+        this.#hasWrittenBytes ||= lastError.hasWrittenBytes
+        if (this.#hasWrittenBytes && !this.#isRepeatable) break
       }
     }
-    if (!this.#wroteBytes) throw new Fault('service-unreachable', `no endpoint of ${this.#order.service.name} can be reached`)
-    const kind = last?.isTimeout === true ? 'engine-timeout' : 'engine-failed'
-    throw new Fault(kind, `${this.#order.service.name} failed: ${last?.message ?? 'unknown'}`)
+    if (!this.#hasWrittenBytes) throw new RequestError('service-unreachable', `no endpoint of service ${this.#context.service.name} is reachable`)
+    const kind = lastError?.isTimeout === true ? 'engine-timeout' : 'engine-failed'
+    throw new RequestError(kind, `service ${this.#context.service.name} failed: ${lastError?.message ?? 'unknown'}`)
   }
 
-  #sendTo (endpoint: ServiceEndpoint): Promise<EndpointAnswer> {
-    const { method, path, body, service } = this.#order
-    // A kept connection may be closed under a call; one that may not be repeated gets its own.
+  #sendTo (endpoint: ServiceEndpoint): Promise<EndpointResponse> {
+    const { method, path, body, service } = this.#context
+    // The server may close a keep-alive connection while a call is being sent on it, so a non-repeatable call gets a new connection.
     const agent = this.#isRepeatable ? this.#host.agent : undefined
     return new Promise((resolve, reject) => {
-      let wrote = false
+      let hasWritten = false
       const request = httpRequest({ host: endpoint.host, port: endpoint.port, method, path, agent, headers: this.#composeHeaders(body) })
       const fail = (text: string, isTimeout: boolean): void => {
         clearTimeout(timer)
         request.destroy()
-        reject(new EndpointError(text, wrote, isTimeout))
+        reject(new EndpointError(text, hasWritten, isTimeout))
       }
-      const timer = setTimeout(() => fail('no answer in time', true), service.timeoutMs)
+      const timer = setTimeout(() => fail('no response before the time-out', true), service.timeoutMs)
       request.on('socket', socket => {
-        if (socket.connecting) socket.once('connect', () => { wrote = true })
-        else wrote = true
+        if (socket.connecting) socket.once('connect', () => { hasWritten = true })
+        else hasWritten = true
       })
       request.on('error', error => fail(error.message, false))
       request.on('response', response => {
-        readAnswer(response).then(answer => {
+        readResponse(response).then(endpointResponse => {
           clearTimeout(timer)
-          resolve(answer)
+          resolve(endpointResponse)
         }, (error: Error) => fail(error.message, false))
       })
       request.end(body)
@@ -207,40 +209,40 @@
   }
 
   #composeHeaders (body: Buffer): Record<string, string | number> {
-    const headers: Record<string, string | number> = { 'content-length': body.length, 'x-request-id': this.#order.requestId }
-    for (const name of passedHeaders) {
-      const value = this.#order.headers[name]
+    const headers: Record<string, string | number> = { 'content-length': body.length, 'x-request-id': this.#context.requestId }
+    for (const name of forwardedHeaders) {
+      const value = this.#context.headers[name]
       if (typeof value === 'string') headers[name] = value
     }
     return headers
   }
 
-  #answer (answer: StoredAnswer, kind: 'ok' | 'replayed'): void {
+  #respond (response: StoredAnswer, kind: 'ok' | 'replayed'): void {
     const headers: Record<string, string | number> = {
-      'content-type': answer.contentType,
-      'content-length': answer.body.length,
-      [requestIdHeader]: this.#order.requestId,
+      'content-type': response.contentType,
+      'content-length': response.body.length,
+      [requestIdHeader]: this.#context.requestId,
       [outcomeHeader]: 'run'
     }
     if (kind === 'replayed') headers[replayedHeader] = 'true'
-    this.#response.writeHead(answer.status, headers)
-    this.#response.end(answer.body)
-    this.#summarise(kind, answer.status)
+    this.#response.writeHead(response.status, headers)
+    this.#response.end(response.body)
+    this.#reportEnd(kind, response.status)
   }
 
-  #summarise (kind: ServiceSummary['kind'], status: number): void {
-    this.#host.noteEnd({ order: this.#order, kind, status, totalMs: this.#host.now() - this.#order.arrivedAt })
+  #reportEnd (kind: ServiceSummary['kind'], status: number): void {
+    this.#host.noteEnd({ context: this.#context, kind, status, totalMs: this.#host.now() - this.#context.arrivedAt })
   }
 }
 
-async function readAnswer (response: IncomingMessage): Promise<EndpointAnswer> {
+async function readResponse (response: IncomingMessage): Promise<EndpointResponse> {
   const chunks: Buffer[] = []
-  let size = 0
+  let receivedBytes = 0
   for await (const chunk of response as AsyncIterable<Buffer>) {
-    size += chunk.length
-    if (size > largestAnswer) throw new Error('the answer is too large')
+    receivedBytes += chunk.length
+    if (receivedBytes > maxResponseBytes) throw new Error('the response is too large')
     chunks.push(chunk)
   }
-  if (!response.complete) throw new Error('the answer was cut short')
+  if (!response.complete) throw new Error('the response was truncated')
   return { status: response.statusCode ?? 502, contentType: response.headers['content-type'] ?? 'application/octet-stream', body: Buffer.concat(chunks) }
 }
--- a/src/tasks/shard-owner.ts
+++ b/src/tasks/shard-owner.ts
@@ -1,21 +1,22 @@
 /**
- * The task that owns the schedulers of the shards that fall to this box. Word
- * of boxes comes in, grants and refusals go out.
+ * Runs the schedulers of the shards that are assigned to this box. Messages from
+ * boxes are queued in an inbox and processed one at a time; grants and refusals go
+ * back through the host.
  */
 import { Scheduler } from '../core/index.js'
 import type { BoxId, EngineId, Shard, ShardAnswer, ShardId, ShardLoad, ShardWord, SchedulerAction, SchedulerConfig, SchedulerEvent } from '../core/index.js'
 import { Inbox } from '../runtime/index.js'
 
-/** What the owner needs of the box. */
+/** Functions of the box that the owner depends on. */
 export interface ShardOwnerHost {
   now (): number
   random (): number
-  answer (box: BoxId, shard: ShardId, answer: ShardAnswer): void
+  reply (box: BoxId, shard: ShardId, reply: ShardAnswer): void
   noteViolation (rule: string, detail: string): void
   noteYield (request: string, engine: string, to: string): void
 }
 
-interface Owned {
+interface OwnedShard {
   readonly shard: Shard
   readonly scheduler: Scheduler
 }
@@ -24,64 +25,65 @@
   | { readonly type: 'event', readonly shard: ShardId, readonly event: SchedulerEvent }
   | { readonly type: 'tick' }
 
-const tickMs = 15
-const idleTurns = 10
-const inboxLimit = 50_000
+const tickIntervalMs = 15
+/** While no request is queued, only one in this many ticks is processed. */
+const idleTickDivisor = 10
+const maxInboxMessages = 50_000
 
 export class ShardOwner {
   #host: ShardOwnerHost
-  #owned = new Map<ShardId, Owned>()
-  #inbox = new Inbox<OwnerInput>(inboxLimit)
+  #owned = new Map<ShardId, OwnedShard>()
+  #inbox = new Inbox<OwnerInput>(maxInboxMessages)
   #timer: NodeJS.Timeout
-  #turn = 0
+  #tickCount = 0
 
   constructor (host: ShardOwnerHost) {
     this.#host = host
-    this.#inbox.run(input => this.#take(input))
-    this.#timer = setInterval(() => this.#tick(), tickMs)
+    this.#inbox.run(input => this.#process(input))
+    this.#timer = setInterval(() => this.#tick(), tickIntervalMs)
   }
 
-  /** The shards that are owned now, with their engines. */
-  get shards (): readonly Shard[] { return [...this.#owned.values()].map(one => one.shard) }
+  /** The shards that are currently owned. */
+  get shards (): readonly Shard[] { return [...this.#owned.values()].map(owned => owned.shard) }
 
-  /** The loads that other boxes are told. */
+  /** The load of each owned shard, as reported to other boxes. */
   get loads (): (readonly [ShardId, ShardLoad])[] {
-    return [...this.#owned].map(([id, one]) => [id, one.scheduler.load])
+    return [...this.#owned].map(([id, owned]) => [id, owned.scheduler.load])
   }
 
   owns (shard: ShardId): boolean { return this.#owned.has(shard) }
 
   findScheduler (shard: ShardId): Scheduler | undefined { return this.#owned.get(shard)?.scheduler }
 
-  /** Takes on the given shards, keeping the state of those owned already, and gives up all others. */
+  /** Replaces the set of owned shards. Shards that were already owned keep their scheduler state; all others are dropped. */
   assign (shards: readonly Shard[], configure: (shard: Shard) => SchedulerConfig): void {
-    const next = new Map<ShardId, Owned>()
+    const next = new Map<ShardId, OwnedShard>()
     for (const shard of shards) {
-      const known = this.#owned.get(shard.id)
-      const config = configure(shard)
-      const scheduler = known?.scheduler ?? new Scheduler(config, () => this.#host.random())
+      const existing = this.#owned.get(shard.id)
+      const schedulerConfig = configure(shard)
+      const scheduler = existing?.scheduler ?? new Scheduler(schedulerConfig, () => this.#host.random())
       next.set(shard.id, { shard, scheduler })
-      if (known !== undefined) this.#step(shard.id, scheduler, { type: 'configure', at: this.#host.now(), config })
+      if (existing !== undefined) this.#step(shard.id, scheduler, { type: 'configure', at: this.#host.now(), config: schedulerConfig })
     }
     this.#owned = next
   }
 
-  /** Takes word of a box. False where the inbox is full or the shard isn't owned. */
-  take (shard: ShardId, word: ShardWord): boolean {
+  /** Queues a message from a box. Returns false if the shard isn't owned, or if a submission finds the inbox full. */
+  receive (shard: ShardId, message: ShardWord): boolean {
     if (!this.#owned.has(shard)) return false
-    const event = this.#toEvent(word)
+    const event = this.#toEvent(message)
     if (event.type === 'submit') return this.#inbox.offer({ type: 'event', shard, event })
     this.#inbox.post({ type: 'event', shard, event })
     return true
   }
 
-  /** A report or cache event of an engine. */
+  /** Queues a load report, eviction or drain of an engine. */
   noteEngine (shard: ShardId, event: Extract<SchedulerEvent, { type: 'report' | 'evicted' | 'drain' }>): void {
     this.#inbox.post({ type: 'event', shard, event })
   }
 
-  /** A box is gone, and what it had asked for with it. */
-  loseBox (box: BoxId): void {
+  /** Discards all requests of a box that is gone. */
+  removeBox (box: BoxId): void {
     for (const shard of this.#owned.keys()) {
       this.#inbox.post({ type: 'event', shard, event: { type: 'boxLost', at: this.#host.now(), box } })
     }
@@ -98,26 +100,26 @@
     this.#inbox.close()
   }
 
-  // Where nothing waits there is no deadline to watch, and a tick now and then will do.
+  // With no queued requests there are no deadlines to check, so most ticks are skipped.
   #tick (): void {
-    this.#turn += 1
-    const isIdle = [...this.#owned.values()].every(one => !one.scheduler.hasWaiting)
-    if (!isIdle || this.#turn % idleTurns === 0) this.#inbox.post({ type: 'tick' })
+    this.#tickCount += 1
+    const isIdle = [...this.#owned.values()].every(owned => !owned.scheduler.hasWaiting)
+    if (!isIdle || this.#tickCount % idleTickDivisor === 0) this.#inbox.post({ type: 'tick' })
   }
 
-  // Deadlines cross between boxes as time left: their clocks differ.
-  #toEvent (word: ShardWord): SchedulerEvent {
+  // Boxes send deadlines as remaining time because their clocks differ.
+  #toEvent (message: ShardWord): SchedulerEvent {
     const at = this.#host.now()
-    switch (word.type) {
-      case 'submit': return { type: 'submit', at, submission: { ...word.submission, deadline: at + word.leftMs } }
-      case 'adopt': return { ...word, at }
-      case 'cancel': return { ...word, at }
-      case 'firstToken': return { ...word, at }
-      case 'end': return { ...word, at }
+    switch (message.type) {
+      case 'submit': return { type: 'submit', at, submission: { ...message.submission, deadline: at + message.leftMs } }
+      case 'adopt': return { ...message, at }
+      case 'cancel': return { ...message, at }
+      case 'firstToken': return { ...message, at }
+      case 'end': return { ...message, at }
     }
   }
 
-  #take (input: OwnerInput): void {
+  #process (input: OwnerInput): void {
     switch (input.type) {
       case 'event': {
         const owned = this.#owned.get(input.shard)
@@ -135,8 +137,8 @@
 
   #perform (shard: ShardId, action: SchedulerAction): void {
     switch (action.type) {
-      case 'grant': return this.#host.answer(action.box, shard, action)
-      case 'refuse': return this.#host.answer(action.box, shard, action)
+      case 'grant': return this.#host.reply(action.box, shard, action)
+      case 'refuse': return this.#host.reply(action.box, shard, action)
       case 'yield': return this.#host.noteYield(action.request, action.engine, action.to)
       case 'violation': return this.#host.noteViolation(action.rule, action.detail)
     }
--- a/test/callers.test.ts
+++ b/test/callers.test.ts
@@ -4,47 +4,47 @@
 import { after, before, test } from 'node:test'
 import OpenAI from 'openai'
 import { composeAnswer } from '../src/standin/index.js'
-import { Deployment, chat, host, key, readStream, send, until } from './support/deployment.js'
+import { Deployment, chat, host, apiKey, readStream, send, until } from './support/deployment.js'
 
-let place: Deployment
+let deployment: Deployment
 
-before(async () => { place = await Deployment.start({ port: 21_000 }) })
-after(() => place.stop())
+before(async () => { deployment = await Deployment.start({ port: 21_000 }) })
+after(() => deployment.stop())
 
 const messages = [{ role: 'user', content: 'where is the pitch?' }]
-const whole = composeAnswer({ model: 'm', messages, max_tokens: 10 }).words.join('')
+const fullText = composeAnswer({ model: 'm', messages, max_tokens: 10 }).words.join('')
 
-test('a streamed answer is whole and ends with [DONE]', async () => {
-  const answer = await chat(place.url, { stream: true })
-  assert.equal(answer.status, 200)
-  assert.deepEqual(readStream(answer.body), { text: whole, done: true, error: null })
-  assert.match(String(answer.headers['x-wrenlane-request-id']), /^entry-1-/)
+test('a streamed response is complete and ends with [DONE]', async () => {
+  const response = await chat(deployment.url, { stream: true })
+  assert.equal(response.status, 200)
+  assert.deepEqual(readStream(response.body), { text: fullText, done: true, error: null })
+  assert.match(String(response.headers['x-wrenlane-request-id']), /^entry-1-/)
 })
 
-test('a whole answer carries its usage', async () => {
-  const answer = await chat(place.url)
-  const body = JSON.parse(answer.body)
-  assert.equal(body.choices[0].message.content, whole)
+test('a non-streamed response has token counts', async () => {
+  const response = await chat(deployment.url)
+  const body = JSON.parse(response.body)
+  assert.equal(body.choices[0].message.content, fullText)
   assert.equal(body.usage.completion_tokens, 10)
 })
 
-test('usage is streamed to those who ask for it, and to no others', async () => {
-  const asked = await chat(place.url, { stream: true, stream_options: { include_usage: true } })
-  const plain = await chat(place.url, { stream: true })
-  assert.match(asked.body, /"usage":\{/)
-  assert.doesNotMatch(plain.body, /"usage":\{/)
+test('a stream has token counts only if they were requested', async () => {
+  const withUsage = await chat(deployment.url, { stream: true, stream_options: { include_usage: true } })
+  const withoutUsage = await chat(deployment.url, { stream: true })
+  assert.match(withUsage.body, /"usage":\{/)
+  assert.doesNotMatch(withoutUsage.body, /"usage":\{/)
 })
 
-test('a client of the published protocol works with a new base URL', async () => {
-  const client = new OpenAI({ apiKey: key, baseURL: `${place.url}/v1`, maxRetries: 0 })
+test('the OpenAI client works with only its base URL changed', async () => {
+  const client = new OpenAI({ apiKey, baseURL: `${deployment.url}/v1`, maxRetries: 0 })
   const models = await client.models.list()
   assert.deepEqual(models.data.map(model => model.id), ['m'])
-  const answer = await client.chat.completions.create({ model: 'm', messages: [{ role: 'user', content: 'hello' }], max_tokens: 4 })
-  assert.equal(answer.usage?.completion_tokens, 4)
+  const response = await client.chat.completions.create({ model: 'm', messages: [{ role: 'user', content: 'hello' }], max_tokens: 4 })
+  assert.equal(response.usage?.completion_tokens, 4)
   let text = ''
   const stream = await client.chat.completions.create({ model: 'm', messages: [{ role: 'user', content: 'hello' }], max_tokens: 4, stream: true })
   for await (const chunk of stream) text += chunk.choices[0]?.delta.content ?? ''
-  assert.equal(text, answer.choices[0].message.content)
+  assert.equal(text, response.choices[0].message.content)
   await assert.rejects(client.chat.completions.create({ model: 'other', messages: [{ role: 'user', content: 'hello' }] }), OpenAI.NotFoundError)
 })
 
@@ -63,47 +63,47 @@
 ]
 
 for (const { name, path, body, headers, status, code } of refusals) {
-  test(`${name} is refused as not run`, async () => {
-    const answer = await send(place.url, path, body, headers)
-    assert.equal(answer.status, status)
-    const { error } = JSON.parse(answer.body)
+  test(`${name}: refused with outcome not-run`, async () => {
+    const response = await send(deployment.url, path, body, headers)
+    assert.equal(response.status, status)
+    const { error } = JSON.parse(response.body)
     assert.equal(error.code, code)
     assert.equal(error.outcome, 'not-run')
-    assert.equal(answer.headers['x-wrenlane-outcome'], 'not-run')
-    assert.ok(answer.headers['x-wrenlane-request-id'])
+    assert.equal(response.headers['x-wrenlane-outcome'], 'not-run')
+    assert.ok(response.headers['x-wrenlane-request-id'])
   })
 }
 
-/** Writes bytes on a fresh connection and reads what comes back. */
-function sendRaw (bytes: string | Buffer, more: Buffer[] = []): Promise<string> {
+/** Writes bytes on a new connection and reads until the connection is closed. */
+function sendRaw (bytes: string | Buffer, chunks: Buffer[] = []): Promise<string> {
   return new Promise(resolve => {
-    const socket = connect(place.entries[0].port, host)
+    const socket = connect(deployment.entries[0].port, host)
     let text = ''
     socket.on('data', chunk => { text += chunk.toString() })
     socket.on('close', () => resolve(text))
     socket.on('error', () => {})
     socket.write(bytes)
-    for (const chunk of more) socket.write(chunk)
+    for (const chunk of chunks) socket.write(chunk)
   })
 }
 
-test('64 KiB of header is refused, and others are served', async () => {
+test('a 64 KiB header is refused, and other requests are served', async () => {
   const text = await sendRaw(`GET /healthz HTTP/1.1\r\nhost: x\r\nx-big: ${'a'.repeat(65_536)}\r\n\r\n`)
   assert.match(text, /^HTTP\/1.1 431 /)
   assert.match(text, /"code":"bad-request"/)
-  assert.equal((await chat(place.url)).status, 200)
+  assert.equal((await chat(deployment.url)).status, 200)
 })
 
-test('a body of 100 MB is refused at once, and others are served', async () => {
-  const head = `POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer ${key}\r\ncontent-length: ${100 * 2 ** 20}\r\n\r\n`
+test('a body with a declared length of 100 MiB is refused at once, and other requests are served', async () => {
+  const head = `POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer ${apiKey}\r\ncontent-length: ${100 * 2 ** 20}\r\n\r\n`
   const text = await sendRaw(head, [Buffer.alloc(2 ** 18, 32)])
   assert.match(text, /^HTTP\/1.1 413 /)
-  assert.equal((await chat(place.url)).status, 200)
+  assert.equal((await chat(deployment.url)).status, 200)
 })
 
-test('a body of unstated length is refused once it is too large', async () => {
-  const answer = await new Promise<number>((resolve, reject) => {
-    const request = httpRequest(`${place.url}/v1/chat/completions`, { method: 'POST', headers: { authorization: `Bearer ${key}`, 'transfer-encoding': 'chunked' } }, response => {
+test('a chunked body is refused as soon as it exceeds the limit', async () => {
+  const status = await new Promise<number>((resolve, reject) => {
+    const request = httpRequest(`${deployment.url}/v1/chat/completions`, { method: 'POST', headers: { authorization: `Bearer ${apiKey}`, 'transfer-encoding': 'chunked' } }, response => {
       resolve(response.statusCode ?? 0)
       request.destroy()
     })
@@ -111,45 +111,45 @@
     const chunk = Buffer.alloc(2 ** 18, 32)
     for (let i = 0; i < 6; i++) request.write(chunk)
   })
-  assert.equal(answer, 413)
+  assert.equal(status, 413)
 })
 
-test('what is not HTTP gets an answer in the same shape', async () => {
+test('input that is not HTTP gets an error response of the usual format', async () => {
   assert.match(await sendRaw('hello there\r\n\r\n'), /^HTTP\/1.1 400 [\s\S]*"code":"bad-request"/)
 })
 
-test('a caller that leaves ends its work at the engine', async () => {
+test('the engine stops when the caller disconnects', async () => {
   const before = countEnds('cancelled')
-  const socket = connect(place.entries[0].port, host)
+  const socket = connect(deployment.entries[0].port, host)
   socket.on('error', () => {})
   const body = JSON.stringify({ model: 'm', messages: [{ role: 'user', content: 'long' }], max_tokens: 100_000, stream: true })
-  socket.write(`POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer ${key}\r\ncontent-length: ${body.length}\r\n\r\n${body}`)
+  socket.write(`POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer ${apiKey}\r\ncontent-length: ${body.length}\r\n\r\n${body}`)
   await new Promise(resolve => socket.once('data', resolve))
   socket.destroy()
-  await until(() => countEnds('cancelled') === before + 1, 'the engine stopped')
-  await until(() => place.entries[0].inFlight === 0, 'the box forgot the request')
+  await until(() => countEnds('cancelled') === before + 1, 'the engine has stopped')
+  await until(() => deployment.entries[0].inFlight === 0, 'the box has no request in flight')
 })
 
 function countEnds (end: string): number {
-  return place.engines.flatMap(engine => [...engine.ran.values()]).filter(record => record.end === end).length
+  return deployment.engines.flatMap(engine => [...engine.ran.values()]).filter(record => record.end === end).length
 }
 
-test('1,200 requests at once are all answered, each with its own answer', async () => {
-  const asks = Array.from({ length: 1200 }, async (_, i) => {
+test('1,200 concurrent requests are all answered, each with its own response', async () => {
+  const requests = Array.from({ length: 1200 }, async (_, i) => {
     const content = `question ${i}`
-    const answer = await chat(place.url, { messages: [{ role: 'user', content }], max_tokens: 3 })
-    if (answer.status !== 200) return answer.status
+    const response = await chat(deployment.url, { messages: [{ role: 'user', content }], max_tokens: 3 })
+    if (response.status !== 200) return response.status
     const expected = composeAnswer({ model: 'm', messages: [{ role: 'user', content }], max_tokens: 3 }).words.join('')
-    assert.equal(JSON.parse(answer.body).choices[0].message.content, expected)
+    assert.equal(JSON.parse(response.body).choices[0].message.content, expected)
     return 200
   })
-  const statuses = await Promise.all(asks)
+  const statuses = await Promise.all(requests)
   assert.ok(statuses.every(status => status === 200 || status === 503), String(new Set(statuses)))
   assert.ok(statuses.filter(status => status === 200).length > 0)
-  assert.equal(place.entries[0].violations, 0)
+  assert.equal(deployment.entries[0].violations, 0)
 })
 
-test('probes answer, and readiness follows the configuration', async () => {
-  assert.equal((await send(place.url, '/healthz', null)).status, 200)
-  assert.equal((await send(place.url, '/readyz', null)).status, 200)
+test('health and readiness probes succeed on a configured box', async () => {
+  assert.equal((await send(deployment.url, '/healthz', null)).status, 200)
+  assert.equal((await send(deployment.url, '/readyz', null)).status, 200)
 })
--- a/test/engine-faults.test.ts
+++ b/test/engine-faults.test.ts
@@ -4,60 +4,60 @@
 import type { Fault } from '../src/standin/index.js'
 import { Deployment, chat, readStream, until } from './support/deployment.js'
 
-let place: Deployment
+let deployment: Deployment
 
-before(async () => { place = await Deployment.start({ port: 21_100, engines: 2, intent: '[classes.brief]\npriority = 0\nfirstTokenMs = 300\n' }) })
-after(() => place.stop())
+before(async () => { deployment = await Deployment.start({ port: 21_100, engines: 2, intent: '[classes.brief]\npriority = 0\nfirstTokenMs = 300\n' }) })
+after(() => deployment.stop())
 afterEach(async () => {
-  for (const engine of place.engines) engine.setFault({ type: 'none' })
-  // Engines that were put out are probed again after their back-off.
-  await until(() => place.entries[0].composeStatus().engines.every(engine => engine.state !== 'out'), 'engines back')
+  for (const engine of deployment.engines) engine.setFault({ type: 'none' })
+  // Engines in state "out" are probed again after their back-off.
+  await until(() => deployment.entries[0].composeStatus().engines.every(engine => engine.state !== 'out'), 'no engine is out')
 })
 
 const messages = [{ role: 'user', content: 'where is the pitch?' }]
-const whole = composeAnswer({ model: 'm', messages, max_tokens: 10 }).words.join('')
+const fullText = composeAnswer({ model: 'm', messages, max_tokens: 10 }).words.join('')
 
-const oneBad: { name: string, fault: Fault }[] = [
+const faults: { name: string, fault: Fault }[] = [
   { name: 'refuses', fault: { type: 'refuse' } },
   { name: 'resets before the first byte', fault: { type: 'reset' } },
-  { name: 'dies in the middle of the answer', fault: { type: 'crash', afterTokens: 4 } },
-  { name: 'dies after its first token', fault: { type: 'crash', afterTokens: 1 } },
-  { name: 'ends its answer short without a word', fault: { type: 'short', afterTokens: 4 } },
-  { name: 'sends broken events', fault: { type: 'garble', afterTokens: 3 } }
+  { name: 'crashes in the middle of the response', fault: { type: 'crash', afterTokens: 4 } },
+  { name: 'crashes after its first token', fault: { type: 'crash', afterTokens: 1 } },
+  { name: 'ends its response early without an error', fault: { type: 'short', afterTokens: 4 } },
+  { name: 'sends malformed events', fault: { type: 'garble', afterTokens: 3 } }
 ]
 
-for (const { name, fault } of oneBad) {
+for (const { name, fault } of faults) {
   for (const stream of [true, false]) {
-    test(`a ${stream ? 'streamed' : 'whole'} answer is whole, each token once, when an engine ${name}`, async () => {
-      place.engines[0].setFault(fault)
+    test(`a ${stream ? 'streamed' : 'non-streamed'} response is complete, with each token once, when an engine ${name}`, async () => {
+      deployment.engines[0].setFault(fault)
       for (let i = 0; i < 4; i++) {
-        const answer = await chat(place.url, { stream })
-        assert.equal(answer.status, 200, answer.body)
-        if (stream) assert.deepEqual(readStream(answer.body), { text: whole, done: true, error: null })
-        else assert.equal(JSON.parse(answer.body).choices[0].message.content, whole)
+        const response = await chat(deployment.url, { stream })
+        assert.equal(response.status, 200, response.body)
+        if (stream) assert.deepEqual(readStream(response.body), { text: fullText, done: true, error: null })
+        else assert.equal(JSON.parse(response.body).choices[0].message.content, fullText)
       }
     })
   }
 }
 
-test('an engine that hangs is given up on, and another answers', async () => {
-  place.engines[0].setFault({ type: 'hang' })
-  const answers = await Promise.all([0, 1, 2, 3].map(() => chat(place.url, { stream: true }, { 'x-wrenlane-class': 'brief' })))
-  for (const answer of answers) assert.deepEqual(readStream(answer.body), { text: whole, done: true, error: null })
+test('a hanging engine times out, and another one serves the request', async () => {
+  deployment.engines[0].setFault({ type: 'hang' })
+  const responses = await Promise.all([0, 1, 2, 3].map(() => chat(deployment.url, { stream: true }, { 'x-wrenlane-class': 'brief' })))
+  for (const response of responses) assert.deepEqual(readStream(response.body), { text: fullText, done: true, error: null })
 })
 
-test('a stream that no engine can end says so, and is never silently short', async () => {
-  for (const engine of place.engines) engine.setFault({ type: 'crash', afterTokens: 2 })
-  const answer = await chat(place.url, { stream: true })
-  const { done, error } = readStream(answer.body)
+test('a stream that no engine can complete ends with an error, not as if it were complete', async () => {
+  for (const engine of deployment.engines) engine.setFault({ type: 'crash', afterTokens: 2 })
+  const response = await chat(deployment.url, { stream: true })
+  const { done, error } = readStream(response.body)
   assert.equal(done, false)
   assert.ok(error === 'engine-failed' || error === 'no-engine', String(error))
-  assert.match(answer.body, /"outcome":"unknown"/)
+  assert.match(response.body, /"outcome":"unknown"/)
 })
 
-test('what was sent to an engine is never called not run', async () => {
-  for (const engine of place.engines) engine.setFault({ type: 'reset' })
-  const answer = await chat(place.url)
-  assert.ok(answer.status >= 500)
-  assert.equal(answer.headers['x-wrenlane-outcome'], 'unknown')
+test('a request that was sent to an engine is never reported as not-run', async () => {
+  for (const engine of deployment.engines) engine.setFault({ type: 'reset' })
+  const response = await chat(deployment.url)
+  assert.ok(response.status >= 500)
+  assert.equal(response.headers['x-wrenlane-outcome'], 'unknown')
 })
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -18,9 +18,9 @@
 const box = (id: string, zone: string, isGone = false): LimitSharer => ({ id, zone, isGone })
 
 const sharers: { name: string, boxes: LimitSharer[], expected: string[] }[] = [
-  { name: 'all that are there share', boxes: [box('a', '1'), box('b', '2')], expected: ['a', 'b'] },
-  { name: 'a box that died gives its share up', boxes: [box('a', '1'), box('b', '1', true), box('c', '2')], expected: ['a', 'c'] },
-  { name: 'a zone that is gone whole keeps its share', boxes: [box('a', '1'), box('b', '2', true), box('c', '2', true)], expected: ['a', 'b', 'c'] }
+  { name: 'all running boxes share the limit', boxes: [box('a', '1'), box('b', '2')], expected: ['a', 'b'] },
+  { name: 'a failed box gets no share', boxes: [box('a', '1'), box('b', '1', true), box('c', '2')], expected: ['a', 'c'] },
+  { name: 'the boxes of a completely failed zone keep their shares', boxes: [box('a', '1'), box('b', '2', true), box('c', '2', true)], expected: ['a', 'b', 'c'] }
 ]
 
 for (const { name, boxes, expected } of sharers) {
@@ -34,54 +34,54 @@
   }), { seed: 3 })
 })
 
-/** Eight boxes, demand told every 10 s, requests at a rate over all boxes by an uneven lot. */
-function runBoxes (rate: number, seconds: number, cutAt: number | null): { readonly asked: number, readonly letIn: number } {
+/** Simulates eight boxes that exchange demands every 10 s, with unevenly distributed requests at a total rate per second. */
+function simulateBoxes (rate: number, seconds: number, partitionAtMs: number | null): { readonly sent: number, readonly admitted: number } {
   let now = 0
   const boxes = Array.from({ length: 8 }, () => new Limits(() => now))
   const names = boxes.map((_, i) => `b${i}`)
   boxes.forEach((limits, i) => limits.setSharers(names.filter((_, j) => j !== i)))
-  let asked = 0
-  let letIn = 0
+  let sent = 0
+  let admitted = 0
   for (let ms = 0; ms < seconds * 1000; ms++) {
     now = ms
-    const isCut = cutAt !== null && ms >= cutAt
+    const isPartitioned = partitionAtMs !== null && ms >= partitionAtMs
     if (ms % 10_000 === 500) {
       boxes.forEach((limits, i) => boxes.forEach((other, j) => {
-        if (i !== j && !(isCut && (i < 4) !== (j < 4))) other.note(names[i], limits.demands)
+        if (i !== j && !(isPartitioned && (i < 4) !== (j < 4))) other.setDemands(names[i], limits.demands)
       }))
     }
     for (let due = Math.floor((ms + 1) * rate / 1000) - Math.floor(ms * rate / 1000); due > 0; due--) {
-      asked += 1
-      // Half of all requests reach the first two boxes.
-      const at = asked % 2 === 0 ? asked / 2 % 2 : Math.floor(asked / 2) % 8
-      if (boxes[at].enter(workspace, 1).type === 'over') continue
-      letIn += 1
-      boxes[at].leave(workspace.name, 0)
+      sent += 1
+      // Half of all requests go to the first two boxes alone.
+      const index = sent % 2 === 0 ? sent / 2 % 2 : Math.floor(sent / 2) % 8
+      if (boxes[index].admit(workspace, 1).type === 'over') continue
+      admitted += 1
+      boxes[index].release(workspace.name, 0)
     }
   }
-  return { asked, letIn }
+  return { sent, admitted }
 }
 
-const overshoot = 0.15
-const wrongly = 0.05
+const maxOvershoot = 0.15
+const maxFalseRefusals = 0.05
 
-test('a workspace over its limit is held to it over all boxes, within 15%', () => {
-  const { letIn } = runBoxes(120, 120, null)
-  assert.ok(letIn <= 40 * 120 * (1 + overshoot), `${letIn} of ${40 * 120}`)
-  assert.ok(letIn >= 40 * 120 * 0.85, `${letIn} of ${40 * 120}`)
+test('a workspace over its limit is limited to it across all boxes, within 15%', () => {
+  const { admitted } = simulateBoxes(120, 120, null)
+  assert.ok(admitted <= 40 * 120 * (1 + maxOvershoot), `${admitted} of ${40 * 120}`)
+  assert.ok(admitted >= 40 * 120 * 0.85, `${admitted} of ${40 * 120}`)
 })
 
-test('a workspace at half its limit is refused at most one request in twenty', () => {
-  const { asked, letIn } = runBoxes(20, 120, null)
-  assert.ok(asked - letIn <= asked * wrongly, `${asked - letIn} of ${asked} refused`)
+test('a workspace at half its limit has at most 5% of its requests refused', () => {
+  const { sent, admitted } = simulateBoxes(20, 120, null)
+  assert.ok(sent - admitted <= sent * maxFalseRefusals, `${sent - admitted} of ${sent} refused`)
 })
 
-test('through a cut both sides together stay within the limit, within 15%', () => {
-  const { letIn } = runBoxes(120, 120, 40_000)
-  assert.ok(letIn <= 40 * 120 * (1 + overshoot), `${letIn} of ${40 * 120}`)
+test('during a network partition both sides together stay within the limit, within 15%', () => {
+  const { admitted } = simulateBoxes(120, 120, 40_000)
+  assert.ok(admitted <= 40 * 120 * (1 + maxOvershoot), `${admitted} of ${40 * 120}`)
 })
 
-test('a bucket says when to come back, and keeps its word', () => {
+test('a request is admitted after the stated retry delay', () => {
   const limit = new WorkspaceLimit()
   const limits = { requestsPerSecond: 2, tokensPerMinute: 1e9, streams: 100 }
   let at = 0
--- a/test/support/deployment.ts
+++ b/test/support/deployment.ts
@@ -1,4 +1,4 @@
-/** A small deployment in the test's process: real sockets and disks, stand-ins behind. */
+/** A small deployment within the test process: real sockets and disks, with stand-ins for engines and services. */
 import { createHash } from 'node:crypto'
 import { mkdtempSync, rmSync } from 'node:fs'
 import { Agent, request as httpRequest } from 'node:http'
@@ -13,12 +13,12 @@
 
 export const host = '127.0.0.1'
 export const secret = 'a secret for tests only'
-export const key = 'test-key'
-const waitMs = 30_000
+export const apiKey = 'test-key'
+const waitTimeoutMs = 30_000
 
-/** What a deployment is made of. */
-export interface Shape {
-  /** First port; each test file has a hundred of its own. */
+/** Size and settings of a deployment. */
+export interface DeploymentOptions {
+  /** First port; each test file has its own range of 100. */
   readonly port: number
   readonly keepers?: number
   readonly entries?: number
@@ -28,12 +28,12 @@
   readonly engine?: Partial<StandinEngineSettings>
   readonly entry?: Partial<EntrySettings>
   readonly keeper?: Partial<KeeperSettings>
-  /** More of the intent. */
+  /** Text appended to the intent. */
   readonly intent?: string
 }
 
-/** A caller's answer, whole. */
-export interface Answer {
+/** A complete response. */
+export interface HttpResponse {
   readonly status: number
   readonly headers: IncomingHttpHeaders
   readonly body: string
@@ -49,61 +49,61 @@
 firstTokenMs = 60000
 mayWait = true
 [workspaces.camp]
-keys = ["${digest(key)}"]
+keys = ["${hashKey(apiKey)}"]
 defaultClass = "quick"
 `
 
-export function digest (text: string): string {
+export function hashKey (text: string): string {
   return createHash('sha256').update(text).digest('hex')
 }
 
-/** Waits until something holds. The limit only ends a test that would hang. */
-export async function until (test: () => boolean | Promise<boolean>, what: string): Promise<void> {
-  const end = Date.now() + waitMs
-  while (!await test()) {
-    if (Date.now() > end) throw new Error(`never came about: ${what}`)
+/** Polls until the condition is true. The time-out only fails a test that would hang otherwise. */
+export async function until (condition: () => boolean | Promise<boolean>, description: string): Promise<void> {
+  const deadline = Date.now() + waitTimeoutMs
+  while (!await condition()) {
+    if (Date.now() > deadline) throw new Error(`timed out after ${waitTimeoutMs} ms waiting for: ${description}`)
     await new Promise(resolve => setTimeout(resolve, 10))
   }
 }
 
 export class Deployment {
-  readonly shape: Shape
+  readonly options: DeploymentOptions
   readonly folder = mkdtempSync(join(tmpdir(), 'wrenlane-test-'))
-  readonly lines: string[] = []
+  readonly logLines: string[] = []
   readonly keepers: KeeperBox[] = []
   readonly entries: EntryBox[] = []
   readonly engines: StandinEngine[] = []
-  readonly fatal: Error[] = []
+  readonly fatalErrors: Error[] = []
   service = new StandinService({ id: 'bookings', host, port: 0, delayMs: 1 })
 
-  private constructor (shape: Shape) {
-    this.shape = shape
+  private constructor (options: DeploymentOptions) {
+    this.options = options
   }
 
-  /** Starts everything and waits until it serves. */
-  static async start (shape: Shape): Promise<Deployment> {
-    const deployment = new Deployment(shape)
+  /** Starts all parts and waits until all entry boxes are ready. */
+  static async start (options: DeploymentOptions): Promise<Deployment> {
+    const deployment = new Deployment(options)
     await deployment.#startStandins()
     for (let i = 0; i < deployment.keeperAddresses.length; i++) await deployment.startKeeper(i)
-    for (let i = 0; i < (shape.entries ?? 1); i++) await deployment.startEntry(i)
+    for (let i = 0; i < (options.entries ?? 1); i++) await deployment.startEntry(i)
     await deployment.configure(deployment.intent)
     await until(() => deployment.entries.every(entry => entry.composeStatus().ready), 'entries ready')
     return deployment
   }
 
   get keeperAddresses () {
-    return Array.from({ length: this.shape.keepers ?? 3 }, (_, i) => ({ id: `keeper-${i + 1}`, host, port: this.shape.port + 10 + i }))
+    return Array.from({ length: this.options.keepers ?? 3 }, (_, i) => ({ id: `keeper-${i + 1}`, host, port: this.options.port + 10 + i }))
   }
 
   get url (): string { return `http://${host}:${this.entries[0].port}` }
 
   get intent (): string {
-    const lines = [classes, '[pools.small]', 'models = ["m"]', `places = ${this.shape.places ?? 8}`, 'floorPlaces = 1']
+    const lines = [classes, '[pools.small]', 'models = ["m"]', `places = ${this.options.places ?? 8}`, 'floorPlaces = 1']
     this.engines.forEach((engine, i) => {
       lines.push(`[engines.engine-${i}]`, 'pool = "small"', `zone = "${this.#zone(i)}"`, `host = "${host}"`, `port = ${engine.port}`)
     })
     lines.push('[services.bookings]', `endpoints = [{ host = "${host}", port = ${this.service.port}, zone = "zone-0" }]`, 'repeatablePaths = ["/stock"]', 'timeoutMs = 3000')
-    return `${lines.join('\n')}\n${this.shape.intent ?? ''}`
+    return `${lines.join('\n')}\n${this.options.intent ?? ''}`
   }
 
   async startKeeper (i: number): Promise<KeeperBox> {
@@ -119,9 +119,9 @@
       snapshotEvery: 5000,
       heartbeatMs: 40,
       electionMs: 250,
-      ...this.shape.keeper
+      ...this.options.keeper
     }
-    const keeper = new KeeperBox(settings, { log: this.#log(id), metrics: new Metrics(null, id), secret, noteFatal: error => this.fatal.push(error) })
+    const keeper = new KeeperBox(settings, { log: this.#log(id), metrics: new Metrics(null, id), secret, noteFatal: error => this.fatalErrors.push(error) })
     await keeper.start()
     this.keepers[i] = keeper
     return keeper
@@ -129,7 +129,7 @@
 
   async startEntry (i: number): Promise<EntryBox> {
     const id = `entry-${i + 1}`
-    const members = Array.from({ length: this.shape.entries ?? 1 }, (_, j) => ({ host, port: this.shape.port + 30 + j }))
+    const members = Array.from({ length: this.options.entries ?? 1 }, (_, j) => ({ host, port: this.options.port + 30 + j }))
     const settings: EntrySettings = {
       id,
       zone: this.#zone(i),
@@ -146,7 +146,7 @@
       maxBodyBytes: 2 ** 20,
       receiveMs: 5000,
       enginesPerShard: 32,
-      ...this.shape.entry
+      ...this.options.entry
     }
     const entry = new EntryBox(settings, { log: this.#log(id), metrics: new Metrics(null, id), secret })
     await entry.start()
@@ -158,16 +158,16 @@
     return new OperatorClient(name, this.keeperAddresses, secret)
   }
 
-  /** Plans an intent, confirms it, and returns the revision. */
+  /** Plans and confirms an intent; returns the new revision. */
   async configure (intent: string): Promise<number> {
     const operator = this.createOperator()
     try {
       const planned = await operator.call({ type: 'plan', id: operator.identify(intent), intent })
       if (planned.type !== 'result' || planned.result.type !== 'planned') throw new Error(JSON.stringify(planned))
       const { plan } = planned.result
-      const done = await operator.call({ type: 'command', command: { part: 'config', command: { type: 'confirm', id: operator.identify(`confirm ${plan}`), plan } } })
-      if (done.type !== 'result' || done.result.type !== 'accepted') throw new Error(JSON.stringify(done))
-      return done.result.revision
+      const confirmed = await operator.call({ type: 'command', command: { part: 'config', command: { type: 'confirm', id: operator.identify(`confirm ${plan}`), plan } } })
+      if (confirmed.type !== 'result' || confirmed.result.type !== 'accepted') throw new Error(JSON.stringify(confirmed))
+      return confirmed.result.revision
     } finally {
       operator.close()
     }
@@ -175,11 +175,11 @@
 
   get leader (): KeeperBox | undefined { return this.keepers.find(keeper => keeper.replica?.isLeader === true) }
 
-  /** Ends everything at once. */
+  /** Stops all parts at once and deletes their data. */
   async stop (): Promise<void> {
-    for (const one of this.entries) one.kill()
-    for (const one of this.keepers) one.kill()
-    for (const one of this.engines) one.close()
+    for (const entry of this.entries) entry.kill()
+    for (const keeper of this.keepers) keeper.kill()
+    for (const engine of this.engines) engine.close()
     this.service.close()
     await new Promise(resolve => setTimeout(resolve, 50))
     rmSync(this.folder, { recursive: true, force: true })
@@ -187,7 +187,7 @@
 
   async #startStandins (): Promise<void> {
     await this.service.listen()
-    for (let i = 0; i < (this.shape.engines ?? 2); i++) {
+    for (let i = 0; i < (this.options.engines ?? 2); i++) {
       const engine = new StandinEngine({
         id: `engine-${i}`,
         host,
@@ -200,27 +200,27 @@
         kvTokens: 100_000,
         reportLagMs: 100,
         checksFencing: true,
-        ...this.shape.engine
+        ...this.options.engine
       })
       await engine.listen()
       this.engines.push(engine)
     }
   }
 
-  #zone (i: number): string { return `zone-${i % (this.shape.zones ?? 1)}` }
+  #zone (i: number): string { return `zone-${i % (this.options.zones ?? 1)}` }
 
-  #log (id: string): EventLog { return new EventLog(id, line => { this.lines.push(line) }) }
+  #log (id: string): EventLog { return new EventLog(id, line => { this.logLines.push(line) }) }
 }
 
 const agent = new Agent({ keepAlive: true, maxSockets: 4096 })
 
-/** Sends one request and reads the whole answer. */
-export function send (url: string, path: string, body: string | Buffer | null, headers: Record<string, string> = {}): Promise<Answer> {
+/** Sends a request and reads the complete response. `body`: null for GET. */
+export function send (url: string, path: string, body: string | Buffer | null, headers: Record<string, string> = {}): Promise<HttpResponse> {
   return new Promise((resolve, reject) => {
     const request = httpRequest(`${url}${path}`, {
       method: body === null ? 'GET' : 'POST',
       agent,
-      headers: { authorization: `Bearer ${key}`, ...headers }
+      headers: { authorization: `Bearer ${apiKey}`, ...headers }
     }, response => {
       const chunks: Buffer[] = []
       response.on('data', (chunk: Buffer) => chunks.push(chunk))
@@ -232,13 +232,13 @@
   })
 }
 
-/** Asks a chat. */
-export function chat (url: string, more: Record<string, unknown> = {}, headers: Record<string, string> = {}): Promise<Answer> {
-  const body = { model: 'm', messages: [{ role: 'user', content: 'where is the pitch?' }], max_tokens: 10, ...more }
+/** Sends a chat completion request; `fields` are added to its body. */
+export function chat (url: string, fields: Record<string, unknown> = {}, headers: Record<string, string> = {}): Promise<HttpResponse> {
+  const body = { model: 'm', messages: [{ role: 'user', content: 'where is the pitch?' }], max_tokens: 10, ...fields }
   return send(url, '/v1/chat/completions', JSON.stringify(body), { 'content-type': 'application/json', ...headers })
 }
 
-/** The text of a streamed answer, and whether it ended as a whole one. */
+/** Parses a streamed response: its text, whether it ended with `[DONE]`, and the error code if any. */
 export function readStream (body: string): { readonly text: string, readonly done: boolean, readonly error: string | null } {
   let text = ''
   let done = false
--- a/test/support/forwarder.ts
+++ b/test/support/forwarder.ts
@@ -1,24 +1,24 @@
-/** A TCP forwarder that a test can cut. */
+/** A TCP proxy that can simulate a network partition. */
 import { connect, createServer } from 'node:net'
 import type { Server, Socket } from 'node:net'
 
 export class Forwarder {
   #server: Server
   #sockets = new Set<Socket>()
-  #isCut = false
+  #isPartitioned = false
 
   constructor (toHost: string, toPort: number) {
-    this.#server = createServer(inner => {
-      if (this.#isCut) return void inner.destroy()
-      const outer = connect(toPort, toHost)
-      for (const [one, other] of [[inner, outer], [outer, inner]]) {
-        this.#sockets.add(one)
-        one.on('error', () => {})
-        one.on('close', () => {
-          this.#sockets.delete(one)
-          other.destroy()
+    this.#server = createServer(inbound => {
+      if (this.#isPartitioned) return void inbound.destroy()
+      const outbound = connect(toPort, toHost)
+      for (const [from, to] of [[inbound, outbound], [outbound, inbound]]) {
+        this.#sockets.add(from)
+        from.on('error', () => {})
+        from.on('close', () => {
+          this.#sockets.delete(from)
+          to.destroy()
         })
-        one.pipe(other)
+        from.pipe(to)
       }
     })
   }
@@ -30,15 +30,16 @@
     })
   }
 
-  cut (): void {
-    this.#isCut = true
+  /** Closes all connections and refuses new ones until `heal` is called. */
+  partition (): void {
+    this.#isPartitioned = true
     for (const socket of this.#sockets) socket.destroy()
   }
 
-  heal (): void { this.#isCut = false }
+  heal (): void { this.#isPartitioned = false }
 
   close (): void {
-    this.cut()
+    this.partition()
     this.#server.close()
   }
 }
