--- a/src/capacity/page.ts
+++ b/src/capacity/page.ts
@@ -28,7 +28,7 @@
   readonly commit: string
 }
 
-// As in entry-box.ts and engine-watch.ts.
+// As in entry-box.ts, engine-poller.ts, shard-load-reporter.ts and config-sync.ts.
 const subsetLinks = 18
 const toldAtOnce = 4
 const loadsEverySeconds = 0.25
--- a/src/tasks/index.ts
+++ b/src/tasks/index.ts
@@ -2,7 +2,7 @@
 export { EntryBox } from './entry-box.js'
 export { KeeperBox } from './keeper-box.js'
 export { KeeperClient } from './keeper-client.js'
-export type { CallOutcome as CallEnd } from './keeper-client.js'
+export type { CallOutcome } from './keeper-client.js'
 export { ConfigFollower } from './config-follower.js'
 export { ServiceExchange } from './service-exchange.js'
 export { RequestError as Fault } from './request-error.js'
--- a/test/support/deployment.ts
+++ b/test/support/deployment.ts
@@ -61,7 +61,7 @@
 export async function until (condition: () => boolean | Promise<boolean>, description: string): Promise<void> {
   const deadline = Date.now() + waitTimeoutMs
   while (!await condition()) {
-    if (Date.now() > deadline) throw new Error(`timed out after ${waitTimeoutMs} ms waiting for: ${description}`)
+    if (Date.now() > deadline) throw new Error(`timed out waiting for: ${description}`)
     await new Promise(resolve => setTimeout(resolve, 10))
   }
 }
