--- a/src/tasks/box-members.ts
+++ b/src/tasks/box-members.ts
@@ -64,8 +64,8 @@
 
   /** The other boxes among which workspace limits are divided. */
   listSharers (): string[] {
-    const remembered = this.#task?.remembered ?? []
-    const sharers = listSharers(remembered.map(({ id, zone, state }) => ({ id, zone, isGone: state === 'gone' })))
+    const knownMembers = this.#task?.knownMembers ?? []
+    const sharers = listSharers(knownMembers.map(({ id, zone, state }) => ({ id, zone, isGone: state === 'gone' })))
     return sharers.filter(sharer => sharer.id !== this.#host.settings.id).map(sharer => sharer.id)
   }
 
--- a/src/tasks/config-update.ts
+++ b/src/tasks/config-update.ts
@@ -12,7 +12,7 @@
 /** Sends the updates after `revision` to the peer that has it; sends nothing if the peer is up to date. */
 export function sendConfigUpdate (link: Link<BoxMessage>, source: ConfigSource, revision: number): void {
   if (revision >= source.revision) return
-  const since = source.findSince(revision)
-  if (since !== null) link.send({ type: 'revisions', revisions: since })
+  const revisions = source.findSince(revision)
+  if (revisions !== null) link.send({ type: 'revisions', revisions })
   else link.send({ type: 'whole', document: source.document, revision: source.revision })
 }
--- a/src/tasks/member-task.ts
+++ b/src/tasks/member-task.ts
@@ -35,7 +35,7 @@
   }
 
   get members (): Member[] { return this.#membership.members }
-  get remembered (): Member[] { return this.#membership.remembered }
+  get knownMembers (): Member[] { return this.#membership.remembered }
 
   /** Opens the UDP socket on the host and port of the control address. */
   start (): Promise<void> {
