--- a/examples/replicated-counter.ts
+++ b/examples/replicated-counter.ts
@@ -39,7 +39,7 @@
 
 const findLeader = (): Replica | undefined => [...replicas.values()].find(replica => replica.isLeader)
 while (findLeader() === undefined) await new Promise(resolve => setTimeout(resolve, 20))
-const ends = await Promise.all(Array.from({ length: 100 }, () => findLeader()?.propose(1)))
-console.log('the counter is', ends.map(end => end?.type === 'applied' ? end.result as number : 0).sort((a, b) => b - a)[0])
+const outcomes = await Promise.all(Array.from({ length: 100 }, () => findLeader()?.propose(1)))
+console.log('the counter is', outcomes.map(outcome => outcome?.type === 'applied' ? outcome.result as number : 0).sort((a, b) => b - a)[0])
 for (const replica of replicas.values()) replica.stop()
 rmSync(folder, { recursive: true, force: true })
--- a/src/bin/capacity.ts
+++ b/src/bin/capacity.ts
@@ -6,7 +6,7 @@
 import { fitSamples, formatDataPath, formatFailures, formatKeepers, formatNodeBytes, formatNodeCore, formatNodeMemory, formatSlopes, measureChangeBytes, measureChangeMemory, measureChangeTime, measureClaimMemory, measureClaimTime, measureConfigMemory, measureDecision, measureDocuments, measureEngineMemory, measureLoads, measureLogBytes, measureMembers, measureParting, measurePollBytes, measureRemoteRequest, measureRequestMemory, measureRestart, measureSnapshot, measureSyncs, measureWatch, readSamples, target } from '../capacity/index.js'
 import type { Measured, Slope } from '../capacity/index.js'
 import { measureRemoteShare } from '../measure/index.js'
-import { endWith, readVersion, usageExit } from './program.js'
+import { exitWithError, readVersion, usageExitCode } from './program.js'
 
 interface Options {
   readonly part?: string
@@ -45,7 +45,7 @@
 async function run (options: Options): Promise<void> {
   const names = options.part === undefined ? Object.keys(parts) : String(options.part).split(',')
   for (const name of names) {
-    if (!Object.hasOwn(parts, name)) endWith(usageExit, `--part does not know ${JSON.stringify(name)}; it knows ${Object.keys(parts).join(', ')}`)
+    if (!Object.hasOwn(parts, name)) exitWithError(usageExitCode, `--part does not know ${JSON.stringify(name)}; it knows ${Object.keys(parts).join(', ')}`)
   }
   const sizes = readSizes(options)
   const slopes = new Map<string, Slope>()
@@ -61,10 +61,10 @@
 
 function readSizes (options: Options): number[] | null {
   if (options.sizes === undefined) return null
-  if (options.part === undefined || options.part.includes(',')) endWith(usageExit, '--sizes goes with one --part')
+  if (options.part === undefined || options.part.includes(',')) exitWithError(usageExitCode, '--sizes goes with one --part')
   const sizes = String(options.sizes).split(',').map(Number)
   if (sizes.length < 2 || !sizes.every(size => Number.isInteger(size) && size > 0)) {
-    endWith(usageExit, `--sizes takes two or more whole numbers over 0, not ${String(options.sizes)}`)
+    exitWithError(usageExitCode, `--sizes takes two or more whole numbers over 0, not ${String(options.sizes)}`)
   }
   return sizes
 }
@@ -103,9 +103,9 @@
 }
 
 function replaceTable (text: string, name: string, table: string): string {
-  const [begin, end] = [`<!-- begin:${name} -->`, `<!-- end:${name} -->`]
-  const from = text.indexOf(begin)
-  const to = text.indexOf(end)
-  if (from < 0 || to < from) endWith(usageExit, `the page has no place for table ${name}`)
-  return `${text.slice(0, from + begin.length)}\n\n${table}\n\n${text.slice(to)}`
+  const [beginMarker, endMarker] = [`<!-- begin:${name} -->`, `<!-- end:${name} -->`]
+  const beginIndex = text.indexOf(beginMarker)
+  const endIndex = text.indexOf(endMarker)
+  if (beginIndex < 0 || endIndex < beginIndex) exitWithError(usageExitCode, `the page has no place for table ${name}`)
+  return `${text.slice(0, beginIndex + beginMarker.length)}\n\n${table}\n\n${text.slice(endIndex)}`
 }
--- a/src/bin/early-signals.ts
+++ b/src/bin/early-signals.ts
@@ -4,17 +4,17 @@
  * programs that know the signal.
  */
 
-let take: (() => void) | null = null
-let missed = false
+let hangupHandler: (() => void) | null = null
+let isPending = false
 
 process.on('SIGHUP', () => {
-  if (take === null) missed = true
-  else take()
+  if (hangupHandler === null) isPending = true
+  else hangupHandler()
 })
 
 /** Hands the signal to `handler` from now on; one that came before is handed on at once. */
 export function handleHangup (handler: () => void): void {
-  take = handler
-  if (missed) handler()
-  missed = false
+  hangupHandler = handler
+  if (isPending) handler()
+  isPending = false
 }
--- a/src/bin/keeper.ts
+++ b/src/bin/keeper.ts
@@ -4,14 +4,14 @@
 import type { KeeperSettings } from '../config/index.js'
 import { Metrics, openStandardLog } from '../runtime/index.js'
 import { KeeperBox } from '../tasks/index.js'
-import { createProgram, endWith, failureExit, handleSignals, readSecret, readSettings, runProgram } from './program.js'
+import { createProgram, exitWithError, failureExitCode, handleSignals, readSecret, readSettings, runProgram } from './program.js'
 
 createProgram('wrenlane-keeper <settings>', 'Keeps the state that must last; settings is a TOML file.')
   .action((path: string) => runProgram(async () => {
     const settings = readSettings<KeeperSettings>(path, keeperFields)
     const log = openStandardLog(settings.id)
     const metrics = new Metrics(settings.statsd, settings.id)
-    const noteFatal = (error: Error): void => endWith(failureExit, `the disk failed: ${error.message}`)
+    const noteFatal = (error: Error): void => exitWithError(failureExitCode, `the disk failed: ${error.message}`)
     const box = new KeeperBox(settings, { log, metrics, secret: readSecret(settings.secretFile), noteFatal })
     await box.start()
     log.info('ready', { control: `${settings.control.host}:${box.port}` })
--- a/src/bin/load-run.ts
+++ b/src/bin/load-run.ts
@@ -2,7 +2,7 @@
 import { performance } from 'node:perf_hooks'
 import hdr from 'hdr-histogram-js'
 
-const microsecond = 1000
+const microsecondsPerMs = 1000
 
 /** The options of a run, as the command line gives them. */
 export interface LoadOptions {
@@ -18,18 +18,18 @@
 }
 
 /** One run: asks, and keeps count of what comes back. */
-export class Load {
+export class LoadGenerator {
   #options: LoadOptions
   #urls: readonly string[]
   #agent = new Agent({ keepAlive: true, maxSockets: 8192 })
   #body: string
-  #first = hdr.build()
-  #whole = hdr.build()
+  #firstChunkTimes = hdr.build()
+  #totalTimes = hdr.build()
   #answered = 0
   #refused = 0
   #failed = 0
   #tokens = 0
-  #turn = 0
+  #sentCount = 0
 
   constructor (options: LoadOptions, urls: readonly string[], tokens: number) {
     this.#options = options
@@ -38,22 +38,22 @@
   }
 
   /** Asks once and reads the whole answer. */
-  ask (): Promise<void> {
-    this.#turn += 1
-    const url = this.#urls[this.#turn % this.#urls.length]
-    const began = performance.now()
+  sendRequest (): Promise<void> {
+    this.#sentCount += 1
+    const url = this.#urls[this.#sentCount % this.#urls.length]
+    const startedAt = performance.now()
     return new Promise(resolve => {
       const request = httpRequest(`${url}${this.#path}`, { method: 'POST', agent: this.#agent, headers: this.#headers }, response => {
         let isFirst = true
-        let last: Buffer | null = null
+        let lastChunk: Buffer | null = null
         response.on('data', (chunk: Buffer) => {
-          if (isFirst) this.#first.recordValue((performance.now() - began) * microsecond)
+          if (isFirst) this.#firstChunkTimes.recordValue((performance.now() - startedAt) * microsecondsPerMs)
           isFirst = false
-          last = chunk
+          lastChunk = chunk
           this.#tokens += countTokens(chunk)
         })
         response.on('end', () => {
-          this.#note(response.statusCode ?? 0, last, performance.now() - began)
+          this.#recordOutcome(response.statusCode ?? 0, lastChunk, performance.now() - startedAt)
           resolve()
         })
         response.on('error', () => {
@@ -79,8 +79,8 @@
       failed: this.#failed,
       requestsPerSecond: Math.round(this.#answered / seconds),
       tokensPerSecond: Math.round(this.#tokens / seconds),
-      firstMs: quantiles(this.#first),
-      wholeMs: quantiles(this.#whole)
+      firstMs: readPercentiles(this.#firstChunkTimes),
+      wholeMs: readPercentiles(this.#totalTimes)
     }
   }
 
@@ -88,17 +88,17 @@
 
   get #headers (): Record<string, string> {
     const headers: Record<string, string> = { authorization: `Bearer ${this.#options.key}`, 'content-type': 'application/json' }
-    if (this.#options.service !== undefined) headers['idempotency-key'] = `${process.pid}-${this.#options.name}-${this.#turn}`
+    if (this.#options.service !== undefined) headers['idempotency-key'] = `${process.pid}-${this.#options.name}-${this.#sentCount}`
     return headers
   }
 
-  #note (status: number, last: Buffer | null, ms: number): void {
-    const isWhole = this.#options.service !== undefined || last?.includes('[DONE]') === true
+  #recordOutcome (status: number, lastChunk: Buffer | null, ms: number): void {
+    const isComplete = this.#options.service !== undefined || lastChunk?.includes('[DONE]') === true
     if (status === 429 || status === 503) this.#refused += 1
-    else if (status !== 200 || !isWhole) this.#failed += 1
+    else if (status !== 200 || !isComplete) this.#failed += 1
     else {
       this.#answered += 1
-      this.#whole.recordValue(ms * microsecond)
+      this.#totalTimes.recordValue(ms * microsecondsPerMs)
     }
   }
 }
@@ -110,7 +110,7 @@
   return count
 }
 
-function quantiles (histogram: hdr.Histogram): { p50: number, p99: number } {
-  const read = (share: number): number => Math.round(histogram.getValueAtPercentile(share)) / microsecond
-  return { p50: read(50), p99: read(99) }
+function readPercentiles (histogram: hdr.Histogram): { p50: number, p99: number } {
+  const readMs = (percentile: number): number => Math.round(histogram.getValueAtPercentile(percentile)) / microsecondsPerMs
+  return { p50: readMs(50), p99: readMs(99) }
 }
--- a/src/bin/load.ts
+++ b/src/bin/load.ts
@@ -3,11 +3,11 @@
 import { performance } from 'node:perf_hooks'
 import { setTimeout as sleep } from 'node:timers/promises'
 import sade from 'sade'
-import { Load } from './load-run.js'
+import { LoadGenerator } from './load-run.js'
 import type { LoadOptions } from './load-run.js'
-import { endWith, readVersion, usageExit } from './program.js'
+import { exitWithError, readVersion, usageExitCode } from './program.js'
 
-const host = /^http:\/\/[^/]+$/
+const originPattern = /^http:\/\/[^/]+$/
 
 sade('load', true)
   .version(readVersion())
@@ -26,25 +26,25 @@
 
 async function run (options: LoadOptions): Promise<void> {
   const urls = options.url.split(',')
-  for (const url of urls) if (!host.test(url)) endWith(usageExit, `--url takes http://HOST:PORT, not ${JSON.stringify(url)}`)
+  for (const url of urls) if (!originPattern.test(url)) exitWithError(usageExitCode, `--url takes http://HOST:PORT, not ${JSON.stringify(url)}`)
   const callers = readCount('--callers', options.callers)
-  const until = performance.now() + readCount('--seconds', options.seconds) * 1000
-  const load = new Load(options, urls, readCount('--tokens', options.tokens))
-  const think = Number(options.think)
-  if (!(think >= 0)) endWith(usageExit, `--think takes a number from 0, not ${JSON.stringify(options.think)}`)
-  const began = performance.now()
+  const deadline = performance.now() + readCount('--seconds', options.seconds) * 1000
+  const generator = new LoadGenerator(options, urls, readCount('--tokens', options.tokens))
+  const thinkMs = Number(options.think)
+  if (!(thinkMs >= 0)) exitWithError(usageExitCode, `--think takes a number from 0, not ${JSON.stringify(options.think)}`)
+  const startedAt = performance.now()
   await Promise.all(Array.from({ length: callers }, async () => {
-    while (performance.now() < until) {
-      await load.ask()
-      if (think > 0) await sleep(Math.random() * think)
+    while (performance.now() < deadline) {
+      await generator.sendRequest()
+      if (thinkMs > 0) await sleep(Math.random() * thinkMs)
     }
   }))
-  process.stdout.write(`${JSON.stringify(load.summarise(performance.now() - began, callers))}\n`)
+  process.stdout.write(`${JSON.stringify(generator.summarise(performance.now() - startedAt, callers))}\n`)
   process.exit(0)
 }
 
 function readCount (option: string, value: string | number): number {
   const count = Number(value)
-  if (!Number.isInteger(count) || count < 1) endWith(usageExit, `${option} takes a whole number over 0, not ${JSON.stringify(value)}`)
+  if (!Number.isInteger(count) || count < 1) exitWithError(usageExitCode, `${option} takes a whole number over 0, not ${JSON.stringify(value)}`)
   return count
 }
--- a/src/bin/local-routes.ts
+++ b/src/bin/local-routes.ts
@@ -22,9 +22,9 @@
 const service = 'desk'
 const endpointHeaders = { requestId: 'x-wrenlane-request-id', expectedEndpoint: 'x-wrenlane-endpoint', notRun: 'x-wrenlane-not-run', mark: '', lastEvent: 'last-event-id' }
 /** How often the stand-ins say where they are, ms. */
-const beatMs = 1000
+const heartbeatIntervalMs = 1000
 /** The longest that the routes may take to be in force, ms. */
-const readyMs = 10_000
+const readyTimeoutMs = 10_000
 
 const document = {
   version: 1,
@@ -36,19 +36,19 @@
 }
 
 /** Starts everything on ports from `port` on; resolves once the routes are in force. */
-export async function startRoutes (port: number, data: string, write: (line: string) => void): Promise<LocalRoutes> {
-  const shared = { zone, host, linkPort: port + 1, loadPort: port + 4, seeds: [`${host}:${port + 2}`], secretFile: '', openLinks: true, metricsPort: 0, logLinesPerSecond: 200, statsd: null }
-  const surround = (id: string) => ({ dialect: nativeDialect, log: new EventLog(id, write), metrics: new Metrics(null, id), secret: null })
-  const registry = new RegistryBox({ ...shared, id: 'registry-1', listen: `${host}:${port + 2}`, bind: '', data: join(data, 'registry-1'), first: true, faults: 0, heartbeatMs: 70, electionMs: 350, snapshotEvery: 100, duties: null, lostMs: 30_000, maxBodyBytes: 2 ** 20 }, surround('registry-1'))
-  const gateway = new GatewayBox({ ...shared, id: 'gateway-1', listen: `${host}:${port}`, ready: `${host}:${port + 3}`, retries: { ratio: 0.1, extra: 20, windowSeconds: 10 }, usageWindowSeconds: 0, drainSeconds: 10, maxConnections: 1000 }, surround('gateway-1'))
+export async function startRoutes (port: number, data: string, writeLine: (line: string) => void): Promise<LocalRoutes> {
+  const sharedSettings = { zone, host, linkPort: port + 1, loadPort: port + 4, seeds: [`${host}:${port + 2}`], secretFile: '', openLinks: true, metricsPort: 0, logLinesPerSecond: 200, statsd: null }
+  const createContext = (id: string) => ({ dialect: nativeDialect, log: new EventLog(id, writeLine), metrics: new Metrics(null, id), secret: null })
+  const registry = new RegistryBox({ ...sharedSettings, id: 'registry-1', listen: `${host}:${port + 2}`, bind: '', data: join(data, 'registry-1'), first: true, faults: 0, heartbeatMs: 70, electionMs: 350, snapshotEvery: 100, duties: null, lostMs: 30_000, maxBodyBytes: 2 ** 20 }, createContext('registry-1'))
+  const gateway = new GatewayBox({ ...sharedSettings, id: 'gateway-1', listen: `${host}:${port}`, ready: `${host}:${port + 3}`, retries: { ratio: 0.1, extra: 20, windowSeconds: 10 }, usageWindowSeconds: 0, drainSeconds: 10, maxConnections: 1000 }, createContext('gateway-1'))
   await registry.start()
   await gateway.start()
   const endpoints = [new StandinEndpoint('endpoint-1', endpointHeaders), new StandinEndpoint('endpoint-2', endpointHeaders)]
   for (const endpoint of endpoints) await endpoint.listen(host)
-  const timer = startBeats(endpoints, port + 2)
-  const until = Date.now() + readyMs
-  while (!gateway.isReady && Date.now() < until) {
-    await call(port + 2, 'PUT', '/v1/routing', document)
+  const timer = startHeartbeats(endpoints, port + 2)
+  const deadline = Date.now() + readyTimeoutMs
+  while (!gateway.isReady && Date.now() < deadline) {
+    await sendRequest(port + 2, 'PUT', '/v1/routing', document)
     await new Promise(resolve => setTimeout(resolve, 50))
   }
   return {
@@ -56,26 +56,26 @@
     registry: `http://${host}:${port + 2}`,
     stop: async () => {
       clearInterval(timer)
-      const cut = await gateway.stop()
+      const cutRequests = await gateway.stop()
       await registry.stop()
       for (const endpoint of endpoints) endpoint.close()
-      return cut
+      return cutRequests
     }
   }
 }
 
-function startBeats (endpoints: readonly StandinEndpoint[], port: number): NodeJS.Timeout {
+function startHeartbeats (endpoints: readonly StandinEndpoint[], port: number): NodeJS.Timeout {
   let sequence = 0
-  const beat = (): void => {
+  const sendHeartbeats = (): void => {
     sequence += 1
-    for (const endpoint of endpoints) void call(port, 'PUT', `/v1/endpoints/${endpoint.id}`, { service, host, port: endpoint.port, zone, slots: 8, sequence, stage: 'ready' })
+    for (const endpoint of endpoints) void sendRequest(port, 'PUT', `/v1/endpoints/${endpoint.id}`, { service, host, port: endpoint.port, zone, slots: 8, sequence, stage: 'ready' })
   }
-  beat()
-  return setInterval(beat, beatMs)
+  sendHeartbeats()
+  return setInterval(sendHeartbeats, heartbeatIntervalMs)
 }
 
 // A registry that isn't there yet is called again.
-function call (port: number, method: string, path: string, body: object): Promise<void> {
+function sendRequest (port: number, method: string, path: string, body: object): Promise<void> {
   return new Promise(resolve => {
     const request = httpRequest({ host, port, method, path, headers: { 'content-type': 'application/json' } }, answer => {
       answer.resume()
--- a/src/bin/local.ts
+++ b/src/bin/local.ts
@@ -11,7 +11,7 @@
 import { EntryBox, KeeperBox } from '../tasks/index.js'
 import { startRoutes } from './local-routes.js'
 import { OperatorClient } from './operator-client.js'
-import { endWith, failureExit, handleSignals, readNamed, readVersion, runProgram, usageExit } from './program.js'
+import { exitWithError, failureExitCode, handleSignals, readUserFile, readVersion, runProgram, usageExitCode } from './program.js'
 
 interface Options {
   readonly port: string | number
@@ -27,7 +27,7 @@
 const secret = 'a secret of this laptop only'
 const sampleConfig = fileURLToPath(new URL('../../../config/local.toml', import.meta.url))
 const demoKeys = 'demo-campsites, demo-tyres'
-const readyMs = 15_000
+const readyTimeoutMs = 15_000
 
 sade('wrenlane-local', true)
   .version(readVersion())
@@ -41,32 +41,32 @@
 
 async function start (options: Options): Promise<void> {
   const port = Number(options.port)
-  if (!Number.isInteger(port) || port < 1 || port > 65_000) endWith(usageExit, `--port is a whole number from 1 to 65000, not ${String(options.port)}`)
-  const intent = readNamed(options.config)
+  if (!Number.isInteger(port) || port < 1 || port > 65_000) exitWithError(usageExitCode, `--port is a whole number from 1 to 65000, not ${String(options.port)}`)
+  const intent = readUserFile(options.config)
   const data = options.data ?? mkdtempSync(join(tmpdir(), 'wrenlane-'))
   mkdirSync(data, { recursive: true })
-  const write = (line: string): void => { if (options.quiet !== true) process.stdout.write(line + '\n') }
+  const writeLine = (line: string): void => { if (options.quiet !== true) process.stdout.write(line + '\n') }
   const keepers = keeperIds.map((id, i) => ({ id, host, port: port + 11 + i }))
-  const entries = await startEntries(port, keepers, data, write)
-  const boxes = await startKeepers(keepers, data, write)
+  const entries = await startEntries(port, keepers, data, writeLine)
+  const keeperBoxes = await startKeepers(keepers, data, writeLine)
   const engines = await startEngines(port)
   const service = new StandinService({ id: 'bookings', host, port: port + 41, delayMs: 5 })
   await service.listen()
   await configure(keepers, intent, composeEndpoints(port))
   await waitReady(entries)
-  const routes = await startRoutes(port + 50, data, write)
+  const routes = await startRoutes(port + 50, data, writeLine)
   const settings = writeOperatorSettings(keepers, data)
   const log = new EventLog('local', line => process.stdout.write(line + '\n'))
   log.info('ready', { url: `http://${host}:${port}`, second: `http://${host}:${port + 1}`, keys: demoKeys, data, operator: settings, routes: routes.url, registry: routes.registry })
   handleSignals(async () => {
-    const cut = await Promise.all([...entries.map(entry => entry.stop()), routes.stop()])
-    await Promise.all(boxes.map(box => box.stop()))
-    for (const one of [...engines, service]) one.close()
-    return cut.every(count => count === 0) ? 0 : 1
+    const cutRequests = await Promise.all([...entries.map(entry => entry.stop()), routes.stop()])
+    await Promise.all(keeperBoxes.map(box => box.stop()))
+    for (const server of [...engines, service]) server.close()
+    return cutRequests.every(count => count === 0) ? 0 : 1
   }, () => entries.reduce((sum, entry) => sum + entry.inFlight, 0))
 }
 
-async function startEntries (port: number, keepers: KeeperSettings['keepers'], data: string, write: (line: string) => void): Promise<EntryBox[]> {
+async function startEntries (port: number, keepers: KeeperSettings['keepers'], data: string, writeLine: (line: string) => void): Promise<EntryBox[]> {
   const members = zones.map((_, i) => ({ host, port: port + 21 + i }))
   const boxes: EntryBox[] = []
   for (const [i, zone] of zones.entries()) {
@@ -87,14 +87,14 @@
       receiveMs: 10_000,
       enginesPerShard: 32
     }
-    const box = new EntryBox(settings, { log: new EventLog(settings.id, write), metrics: new Metrics(null, settings.id), secret })
+    const box = new EntryBox(settings, { log: new EventLog(settings.id, writeLine), metrics: new Metrics(null, settings.id), secret })
     await box.start()
     boxes.push(box)
   }
   return boxes
 }
 
-async function startKeepers (keepers: KeeperSettings['keepers'], data: string, write: (line: string) => void): Promise<KeeperBox[]> {
+async function startKeepers (keepers: KeeperSettings['keepers'], data: string, writeLine: (line: string) => void): Promise<KeeperBox[]> {
   const boxes = keepers.map(({ id, port }, i) => {
     const settings: KeeperSettings = {
       id,
@@ -108,8 +108,8 @@
       heartbeatMs: 100,
       electionMs: 600
     }
-    const noteFatal = (error: Error): void => endWith(failureExit, `the disk failed: ${error.message}`)
-    return new KeeperBox(settings, { log: new EventLog(id, write), metrics: new Metrics(null, id), secret, noteFatal })
+    const noteFatal = (error: Error): void => exitWithError(failureExitCode, `the disk failed: ${error.message}`)
+    return new KeeperBox(settings, { log: new EventLog(id, writeLine), metrics: new Metrics(null, id), secret, noteFatal })
   })
   for (const box of boxes) await box.start()
   return boxes
@@ -152,13 +152,13 @@
   const client = new OperatorClient('local', keepers, secret)
   for (const text of [intent, endpoints]) {
     const reply = await client.call({ type: 'plan', id: client.identify(text), intent: text })
-    if (reply.type === 'mistakes') endWith(usageExit, reply.mistakes.join('\n'))
-    if (reply.type !== 'result' || reply.result.type !== 'planned') endWith(failureExit, `the configuration was not planned: ${JSON.stringify(reply)}`)
+    if (reply.type === 'mistakes') exitWithError(usageExitCode, reply.mistakes.join('\n'))
+    if (reply.type !== 'result' || reply.result.type !== 'planned') exitWithError(failureExitCode, `the configuration was not planned: ${JSON.stringify(reply)}`)
     const { plan, changes } = reply.result
     if (changes.length === 0) continue
     const id = client.identify(`confirm ${plan}`)
-    const done = await client.call({ type: 'command', command: { part: 'config', command: { type: 'confirm', id, plan } } })
-    if (done.type !== 'result' || done.result.type !== 'accepted') endWith(failureExit, `the configuration was not accepted: ${JSON.stringify(done)}`)
+    const confirmReply = await client.call({ type: 'command', command: { part: 'config', command: { type: 'confirm', id, plan } } })
+    if (confirmReply.type !== 'result' || confirmReply.result.type !== 'accepted') exitWithError(failureExitCode, `the configuration was not accepted: ${JSON.stringify(confirmReply)}`)
   }
   client.close()
 }
@@ -174,9 +174,9 @@
 }
 
 async function waitReady (entries: readonly EntryBox[]): Promise<void> {
-  const until = Date.now() + readyMs
+  const deadline = Date.now() + readyTimeoutMs
   while (!entries.every(entry => entry.composeStatus().ready && entry.configuration.engines.size > 0)) {
-    if (Date.now() > until) endWith(failureExit, 'the entry boxes did not become ready')
+    if (Date.now() > deadline) exitWithError(failureExitCode, 'the entry boxes did not become ready')
     await new Promise(resolve => setTimeout(resolve, 20))
   }
 }
--- a/src/bin/losses.ts
+++ b/src/bin/losses.ts
@@ -26,19 +26,19 @@
 }
 
 /** Outcomes that tell the caller that the request did not run. */
-const refusals = new Set(['overloaded', 'no-engine', 'no-document', 'draining'])
+const refusalOutcomes = new Set(['overloaded', 'no-engine', 'no-document', 'draining'])
 
 /** Sorts exchanges by route, span and reason; `spanS`: length of a span, s. */
-export function countLosses (texts: readonly string[], spanS: number): LossRow[] {
+export function countLosses (texts: readonly string[], intervalS: number): LossRow[] {
   const exchanges = mergeEvents(texts, null).filter(event => event.fields.get('event') === 'exchange')
   const startMs = exchanges.length === 0 ? 0 : readMs(exchanges[0])
   const rows = new Map<string, LossRow & { counts: Record<LossReason, number> }>()
   for (const event of exchanges) {
     const route = event.fields.get('route') ?? ''
-    const second = Math.floor((readMs(event) - startMs) / 1000 / spanS) * spanS
+    const second = Math.floor((readMs(event) - startMs) / 1000 / intervalS) * intervalS
     const key = `${route} ${second}`
     const row = rows.get(key) ?? { route, second, counts: createCounts() }
-    row.counts[findReason(event)] += 1
+    row.counts[classifyExchange(event)] += 1
     rows.set(key, row)
   }
   return [...rows.values()].sort((a, b) => a.route.localeCompare(b.route) || a.second - b.second)
@@ -46,24 +46,24 @@
 
 /** Writes rows as a table; shares of each row's exchanges in 100. */
 export function formatLosses (rows: readonly LossRow[]): string {
-  const head = ['route', 'second', 'exchanges', ...lossReasons]
+  const headings = ['route', 'second', 'exchanges', ...lossReasons]
   const lines = rows.map(({ route, second, counts }) => {
-    const all = lossReasons.reduce((sum, reason) => sum + counts[reason], 0)
-    return [route, String(second), String(all), ...lossReasons.map(reason => counts[reason] === 0 ? '-' : `${(100 * counts[reason] / all).toFixed(1)}`)]
+    const total = lossReasons.reduce((sum, reason) => sum + counts[reason], 0)
+    return [route, String(second), String(total), ...lossReasons.map(reason => counts[reason] === 0 ? '-' : `${(100 * counts[reason] / total).toFixed(1)}`)]
   })
-  const widths = head.map((name, i) => Math.max(name.length, ...lines.map(line => line[i].length)))
-  return [head, ...lines].map(line => line.map((cell, i) => i === 0 ? cell.padEnd(widths[i]) : cell.padStart(widths[i])).join('  ')).join('\n')
+  const widths = headings.map((name, i) => Math.max(name.length, ...lines.map(line => line[i].length)))
+  return [headings, ...lines].map(line => line.map((cell, i) => i === 0 ? cell.padEnd(widths[i]) : cell.padStart(widths[i])).join('  ')).join('\n')
 }
 
 function createCounts (): Record<LossReason, number> {
   return { 'in-time': 0, late: 0, pause: 0, refused: 0, left: 0, broken: 0, silent: 0 }
 }
 
-function findReason ({ fields }: TimelineEvent): LossReason {
+function classifyExchange ({ fields }: TimelineEvent): LossReason {
   const outcome = fields.get('outcome') ?? ''
   if (outcome === 'left') return 'left'
   if (outcome === 'engine-timeout') return 'silent'
-  if (refusals.has(outcome)) return 'refused'
+  if (refusalOutcomes.has(outcome)) return 'refused'
   if (outcome !== 'ok') return 'broken'
   if (readNumber(fields, 'firstMs', 0) > readNumber(fields, 'targetMs', Infinity)) return 'late'
   return readNumber(fields, 'pauseMs', 0) > readNumber(fields, 'pauseLimitMs', Infinity) ? 'pause' : 'in-time'
--- a/src/bin/measure.ts
+++ b/src/bin/measure.ts
@@ -3,7 +3,7 @@
 import sade from 'sade'
 import { findScenario, policies, runExperiment, scenarios, sharings, userProfiles } from '../measure/index.js'
 import type { Row } from '../measure/index.js'
-import { endWith, readVersion, usageExit } from './program.js'
+import { exitWithError, readVersion, usageExitCode } from './program.js'
 
 interface Options {
   readonly json?: boolean
@@ -30,16 +30,16 @@
 
 function measure (options: Options): void {
   const seeds = String(options.seed).split(',').map(Number)
-  if (!seeds.every(seed => Number.isInteger(seed) && seed >= 0)) endWith(usageExit, `--seed takes whole numbers from 0, not ${String(options.seed)}`)
-  const known = [...Object.keys(policies), ...Object.keys(sharings)]
-  const chosen = options.policy === 'sharing' ? Object.keys(sharings) : splitList(options.policy) ?? Object.keys(policies)
-  expectKnown('--policy', chosen, name => known.includes(name))
+  if (!seeds.every(seed => Number.isInteger(seed) && seed >= 0)) exitWithError(usageExitCode, `--seed takes whole numbers from 0, not ${String(options.seed)}`)
+  const knownPolicies = [...Object.keys(policies), ...Object.keys(sharings)]
+  const selectedPolicies = options.policy === 'sharing' ? Object.keys(sharings) : splitList(options.policy) ?? Object.keys(policies)
+  rejectUnknown('--policy', selectedPolicies, name => knownPolicies.includes(name))
   const users = splitList(options.user)
-  expectKnown('--user', users ?? [], name => userProfiles.some(user => user.name === name))
+  rejectUnknown('--user', users ?? [], name => userProfiles.some(user => user.name === name))
   const names = splitList(options.scenario)
-  expectKnown('--scenario', names ?? [], name => findScenario(name) !== undefined)
+  rejectUnknown('--scenario', names ?? [], name => findScenario(name) !== undefined)
   if (options.json !== true) process.stdout.write(formatHeader())
-  runExperiment({ users, scenarios: names, policies: chosen, seeds }, row => {
+  runExperiment({ users, scenarios: names, policies: selectedPolicies, seeds }, row => {
     process.stdout.write(options.json === true ? `${JSON.stringify(row)}\n` : formatRow(row))
   })
 }
@@ -48,9 +48,9 @@
   return text?.split(',')
 }
 
-function expectKnown (option: string, names: readonly string[], isKnown: (name: string) => boolean): void {
+function rejectUnknown (option: string, names: readonly string[], isKnown: (name: string) => boolean): void {
   for (const name of names) {
-    if (!isKnown(name)) endWith(usageExit, `${option} does not know ${JSON.stringify(name)}; see --help`)
+    if (!isKnown(name)) exitWithError(usageExitCode, `${option} does not know ${JSON.stringify(name)}; see --help`)
   }
 }
 
--- a/src/bin/notice-report.ts
+++ b/src/bin/notice-report.ts
@@ -5,13 +5,13 @@
 import { OperatorError } from './operator-client.js'
 
 /** A registry that says nothing for so long is given up, ms. */
-const patienceMs = 2000
+const requestTimeoutMs = 2000
 
 /** Asks a registry. Throws an `OperatorError` where it can't be asked. */
 export function readNotices ({ host, port }: Address): Promise<NoticeStatus[]> {
   return new Promise((resolve, reject) => {
-    const fail = (why: string): void => reject(new OperatorError(`the registry at ${host}:${port} ${why}`))
-    const call = request({ host, port, path: '/v1/notices', timeout: patienceMs }, response => {
+    const fail = (reason: string): void => reject(new OperatorError(`the registry at ${host}:${port} ${reason}`))
+    const call = request({ host, port, path: '/v1/notices', timeout: requestTimeoutMs }, response => {
       let text = ''
       response.on('data', (chunk: Buffer) => { text += chunk.toString() })
       response.on('error', () => fail('broke off its answer'))
@@ -30,11 +30,11 @@
 }
 
 function formatNotice ({ endpoint, service, limit, isLeaving, ageMs, from, backedOff }: NoticeStatus): string {
-  const words = [
+  const parts = [
     limit === null ? '' : `limit ${limit}/s`,
     isLeaving ? 'leaving' : '',
     backedOff === 0 ? '' : `asked ${backedOff} ${backedOff === 1 ? 'box' : 'boxes'} to back off`
   ].filter(word => word !== '')
-  const told = ageMs === null ? '' : `  known for ${(ageMs / 1000).toFixed(1)} s, told by ${from ?? 'an answer'}`
-  return `${endpoint}  service ${service}  ${words.length === 0 ? 'no limit any more' : words.join(', ')}${told}`
+  const age = ageMs === null ? '' : `  known for ${(ageMs / 1000).toFixed(1)} s, told by ${from ?? 'an answer'}`
+  return `${endpoint}  service ${service}  ${parts.length === 0 ? 'no limit any more' : parts.join(', ')}${age}`
 }
--- a/src/bin/operator-client.ts
+++ b/src/bin/operator-client.ts
@@ -8,10 +8,10 @@
 import { HybridClock } from '../runtime/index.js'
 import { KeeperClient } from '../tasks/index.js'
 
-const callMs = 10_000
-const repairMs = 90_000
-const linkMs = 1500
-const pollMs = 10
+const callTimeoutMs = 10_000
+const repairTimeoutMs = 90_000
+const directCallTimeoutMs = 1500
+const connectPollMs = 10
 
 /** How a call failed, for people. */
 export class OperatorError extends Error {}
@@ -22,7 +22,7 @@
   #client: KeeperClient
   #keepers: readonly KeeperAddress[]
   #directCalls = new Map<number, (reply: KeeperReply) => void>()
-  #counter = 1_000_000
+  #lastCallId = 1_000_000
 
   constructor (operator: string, keepers: readonly KeeperAddress[], secret: string) {
     this.operator = operator
@@ -47,9 +47,9 @@
 
   /** Calls the leading keeper. Throws an `OperatorError` where none answers. */
   async call (body: KeeperCall): Promise<KeeperReply> {
-    const end = await this.#client.call(body, body.type === 'repair' ? repairMs : callMs)
-    switch (end.type) {
-      case 'reply': return end.reply
+    const outcome = await this.#client.call(body, body.type === 'repair' ? repairTimeoutMs : callTimeoutMs)
+    switch (outcome.type) {
+      case 'reply': return outcome.reply
       case 'unsent': throw new OperatorError('no keeper can be reached; nothing was changed')
       case 'unanswered': throw new OperatorError('no quorum of keepers answered; whether the command took effect is not known. Send it again with the same --number to find out')
     }
@@ -59,9 +59,9 @@
   async ask (keeper: KeeperAddress, body: KeeperCall): Promise<KeeperReply | null> {
     if (!await this.#connect(keeper)) return null
     return await new Promise(resolve => {
-      const call = this.#next()
+      const call = this.#nextCallId()
       this.#directCalls.set(call, resolve)
-      setTimeout(() => resolve(null), linkMs)
+      setTimeout(() => resolve(null), directCallTimeoutMs)
       this.#links.find(keeper.host, keeper.port)?.send({ type: 'call', call, body })
     })
   }
@@ -73,25 +73,25 @@
     this.#links.close()
   }
 
-  #next (): number {
-    this.#counter += 1
-    return this.#counter
+  #nextCallId (): number {
+    this.#lastCallId += 1
+    return this.#lastCallId
   }
 
   async #connect ({ host, port }: Address): Promise<boolean> {
-    const until = performance.now() + linkMs
+    const deadline = performance.now() + directCallTimeoutMs
     while (this.#links.find(host, port) === undefined) {
-      if (performance.now() > until) return false
-      await new Promise(resolve => setTimeout(resolve, pollMs))
+      if (performance.now() > deadline) return false
+      await new Promise(resolve => setTimeout(resolve, connectPollMs))
     }
     return true
   }
 
   #receive (from: string, message: BoxMessage): void {
     if (message.type !== 'reply') return
-    const direct = this.#directCalls.get(message.call)
-    if (direct === undefined) return this.#client.receive(from, message.call, message.body)
+    const resolveDirect = this.#directCalls.get(message.call)
+    if (resolveDirect === undefined) return this.#client.receive(from, message.call, message.body)
     this.#directCalls.delete(message.call)
-    direct(message.body)
+    resolveDirect(message.body)
   }
 }
--- a/src/bin/program.ts
+++ b/src/bin/program.ts
@@ -6,11 +6,11 @@
 import type { FieldTable } from '../config/index.js'
 
 /** Exit code for what the caller of the program got wrong. */
-export const usageExit = 2
+export const usageExitCode = 2
 /** Exit code for what went wrong in running. */
-export const failureExit = 1
+export const failureExitCode = 1
 
-const leastSecret = 16
+const minSecretLength = 16
 
 /** The version in package.json. */
 export function readVersion (): string {
@@ -24,32 +24,32 @@
 }
 
 /** Ends with one line of error. */
-export function endWith (code: number, text: string): never {
+export function exitWithError (code: number, text: string): never {
   process.stderr.write(`error: ${text}\n`)
   process.exit(code)
 }
 
 /** Reads a file that the user named. */
-export function readNamed (path: string): string {
+export function readUserFile (path: string): string {
   try {
     return readFileSync(path, 'utf8')
   } catch (error) {
-    return endWith(usageExit, `${path}: ${(error as NodeJS.ErrnoException).code === 'ENOENT' ? 'no such file' : (error as Error).message}`)
+    return exitWithError(usageExitCode, `${path}: ${(error as NodeJS.ErrnoException).code === 'ENOENT' ? 'no such file' : (error as Error).message}`)
   }
 }
 
 /** Reads a settings file; prints every mistake and ends where there are any. */
 export function readSettings<T> (path: string, fields: FieldTable): T {
-  const parsed = parseToml(readNamed(path), fields)
+  const parsed = parseToml(readUserFile(path), fields)
   if (parsed.ok) return parsed.value as T
   for (const mistake of parsed.mistakes) process.stderr.write(`${formatMistake(path, mistake)}\n`)
-  return endWith(usageExit, `${path}: ${parsed.mistakes.length} mistake${parsed.mistakes.length === 1 ? '' : 's'}`)
+  return exitWithError(usageExitCode, `${path}: ${parsed.mistakes.length} mistake${parsed.mistakes.length === 1 ? '' : 's'}`)
 }
 
 /** Reads the shared secret. */
 export function readSecret (path: string): string {
-  const secret = readNamed(path).trim()
-  if (secret.length < leastSecret) endWith(usageExit, `${path}: a secret is at least ${leastSecret} characters long`)
+  const secret = readUserFile(path).trim()
+  if (secret.length < minSecretLength) exitWithError(usageExitCode, `${path}: a secret is at least ${minSecretLength} characters long`)
   return secret
 }
 
@@ -59,20 +59,20 @@
     await start()
   } catch (error) {
     const { code, port, message } = error as NodeJS.ErrnoException & { port?: number }
-    if (code === 'EADDRINUSE') endWith(usageExit, `port ${port ?? ''} is in use`)
-    if (code === 'EACCES') endWith(usageExit, message)
-    endWith(failureExit, message)
+    if (code === 'EADDRINUSE') exitWithError(usageExitCode, `port ${port ?? ''} is in use`)
+    if (code === 'EACCES') exitWithError(usageExitCode, message)
+    exitWithError(failureExitCode, message)
   }
 }
 
 /** Calls `stop` at the first signal to end, and ends at once at the second. */
 export function handleSignals (stop: () => Promise<number>, countInFlight: () => number): void {
-  let stopping = false
-  const take = (): void => {
-    if (stopping) endWith(failureExit, `stopped at once; ${countInFlight()} requests in flight were cut`)
-    stopping = true
-    stop().then(code => process.exit(code), (error: Error) => endWith(failureExit, error.message))
+  let isStopping = false
+  const handleSignal = (): void => {
+    if (isStopping) exitWithError(failureExitCode, `stopped at once; ${countInFlight()} requests in flight were cut`)
+    isStopping = true
+    stop().then(code => process.exit(code), (error: Error) => exitWithError(failureExitCode, error.message))
   }
-  process.on('SIGTERM', take)
-  process.on('SIGINT', take)
+  process.on('SIGTERM', handleSignal)
+  process.on('SIGINT', handleSignal)
 }
--- a/src/bin/route-program.ts
+++ b/src/bin/route-program.ts
@@ -8,12 +8,12 @@
 import { RegistryBox } from '../registry/index.js'
 import { Metrics, MetricsDoor, openProgramLog } from '../runtime/index.js'
 import type { EventLog } from '../runtime/index.js'
-import { endWith, handleSignals, readNamed, readSecret, readSettings, runProgram, usageExit } from './program.js'
+import { exitWithError, handleSignals, readUserFile, readSecret, readSettings, runProgram, usageExitCode } from './program.js'
 
 /** How often the settings file is looked at: it may change without a signal, ms. */
-const settingsEveryMs = 1000
+const settingsPollMs = 1000
 
-interface Program<Settings> {
+interface ProgramContext<Settings> {
   readonly settings: Settings
   readonly log: EventLog
   readonly metrics: Metrics
@@ -29,9 +29,9 @@
     await box.start()
     followSettings<GatewaySettings>(path, gatewayFields, program.log, settings => box.setSeeds(settings.seeds))
     handleSignals(async () => {
-      const cut = await box.stop()
+      const cutRequests = await box.stop()
       program.flush()
-      return cut === 0 ? 0 : 1
+      return cutRequests === 0 ? 0 : 1
     }, () => box.inFlight)
   })
 }
@@ -51,28 +51,28 @@
   })
 }
 
-async function openProgram<Settings extends RouteBoxSettings> (path: string, fields: FieldTable): Promise<Program<Settings>> {
+async function openProgram<Settings extends RouteBoxSettings> (path: string, fields: FieldTable): Promise<ProgramContext<Settings>> {
   const settings = readSettings<Settings>(path, fields)
   const { log, sink } = openProgramLog(settings.id, settings.logLinesPerSecond)
   const metrics = new Metrics(settings.statsd, settings.id)
   if (settings.metricsPort !== 0) await new MetricsDoor(metrics).listen(settings.host, settings.metricsPort)
   const secret = settings.secretFile === '' ? null : readSecret(settings.secretFile)
-  if (secret === null && !settings.openLinks) endWith(usageExit, 'links need a secretFile, or openLinks = true where nobody else can reach the network')
+  if (secret === null && !settings.openLinks) exitWithError(usageExitCode, 'links need a secretFile, or openLinks = true where nobody else can reach the network')
   return { settings, log, metrics, secret, flush: () => sink.flush() }
 }
 
 // A file that can't be read keeps what was in force.
-function followSettings<Settings extends RouteBoxSettings> (path: string, fields: FieldTable, log: EventLog, adopt: (settings: Settings) => void): void {
-  const reload = (why: string): void => {
-    const parsed = parseToml(readNamed(path), fields)
+function followSettings<Settings extends RouteBoxSettings> (path: string, fields: FieldTable, log: EventLog, applySettings: (settings: Settings) => void): void {
+  const reload = (reason: string): void => {
+    const parsed = parseToml(readUserFile(path), fields)
     if (parsed.ok) {
-      log.info('settings-read', { why, seeds: (parsed.value as Settings).seeds.join(',') })
-      return adopt(parsed.value as Settings)
+      log.info('settings-read', { why: reason, seeds: (parsed.value as Settings).seeds.join(',') })
+      return applySettings(parsed.value as Settings)
     }
-    for (const mistake of parsed.mistakes) log.error('settings-refused', { why, mistake: formatMistake(path, mistake) })
+    for (const mistake of parsed.mistakes) log.error('settings-refused', { why: reason, mistake: formatMistake(path, mistake) })
   }
   handleHangup(() => reload('signal'))
-  watchFile(path, { interval: settingsEveryMs, persistent: false }, (now, before) => {
+  watchFile(path, { interval: settingsPollMs, persistent: false }, (now, before) => {
     if (now.mtimeMs !== before.mtimeMs || now.size !== before.size) reload('change')
   })
   process.on('exit', () => unwatchFile(path))
--- a/src/bin/standin.ts
+++ b/src/bin/standin.ts
@@ -12,9 +12,9 @@
     const log = openStandardLog('standin')
     const engines = settings.engines.map(one => new StandinEngine(one))
     const services = settings.services.map(one => new StandinService(one))
-    for (const one of [...engines, ...services]) {
-      await one.listen()
-      log.info('listening', { id: one.settings.id, port: one.port })
+    for (const server of [...engines, ...services]) {
+      await server.listen()
+      log.info('listening', { id: server.settings.id, port: server.port })
     }
     log.info('ready', { engines: engines.length, services: services.length })
     handleSignals(async () => {
--- a/src/bin/start.ts
+++ b/src/bin/start.ts
@@ -14,12 +14,12 @@
 import { dirname, resolve } from 'node:path'
 import { Script } from 'node:vm'
 
-const usageExit = 2
+const usageExitCode = 2
 
 /** A CommonJS module as a function of what it may name. */
-type Program = (exports: object, require: NodeJS.Require, module: object, file: string, folder: string) => void
+type ModuleFunction = (exports: object, require: NodeJS.Require, module: object, file: string, folder: string) => void
 
-function readCompiled (path: string): Buffer | undefined {
+function readCodeCache (path: string): Buffer | undefined {
   try {
     return readFileSync(path)
   } catch {
@@ -37,25 +37,25 @@
 
 function runScript (script: Script, file: string): void {
   const module = { exports: {} }
-  const program = script.runInThisContext() as Program
-  program(module.exports, createRequire(file), module, file, dirname(file))
+  const runModule = script.runInThisContext() as ModuleFunction
+  runModule(module.exports, createRequire(file), module, file, dirname(file))
 }
 
-function start (words: readonly string[]): void {
-  const [first, ms, ...rest] = words
-  const isCompiling = first === '--compile'
-  const [program, ...others] = isCompiling ? rest : words
+function start (args: readonly string[]): void {
+  const [firstArg, ms, ...rest] = args
+  const isCompiling = firstArg === '--compile'
+  const [program, ...programArgs] = isCompiling ? rest : args
   if (program === undefined || (isCompiling && !(Number(ms) > 0))) {
     process.stderr.write('error: start [--compile MS] PROGRAM [ARGUMENTS]\n')
-    process.exit(usageExit)
+    process.exit(usageExitCode)
   }
   const file = resolve(program)
-  const compiled = `${file}.compiled`
-  process.argv = [process.argv[0], file, ...others]
-  const script = loadScript(file, isCompiling ? undefined : readCompiled(compiled))
+  const cachePath = `${file}.compiled`
+  process.argv = [process.argv[0], file, ...programArgs]
+  const script = loadScript(file, isCompiling ? undefined : readCodeCache(cachePath))
   if (isCompiling) {
     setTimeout(() => {
-      writeFileSync(compiled, script.createCachedData())
+      writeFileSync(cachePath, script.createCachedData())
       process.exit(0)
     }, Number(ms))
   }
--- a/src/bin/status-report.ts
+++ b/src/bin/status-report.ts
@@ -14,17 +14,17 @@
 
 /** Puts the words of all keepers together; the leader's counts most. */
 export function composeReport (names: readonly string[], statuses: readonly (KeeperStatus | null)[]): StatusReport {
-  const known = statuses.filter(status => status !== null)
-  const leader = known.find(status => status.role === 'leader')
+  const received = statuses.filter(status => status !== null)
+  const leader = received.find(status => status.role === 'leader')
   const boxes = new Map<string, BoxStatus>()
-  for (const status of known) {
+  for (const status of received) {
     for (const box of status.boxes) {
-      const other = boxes.get(box.id)
-      const newest = other === undefined || other.sentAt < box.sentAt ? box : other
-      boxes.set(box.id, { ...newest, revision: Math.max(box.revision, other?.revision ?? 0) })
+      const previous = boxes.get(box.id)
+      const latest = previous === undefined || previous.sentAt < box.sentAt ? box : previous
+      boxes.set(box.id, { ...latest, revision: Math.max(box.revision, previous?.revision ?? 0) })
     }
   }
-  const revision = Math.max(0, ...known.map(status => status.revision))
+  const revision = Math.max(0, ...received.map(status => status.revision))
   const list = [...boxes.values()].sort((a, b) => (a.id < b.id ? -1 : 1))
   return {
     revision,
--- a/src/bin/timeline.ts
+++ b/src/bin/timeline.ts
@@ -7,12 +7,12 @@
   readonly line: string
 }
 
-const pair = /([A-Za-z0-9_.-]+)=("(?:[^"\\]|\\.)*"|\S*)/g
+const fieldPattern = /([A-Za-z0-9_.-]+)=("(?:[^"\\]|\\.)*"|\S*)/g
 
 /** Reads a line of key=value pairs; null where it is no event. */
 export function parseEvent (line: string): TimelineEvent | null {
   const fields = new Map<string, string>()
-  for (const [, key, value] of line.matchAll(pair)) {
+  for (const [, key, value] of line.matchAll(fieldPattern)) {
     fields.set(key, value.startsWith('"') ? JSON.parse(value) as string : value)
   }
   const hlc = fields.get('hlc')
@@ -25,39 +25,39 @@
   for (const text of texts) {
     for (const line of text.split('\n')) {
       const event = parseEvent(line)
-      if (event !== null && concerns(event, request)) events.push(event)
+      if (event !== null && matchesRequest(event, request)) events.push(event)
     }
   }
   return events.sort((a, b) => compareTimes(a.hlc, b.hlc))
 }
 
-function concerns (event: TimelineEvent, request: string | null): boolean {
+function matchesRequest (event: TimelineEvent, request: string | null): boolean {
   if (request === null) return true
   return event.fields.get('request') === request || event.fields.get('to') === request
 }
 
 /** Time before a request's end in which changes of what was believed may explain it, ms. */
-const explainMs = 15_000
+const causeWindowMs = 15_000
 /** Events that change what a box believes of the endpoints, or routes by. */
-const beliefEvents = new Set(['endpoint', 'endpoint-reached', 'routes-in-force', 'registry-lost', 'registry-met', 'hub-chosen', 'hubs-silent'])
+const routingStateEvents = new Set(['endpoint', 'endpoint-reached', 'routes-in-force', 'registry-lost', 'registry-met', 'hub-chosen', 'hubs-silent'])
 
 /**
  * The way from a request to its cause: its own lines, and before them what its
  * box came to believe of the endpoints that it was sent to and of the others.
  */
 export function explainRequest (texts: readonly string[], request: string): TimelineEvent[] {
-  const own = mergeEvents(texts, request)
-  const last = own.at(-1)
+  const requestEvents = mergeEvents(texts, request)
+  const last = requestEvents.at(-1)
   if (last === undefined) return []
   const box = last.fields.get('box')
   const attempts = last.fields.get('attempts') ?? ''
-  const explains = (event: TimelineEvent): boolean => {
-    if (!beliefEvents.has(event.fields.get('event') ?? '') || event.fields.get('box') !== box) return false
+  const mayExplain = (event: TimelineEvent): boolean => {
+    if (!routingStateEvents.has(event.fields.get('event') ?? '') || event.fields.get('box') !== box) return false
     const age = Number(last.hlc.split('.')[0]) - Number(event.hlc.split('.')[0])
     const endpoint = event.fields.get('endpoint')
-    return age >= 0 && age <= explainMs && (endpoint === undefined || attempts.includes(endpoint))
+    return age >= 0 && age <= causeWindowMs && (endpoint === undefined || attempts.includes(endpoint))
   }
-  return [...mergeEvents(texts, null).filter(explains), ...own].sort((a, b) => compareTimes(a.hlc, b.hlc))
+  return [...mergeEvents(texts, null).filter(mayExplain), ...requestEvents].sort((a, b) => compareTimes(a.hlc, b.hlc))
 }
 
 function compareTimes (a: string, b: string): number {
--- a/src/bin/wrenlane.ts
+++ b/src/bin/wrenlane.ts
@@ -11,7 +11,7 @@
 import type { Change, Document, LedgerResult } from '../coordination/index.js'
 import type { KeeperReply, KeeperStatus } from '../protocol/index.js'
 import { OperatorClient, OperatorError } from './operator-client.js'
-import { endWith, failureExit, readNamed, readSecret, readSettings, readVersion, usageExit } from './program.js'
+import { exitWithError, failureExitCode, readUserFile, readSecret, readSettings, readVersion, usageExitCode } from './program.js'
 import { countLosses, formatLosses } from './losses.js'
 import { formatNotices, readNotices } from './notice-report.js'
 import { composeReport, formatReport } from './status-report.js'
@@ -45,12 +45,12 @@
   secretFile: describeText('File with the secret that boxes and operators share.')
 }
 
-const kinds: readonly { readonly name: string, readonly mark: string, readonly fields: FieldTable }[] = [
-  { name: 'gateway', mark: 'ready', fields: gatewayFields },
-  { name: 'registry', mark: 'linkPort', fields: registryFields },
-  { name: 'entry', mark: 'listen', fields: entryFields },
-  { name: 'keeper', mark: 'data', fields: keeperFields },
-  { name: 'operator', mark: 'keepers', fields: operatorFields }
+const settingsKinds: readonly { readonly name: string, readonly distinctiveKey: string, readonly fields: FieldTable }[] = [
+  { name: 'gateway', distinctiveKey: 'ready', fields: gatewayFields },
+  { name: 'registry', distinctiveKey: 'linkPort', fields: registryFields },
+  { name: 'entry', distinctiveKey: 'listen', fields: entryFields },
+  { name: 'keeper', distinctiveKey: 'data', fields: keeperFields },
+  { name: 'operator', distinctiveKey: 'keepers', fields: operatorFields }
 ]
 
 const program = sade('wrenlane').version(readVersion())
@@ -63,22 +63,22 @@
 program.command('plan', 'Answer an intent with a plan of what would change')
   .option('-f, --file', 'TOML file with the intent')
   .option('--number', 'Number of this command, to resend it safely')
-  .action((options: Options) => withOperator(options, client => plan(client, options)))
+  .action((options: Options) => runWithClient(options, client => plan(client, options)))
 
 program.command('confirm <plan>', 'Put a plan in force')
   .option('--number', 'Number of this command, to resend it safely')
-  .action((number: string, options: Options) => withOperator(options, client => confirm(client, number, options)))
+  .action((number: string, options: Options) => runWithClient(options, client => confirm(client, number, options)))
 
 program.command('status', 'Show boxes, zones, revisions in force, engines and queues')
   .option('--registry', 'HOST:PORT of a registry: show its endpoints\' limits, back-off and words of leaving instead')
-  .action((options: Options) => options.registry === undefined ? withOperator(options, client => showStatus(client, options)) : showNotices(options.registry, options))
+  .action((options: Options) => options.registry === undefined ? runWithClient(options, client => showStatus(client, options)) : showNotices(options.registry, options))
 
 program.command('drain <engine>', 'Give an engine no new work from now on, through a plan that is confirmed at once')
   .option('--undo', 'Give it work again')
-  .action((engine: string, options: Options) => withOperator(options, client => drain(client, engine, options)))
+  .action((engine: string, options: Options) => runWithClient(options, client => drain(client, engine, options)))
 
 program.command('repair <keeper>', 'Let a keeper with another disk take the place of its old replica')
-  .action((keeper: string, options: Options) => withOperator(options, client => repair(client, keeper, options)))
+  .action((keeper: string, options: Options) => runWithClient(options, client => repair(client, keeper, options)))
 
 program.command('timeline <file>', 'Merge event logs into one order')
   .option('--request', 'Follow one request')
@@ -89,15 +89,15 @@
   .action((path: string, options: Options & { _: string[] }) => showLosses([path, ...options._], options))
 
 program.command('key', 'Make a workspace key and its digest')
-  .action((options: Options) => makeKey(options))
+  .action((options: Options) => generateKey(options))
 
 program.parse(process.argv)
 
-function show (options: Options, value: unknown, text: string): void {
+function print (options: Options, value: unknown, text: string): void {
   process.stdout.write(`${options.json === true ? JSON.stringify(value) : text}\n`)
 }
 
-async function withOperator (options: Options, run: (client: OperatorClient) => Promise<void>): Promise<void> {
+async function runWithClient (options: Options, run: (client: OperatorClient) => Promise<void>): Promise<void> {
   const settings = readSettings<OperatorSettings>(options.settings, operatorFields)
   const operator = settings.operator === 'operator' ? userInfo().username : settings.operator
   const client = new OperatorClient(operator, settings.keepers, readSecret(settings.secretFile))
@@ -106,34 +106,34 @@
     client.close()
   } catch (error) {
     if (!(error instanceof OperatorError)) throw error
-    endWith(failureExit, error.message)
+    exitWithError(failureExitCode, error.message)
   }
 }
 
 function checkFile (path: string): void {
-  const text = readNamed(path)
-  const fields = guessFields(text)
+  const text = readUserFile(path)
+  const fields = detectFields(text)
   const parsed = parseToml(text, fields)
-  const mistakes = parsed.ok ? checkWhole(text, parsed.value, fields) : parsed.mistakes
+  const mistakes = parsed.ok ? checkIntent(text, parsed.value, fields) : parsed.mistakes
   for (const mistake of mistakes) process.stdout.write(`${formatMistake(path, mistake)}\n`)
-  if (mistakes.length > 0) endWith(usageExit, `${path}: ${mistakes.length} mistake${mistakes.length === 1 ? '' : 's'}`)
+  if (mistakes.length > 0) exitWithError(usageExitCode, `${path}: ${mistakes.length} mistake${mistakes.length === 1 ? '' : 's'}`)
   process.stdout.write(`${path}: no mistakes\n`)
 }
 
-function guessFields (text: string): FieldTable {
+function detectFields (text: string): FieldTable {
   let table: Record<string, unknown> = {}
   try {
     table = parse(text)
   } catch {
     return intentFields
   }
-  for (const { mark, fields } of kinds) {
-    if (Object.hasOwn(table, mark)) return fields
+  for (const { distinctiveKey, fields } of settingsKinds) {
+    if (Object.hasOwn(table, distinctiveKey)) return fields
   }
   return Array.isArray(table.engines) || Array.isArray(table.services) ? standinFields : intentFields
 }
 
-function checkWhole (text: string, value: Readonly<Record<string, unknown>>, fields: FieldTable): readonly Mistake[] {
+function checkIntent (text: string, value: Readonly<Record<string, unknown>>, fields: FieldTable): readonly Mistake[] {
   if (fields !== intentFields) return []
   const { remove: _, ...document } = value
   const lines = findKeyLines(text)
@@ -141,15 +141,15 @@
 }
 
 async function plan (client: OperatorClient, options: Options): Promise<void> {
-  if (options.file === undefined) endWith(usageExit, 'plan needs -f FILE, a TOML file with the intent')
-  const intent = readNamed(options.file)
+  if (options.file === undefined) exitWithError(usageExitCode, 'plan needs -f FILE, a TOML file with the intent')
+  const intent = readUserFile(options.file)
   const reply = await client.call({ type: 'plan', id: client.identify(intent, options.number), intent })
   const result = expectResult(reply)
-  if (result.type !== 'planned') return endWithResult(options, result)
+  if (result.type !== 'planned') return exitWithResult(options, result)
   const text = result.changes.length === 0
     ? 'nothing would change'
     : `${result.changes.map(formatChange).join('\n')}\nplan ${result.plan} on revision ${result.base}; put it in force with: wrenlane confirm ${result.plan}`
-  show(options, result, text)
+  print(options, result, text)
 }
 
 function formatChange (change: Change): string {
@@ -162,13 +162,13 @@
   return `changed  ${name}  ${keys.map(key => `${key}: ${JSON.stringify(before[key])} -> ${JSON.stringify(after[key])}`).join(', ')}`
 }
 
-async function confirm (client: OperatorClient, number: string, options: Options): Promise<void> {
-  if (!/^\d+$/.test(number)) endWith(usageExit, `a plan is a whole number, not ${JSON.stringify(number)}`)
-  const id = client.identify(`confirm ${number}`, options.number)
-  const reply = await client.call({ type: 'command', command: { part: 'config', command: { type: 'confirm', id, plan: Number(number) } } })
+async function confirm (client: OperatorClient, planNumber: string, options: Options): Promise<void> {
+  if (!/^\d+$/.test(planNumber)) exitWithError(usageExitCode, `a plan is a whole number, not ${JSON.stringify(planNumber)}`)
+  const id = client.identify(`confirm ${planNumber}`, options.number)
+  const reply = await client.call({ type: 'command', command: { part: 'config', command: { type: 'confirm', id, plan: Number(planNumber) } } })
   const result = expectResult(reply)
-  if (result.type !== 'accepted') return endWithResult(options, result)
-  show(options, result, `accepted as revision ${result.revision}; wrenlane status shows where it is in force`)
+  if (result.type !== 'accepted') return exitWithResult(options, result)
+  print(options, result, `accepted as revision ${result.revision}; wrenlane status shows where it is in force`)
 }
 
 function expectResult (reply: KeeperReply): LedgerResult {
@@ -176,15 +176,15 @@
     case 'result': return reply.result as LedgerResult
     case 'mistakes':
       for (const mistake of reply.mistakes) process.stderr.write(`${mistake}\n`)
-      return endWith(usageExit, `${reply.mistakes.length} mistakes in the intent`)
-    case 'fault': return endWith(failureExit, reply.text)
-    default: return endWith(failureExit, `unexpected answer ${reply.type}`)
+      return exitWithError(usageExitCode, `${reply.mistakes.length} mistakes in the intent`)
+    case 'fault': return exitWithError(failureExitCode, reply.text)
+    default: return exitWithError(failureExitCode, `unexpected answer ${reply.type}`)
   }
 }
 
-function endWithResult (options: Options, result: LedgerResult): void {
+function exitWithResult (options: Options, result: LedgerResult): void {
   if (options.json === true) process.stdout.write(`${JSON.stringify(result)}\n`)
-  endWith(failureExit, describeResult(result))
+  exitWithError(failureExitCode, describeResult(result))
 }
 
 function describeResult (result: LedgerResult): string {
@@ -204,42 +204,42 @@
   }))
   if (statuses.every(status => status === null)) throw new OperatorError('no keeper can be reached')
   const report = composeReport(client.keepers.map(keeper => keeper.id), statuses as (KeeperStatus | null)[])
-  show(options, report, formatReport(report))
+  print(options, report, formatReport(report))
 }
 
 async function showNotices (registry: string, options: Options): Promise<void> {
   const address = parseAddress(registry)
-  if (address.host === '' || !(address.port > 0)) return endWith(usageExit, '--registry: HOST:PORT of a registry')
+  if (address.host === '' || !(address.port > 0)) return exitWithError(usageExitCode, '--registry: HOST:PORT of a registry')
   try {
     const notices = await readNotices(address)
-    show(options, notices, formatNotices(notices))
+    print(options, notices, formatNotices(notices))
   } catch (error) {
     if (!(error instanceof OperatorError)) throw error
-    endWith(failureExit, error.message)
+    exitWithError(failureExitCode, error.message)
   }
 }
 
 async function drain (client: OperatorClient, engine: string, options: Options): Promise<void> {
   const reply = await client.call({ type: 'document' })
-  if (reply.type !== 'document') return endWith(failureExit, `unexpected answer ${reply.type}`)
-  const found = reply.document.engines?.[brandId<EngineId>(engine)] as Record<string, unknown> | undefined
-  if (found === undefined) return endWith(usageExit, `no engine ${JSON.stringify(engine)} is configured`)
+  if (reply.type !== 'document') return exitWithError(failureExitCode, `unexpected answer ${reply.type}`)
+  const current = reply.document.engines?.[brandId<EngineId>(engine)] as Record<string, unknown> | undefined
+  if (current === undefined) return exitWithError(usageExitCode, `no engine ${JSON.stringify(engine)} is configured`)
   const leaving = options.undo !== true
-  const change: Change = { section: 'engines', name: engine, before: found, after: { ...found, leaving } }
+  const change: Change = { section: 'engines', name: engine, before: current, after: { ...current, leaving } }
   const planId = client.identify(`drain ${engine} ${leaving} ${reply.revision}`)
   const planned = expectResult(await client.call({ type: 'command', command: { part: 'config', command: { type: 'plan', id: planId, base: reply.revision, changes: [change] } } }))
-  if (planned.type !== 'planned') return endWithResult(options, planned)
+  if (planned.type !== 'planned') return exitWithResult(options, planned)
   await confirm(client, String(planned.plan), options)
 }
 
 async function repair (client: OperatorClient, keeper: string, options: Options): Promise<void> {
   const reply = await client.call({ type: 'repair', replace: keeper, id: client.identify(`repair ${keeper}`) })
-  if (reply.type !== 'repaired') return endWith(failureExit, reply.type === 'fault' ? reply.text : `unexpected answer ${reply.type}`)
-  show(options, reply.members, `repaired; the voters are ${reply.members.voters.join(', ')}`)
+  if (reply.type !== 'repaired') return exitWithError(failureExitCode, reply.type === 'fault' ? reply.text : `unexpected answer ${reply.type}`)
+  print(options, reply.members, `repaired; the voters are ${reply.members.voters.join(', ')}`)
 }
 
 function showTimeline (paths: readonly string[], options: Options): void {
-  const texts = paths.map(readNamed)
+  const texts = paths.map(readUserFile)
   const events = options.request === undefined ? mergeEvents(texts, null) : explainRequest(texts, options.request)
   for (const event of events) {
     process.stdout.write(`${options.json === true ? JSON.stringify(Object.fromEntries(event.fields)) : event.line}\n`)
@@ -247,14 +247,14 @@
 }
 
 function showLosses (paths: readonly string[], options: Options): void {
-  const spanS = Number(options.seconds)
-  if (!(spanS > 0)) return endWith(usageExit, '--seconds: a number of seconds above 0')
-  const rows = countLosses(paths.map(readNamed), spanS)
-  show(options, rows, formatLosses(rows))
+  const intervalS = Number(options.seconds)
+  if (!(intervalS > 0)) return exitWithError(usageExitCode, '--seconds: a number of seconds above 0')
+  const rows = countLosses(paths.map(readUserFile), intervalS)
+  print(options, rows, formatLosses(rows))
 }
 
-function makeKey (options: Options): void {
+function generateKey (options: Options): void {
   const key = `wl-${randomBytes(24).toString('base64url')}`
   const digest = createHash('sha256').update(key).digest('hex')
-  show(options, { key, digest }, `key     ${key}\ndigest  ${digest}`)
+  print(options, { key, digest }, `key     ${key}\ndigest  ${digest}`)
 }
--- a/test/early-signals.test.ts
+++ b/test/early-signals.test.ts
@@ -3,16 +3,16 @@
 import { readFileSync } from 'node:fs'
 import { test } from 'node:test'
 
-const cases: readonly { name: string, script: string, printed: string }[] = [
-  { name: 'before a handler is there is kept for it', script: "process.kill(process.pid, 'SIGHUP'); setTimeout(() => { handleHangup(() => console.log('taken')); process.exit(0) }, 50)", printed: 'taken' },
-  { name: 'after it is handed on', script: "handleHangup(() => { console.log('taken'); process.exit(0) }); process.kill(process.pid, 'SIGHUP'); setTimeout(() => {}, 5000)", printed: 'taken' }
+const cases: readonly { name: string, script: string, expectedOutput: string }[] = [
+  { name: 'before a handler is there is kept for it', script: "process.kill(process.pid, 'SIGHUP'); setTimeout(() => { handleHangup(() => console.log('taken')); process.exit(0) }, 50)", expectedOutput: 'taken' },
+  { name: 'after it is handed on', script: "handleHangup(() => { console.log('taken'); process.exit(0) }); process.kill(process.pid, 'SIGHUP'); setTimeout(() => {}, 5000)", expectedOutput: 'taken' }
 ]
 
-for (const { name, script, printed } of cases) {
+for (const { name, script, expectedOutput } of cases) {
   test(`a signal to read settings that comes ${name}`, () => {
     const code = `const { handleHangup } = await import(${JSON.stringify(new URL('../src/bin/early-signals.js', import.meta.url).href)}); ${script}`
     const { status, stdout } = spawnSync(process.execPath, ['--input-type=module', '-e', code], { encoding: 'utf8', timeout: 20_000 })
-    assert.deepEqual([status, stdout.trim()], [0, printed])
+    assert.deepEqual([status, stdout.trim()], [0, expectedOutput])
   })
 }
 
--- a/test/timeline.test.ts
+++ b/test/timeline.test.ts
@@ -57,12 +57,12 @@
   log.info('exchange', { request: 'r1', outcome: 'ok', attempts: 'e2@0:done' })
   now = 31_000
   log.warn('exchange', { request: 'r2', outcome: 'engine-failed', attempts: 'e1@0:broken' })
-  const told = explainRequest([lines.map(line => `  31.0 gateway-1 ${line}`).join('\n')], 'r2').map(event => `${event.fields.get('event')} ${event.fields.get('stage') ?? event.fields.get('outcome') ?? event.fields.get('version')}`)
-  assert.deepEqual(told, ['endpoint draining', 'routes-in-force 4', 'exchange engine-failed'])
+  const events = explainRequest([lines.map(line => `  31.0 gateway-1 ${line}`).join('\n')], 'r2').map(event => `${event.fields.get('event')} ${event.fields.get('stage') ?? event.fields.get('outcome') ?? event.fields.get('version')}`)
+  assert.deepEqual(events, ['endpoint draining', 'routes-in-force 4', 'exchange engine-failed'])
   assert.deepEqual(explainRequest([lines.join('\n')], 'nobody'), [])
 })
 
-const ended: readonly { readonly fields: Record<string, string | number>, readonly reason: LossReason }[] = [
+const exchanges: readonly { readonly fields: Record<string, string | number>, readonly reason: LossReason }[] = [
   { fields: { outcome: 'ok', firstMs: 90, targetMs: 100, pauseMs: 40, pauseLimitMs: 50 }, reason: 'in-time' },
   { fields: { outcome: 'ok', firstMs: 90, targetMs: 100 }, reason: 'in-time' },
   { fields: { outcome: 'ok', firstMs: 190, targetMs: 100, pauseMs: 70, pauseLimitMs: 50 }, reason: 'late' },
@@ -78,13 +78,13 @@
   const lines: string[] = []
   let now = 1000
   const log = new EventLog('gateway-1', line => lines.push(line), () => now)
-  for (const { fields } of ended) log.info('exchange', { route: 'questions', ...fields })
+  for (const { fields } of exchanges) log.info('exchange', { route: 'questions', ...fields })
   now = 7000
   log.info('exchange', { route: 'drafts', outcome: 'ok' })
   log.info('refused', { route: 'drafts' })
   const rows = countLosses([lines.join('\n')], 5)
   assert.deepEqual(rows.map(({ route, second }) => [route, second]), [['drafts', 5], ['questions', 0]])
-  for (const reason of lossReasons) assert.equal(rows[1].counts[reason], ended.filter(one => one.reason === reason).length, reason)
+  for (const reason of lossReasons) assert.equal(rows[1].counts[reason], exchanges.filter(one => one.reason === reason).length, reason)
   assert.match(formatLosses(rows), /questions +0 +9/)
   assert.deepEqual(countLosses([''], 5), [])
 })
