--- a/examples/replicated-counter.ts
+++ b/examples/replicated-counter.ts
@@ -1,4 +1,4 @@
-/** A counter kept by three replicas in one process, over real disks. Run: node dist/examples/replicated-counter.js */
+/** A counter replicated by three replicas in one process, with logs on disk. Run: node dist/examples/replicated-counter.js */
 import { mkdtempSync, rmSync } from 'node:fs'
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
@@ -12,7 +12,7 @@
 const replicas = new Map<ReplicaId, Replica>()
 
 for (const store of stores) {
-  // The three begin with the same members; a log that exists keeps its own.
+  // A new log starts from an initial snapshot with the same members everywhere; an existing log keeps its own.
   if (store.stored.snapshot === null) {
     const snapshot = { index: 1, term: 1, time: 0, members: { voters, learners: [] }, state: 0 }
     await store.persist([{ type: 'persist', hard: { term: 1, vote: null }, entries: [], snapshot }])
@@ -30,7 +30,7 @@
     now: () => performance.now(),
     wall: Date.now,
     random: Math.random,
-    noteRole: (role, term) => { if (role === 'leader') console.log(`${store.id} leads term ${term}`) },
+    noteRole: (role, term) => { if (role === 'leader') console.log(`${store.id} is leader of term ${term}`) },
     noteViolation: (rule, detail) => console.error(rule, detail),
     noteApplied: () => {},
     noteDiskFault: error => console.error(error)
--- a/scripts/bench.sh
+++ b/scripts/bench.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# What the entry box adds to a request, and what one entry process carries.
-# Prints one JSON object for each run. Figures are of this machine, now.
+# Measures the latency that the entry box adds to a request, and the throughput of one entry process.
+# Prints one JSON object per run. The figures depend on the machine and its current load.
 set -eu
 cd "$(dirname "$0")/.."
 . scripts/processes.sh
@@ -15,7 +15,7 @@
 memory () { awk '/VmRSS/ { printf "%d", $2 / 1024 }' "/proc/$(cat "$WORK/entry-1.pid")/status"; }
 
 node dist/src/bin/load.js --name warm-up --url "$entry" --callers 50 --seconds 2 >/dev/null
-# Callers think between asks, or they would fall in step with the engines' batches.
+# Callers pause for a random time between requests; without it they synchronise with the engines' batches.
 load --name direct-50 --url "$engines" --callers 50 --tokens 30 --think 40
 load --name entry-50 --url "$entry" --callers 50 --tokens 30 --think 40
 load --name direct-50-again --url "$engines" --callers 50 --tokens 30 --think 40
--- a/scripts/capacity.sh
+++ b/scripts/capacity.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Measures slopes and writes the tables of docs/CAPACITY.md. Arguments go to the tool.
+# Measures how costs grow with size and writes the tables of docs/CAPACITY.md. With arguments, only runs the tool with them.
 set -eu
 cd "$(dirname "$0")/.."
 if [ $# -gt 0 ]; then exec node --expose-gc dist/src/bin/capacity.js "$@"; fi
@@ -24,7 +24,7 @@
 
 idle () { # ENGINES
   local before after
-  sleep 10 # the start itself is no part of it
+  sleep 10 # excludes the start from the measurement
   before=$(cpu); sleep 10; after=$(cpu)
   echo "{\"kind\":\"idle-engines\",\"x\":$1,\"y\":$(awk "BEGIN { print ($after - $before) / 10 }")}" >>"$samples"
 }
@@ -36,7 +36,7 @@
 done
 start_deployment $port 3 1 2 4 10 400
 sample requests requestsPerSecond --callers 5 --tokens 1 >/dev/null
-: "warm: the first sample is thrown away"; sed -i '/"requests"/d' "$samples"
+: "discards the first sample, a warm-up"; sed -i '/"requests"/d' "$samples"
 for callers in 4 8 16 32; do sample requests requestsPerSecond --callers "$callers" --tokens 1; done
 for callers in 10 20 40 80; do sample tokens tokensPerSecond --callers "$callers" --tokens 200; done
 for callers in 100 200 400 800; do
--- a/scripts/drill.sh
+++ b/scripts/drill.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Kills, freezes and restarts keepers, as real processes, while claims and changes go on; then
-# asks the service's own record whether anything ran twice. Prints what it found; exit 1 on a fault.
+# Kills, freezes and restarts keepers, as real processes, under claims and configuration changes; then
+# checks in the service's records that no request ran twice. Prints the result; exits with 1 on failure.
 set -eu
 cd "$(dirname "$0")/.."
 . scripts/processes.sh
@@ -41,7 +41,7 @@
 const runs = new Map()
 for (const call of served) runs.set(call.key, (runs.get(call.key) ?? 0) + 1)
 const twice = [...runs].filter(([, count]) => count > 1)
-console.log('calls that ran: ' + served.length + ', keys that ran twice: ' + twice.length)
+console.log('executed calls: ' + served.length + ', keys executed more than once: ' + twice.length)
 process.exit(twice.length === 0 && $after >= $before ? 0 : 1)"
 grep -h event=violation "$WORK"/*.log && exit 1
-echo "no violation in any log"
+echo "no violations in the logs"
--- a/scripts/in-force.sh
+++ b/scripts/in-force.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# How long an accepted change takes to be in force on every box: 3 keepers, 9 entry boxes, as real
-# processes; from the first keeper's log of the revision to the last box's. Prints one JSON object.
+# Measures how long an accepted change takes to be in force on every box: 3 keepers and 9 entry boxes, as
+# real processes; from the first keeper's log entry of the revision to the last box's. Prints one JSON object.
 set -eu
 cd "$(dirname "$0")/.."
 . scripts/processes.sh
@@ -15,14 +15,14 @@
 sleep 1
 cat "$WORK"/keeper-*.log "$WORK"/entry-*.log >"$WORK/all.log"
 node -e "
-const accepted = new Map(); const forced = new Map()
+const accepted = new Map(); const inForce = new Map()
 for (const line of require('fs').readFileSync('$WORK/all.log', 'utf8').split('\\n')) {
   const match = /hlc=(\\d+)\\.\\d+ .*event=(accepted|configuration) revision=(\\d+)/.exec(line)
   if (match === null) continue
   const [, ms, event, revision] = match
   if (event === 'accepted') accepted.set(revision, Math.min(accepted.get(revision) ?? Infinity, Number(ms)))
-  else forced.set(revision, [...forced.get(revision) ?? [], Number(ms)])
+  else inForce.set(revision, [...inForce.get(revision) ?? [], Number(ms)])
 }
-const times = [...accepted].filter(([revision]) => forced.get(revision)?.length === $boxes).map(([revision, ms]) => Math.max(...forced.get(revision)) - ms).sort((a, b) => a - b)
-const read = share => times[Math.min(times.length - 1, Math.floor(share * times.length))]
-console.log(JSON.stringify({ boxes: $boxes, revisions: accepted.size, everywhere: times.length, p50Ms: read(0.5), p99Ms: read(0.99), mostMs: times.at(-1) }))"
+const delays = [...accepted].filter(([revision]) => inForce.get(revision)?.length === $boxes).map(([revision, ms]) => Math.max(...inForce.get(revision)) - ms).sort((a, b) => a - b)
+const readPercentile = share => delays[Math.min(delays.length - 1, Math.floor(share * delays.length))]
+console.log(JSON.stringify({ boxes: $boxes, revisions: accepted.size, everywhere: delays.length, p50Ms: readPercentile(0.5), p99Ms: readPercentile(0.99), mostMs: delays.at(-1) }))"
--- a/scripts/processes.sh
+++ b/scripts/processes.sh
@@ -1,6 +1,6 @@
-# Starts the programs as plain processes in a temporary folder; source this file.
+# Functions that start the programs as processes in a temporary folder; to be sourced.
 # start_deployment PORT KEEPERS ENTRIES ENGINES_PER_STANDIN STANDINS [BASE_MS [BATCH]]
-# Every process writes its log to $WORK/NAME.log, and its id to $WORK/NAME.pid.
+# The log of each process is in $WORK/NAME.log, its process id in $WORK/NAME.pid.
 
 bin=${bin:-dist/src/bin}
 WORK=$(mktemp -d)
--- a/scripts/run-tests.js
+++ b/scripts/run-tests.js
@@ -1,7 +1,7 @@
 /**
- * Runs the tests. Those that KNOWN-RED.txt names (a line each: test | cause |
+ * Runs the tests. Tests listed in KNOWN-RED.txt (a line each: test | cause |
  * issue) may fail and are printed; any other failure fails the run, and so does
- * a list that is too long.
+ * a list with more than `maxKnown` entries.
  */
 import { existsSync, readFileSync, readdirSync } from 'node:fs'
 import { join } from 'node:path'
@@ -11,11 +11,11 @@
 const folder = 'dist/test'
 const sources = 'test'
 const listFile = 'KNOWN-RED.txt'
-/** Files that run beside each other. */
+/** Number of test files run in parallel. */
 const concurrency = 4
-/** Longest that a test may take, ms. */
+/** Timeout of a test, ms. */
 const timeout = 120_000
-const mostKnown = 3
+const maxKnown = 3
 
 function listKnown () {
   if (!existsSync(listFile)) return []
@@ -23,18 +23,18 @@
   return lines.map(line => line.split('|')[0].trim())
 }
 
-// What was compiled from a file that is gone by now stays in the folder: it is no test any more.
+// Skips compiled tests whose source was deleted, as the compiler leaves them in the output folder.
 function listFiles () {
   const isTest = name => name.endsWith('.test.js') && existsSync(join(sources, name.replace(/js$/, 'ts')))
   return readdirSync(folder).filter(isTest).sort().map(name => join(folder, name))
 }
 
 function report (known, failed) {
-  const others = failed.filter(name => !known.includes(name))
-  for (const name of known) console.log(`known red: ${name}: ${failed.includes(name) ? 'failed' : 'passed this time'}`)
-  for (const name of others) console.log(`failed: ${name}`)
-  if (known.length > mostKnown) console.log(`${listFile} names ${known.length} tests; ${mostKnown} at most`)
-  if (others.length > 0 || known.length > mostKnown) process.exitCode = 1
+  const unexpected = failed.filter(name => !known.includes(name))
+  for (const name of known) console.log(`known red: ${name}: ${failed.includes(name) ? 'failed' : 'passed in this run'}`)
+  for (const name of unexpected) console.log(`failed: ${name}`)
+  if (known.length > maxKnown) console.log(`${listFile} lists ${known.length} tests; the maximum is ${maxKnown}`)
+  if (unexpected.length > 0 || known.length > maxKnown) process.exitCode = 1
 }
 
 const failed = []
--- a/src/bin/capacity.ts
+++ b/src/bin/capacity.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Measures slopes, and writes them into docs/CAPACITY.md with what they come to. */
+/** Measures how costs grow with size (slopes), and writes them with the derived capacity tables into a Markdown page. */
 import { readFileSync, writeFileSync } from 'node:fs'
 import { cpus, totalmem } from 'node:os'
 import sade from 'sade'
@@ -16,7 +16,7 @@
   readonly commit: string
 }
 
-/** Every part with the sizes at which it is measured. */
+/** What can be measured, by name, with the default sizes. */
 const parts: Readonly<Record<string, { readonly sizes: readonly number[], readonly measure: (sizes: readonly number[]) => readonly Slope[] | Promise<readonly Slope[]> }>> = {
   decision: { sizes: [32, 65, 250, 1000, 2000], measure: sizes => [measureDecision(sizes)] },
   parting: { sizes: [1500, 3000, 6000, 12_000], measure: sizes => [measureParting(sizes)] },
@@ -33,19 +33,19 @@
 
 sade('capacity', true)
   .version(readVersion())
-  .describe('Measures slopes and works out the size to design for.')
+  .describe('Measures how costs grow with size and derives capacity tables.')
   .option('--part', `One or more of ${Object.keys(parts).join(', ')}, separated by commas; all by default`)
   .option('--sizes', 'Sizes to measure at, separated by commas, with one part')
-  .option('--entry', 'File of samples of an entry process, as scripts/capacity.sh writes it')
-  .option('--write', 'Markdown file whose tables are written anew')
-  .option('--commit', 'Commit that the tables name', 'unknown')
+  .option('--entry', 'File with samples of an entry process, as written by scripts/capacity.sh')
+  .option('--write', 'Markdown file whose tables are replaced')
+  .option('--commit', 'Commit named in the tables', 'unknown')
   .action((options: Options) => run(options))
   .parse(process.argv)
 
 async function run (options: Options): Promise<void> {
   const names = options.part === undefined ? Object.keys(parts) : String(options.part).split(',')
   for (const name of names) {
-    if (!Object.hasOwn(parts, name)) exitWithError(usageExitCode, `--part does not know ${JSON.stringify(name)}; it knows ${Object.keys(parts).join(', ')}`)
+    if (!Object.hasOwn(parts, name)) exitWithError(usageExitCode, `--part: unknown part ${JSON.stringify(name)}; expected ${Object.keys(parts).join(', ')}`)
   }
   const sizes = readSizes(options)
   const slopes = new Map<string, Slope>()
@@ -61,10 +61,10 @@
 
 function readSizes (options: Options): number[] | null {
   if (options.sizes === undefined) return null
-  if (options.part === undefined || options.part.includes(',')) exitWithError(usageExitCode, '--sizes goes with one --part')
+  if (options.part === undefined || options.part.includes(',')) exitWithError(usageExitCode, '--sizes requires exactly one --part')
   const sizes = String(options.sizes).split(',').map(Number)
   if (sizes.length < 2 || !sizes.every(size => Number.isInteger(size) && size > 0)) {
-    exitWithError(usageExitCode, `--sizes takes two or more whole numbers over 0, not ${String(options.sizes)}`)
+    exitWithError(usageExitCode, `--sizes must be two or more integers above 0, got ${String(options.sizes)}`)
   }
   return sizes
 }
@@ -106,6 +106,6 @@
   const [beginMarker, endMarker] = [`<!-- begin:${name} -->`, `<!-- end:${name} -->`]
   const beginIndex = text.indexOf(beginMarker)
   const endIndex = text.indexOf(endMarker)
-  if (beginIndex < 0 || endIndex < beginIndex) exitWithError(usageExitCode, `the page has no place for table ${name}`)
+  if (beginIndex < 0 || endIndex < beginIndex) exitWithError(usageExitCode, `the page has no markers <!-- begin:${name} --> and <!-- end:${name} --> for the table`)
   return `${text.slice(0, beginIndex + beginMarker.length)}\n\n${table}\n\n${text.slice(endIndex)}`
 }
--- a/src/bin/early-signals.ts
+++ b/src/bin/early-signals.ts
@@ -1,7 +1,7 @@
 /**
- * Takes the signal to read the settings again from the first moment on: without
- * a handler it would end a program that is still starting. Imported first by
- * programs that know the signal.
+ * Installs a SIGHUP handler before anything else is loaded: without one, a
+ * SIGHUP (reload the settings) would terminate a program that is still starting.
+ * Programs that reload on SIGHUP import this module first.
  */
 
 let hangupHandler: (() => void) | null = null
@@ -12,7 +12,7 @@
   else hangupHandler()
 })
 
-/** Hands the signal to `handler` from now on; one that came before is handed on at once. */
+/** Calls `handler` on each SIGHUP from now on, and immediately if one arrived earlier. */
 export function handleHangup (handler: () => void): void {
   hangupHandler = handler
   if (isPending) handler()
--- a/src/bin/entry.ts
+++ b/src/bin/entry.ts
@@ -1,12 +1,12 @@
 #!/usr/bin/env node
-/** `wrenlane-entry`: an entry box. */
+/** `wrenlane-entry`: runs an entry box, which receives requests and schedules them on engines. */
 import { entryFields } from '../config/index.js'
 import type { EntrySettings } from '../config/index.js'
 import { Metrics, openStandardLog } from '../runtime/index.js'
 import { EntryBox } from '../tasks/index.js'
 import { createProgram, handleSignals, readSecret, readSettings, runProgram } from './program.js'
 
-createProgram('wrenlane-entry <settings>', 'Serves callers; settings is a TOML file.')
+createProgram('wrenlane-entry <settings>', 'Runs an entry box that schedules requests on engines; <settings> is a TOML file.')
   .action((path: string) => runProgram(async () => {
     const settings = readSettings<EntrySettings>(path, entryFields)
     const log = openStandardLog(settings.id)
--- a/src/bin/load-run.ts
+++ b/src/bin/load-run.ts
@@ -4,7 +4,7 @@
 
 const microsecondsPerMs = 1000
 
-/** The options of a run, as the command line gives them. */
+/** Options of a run, as parsed from the command line. */
 export interface LoadOptions {
   readonly url: string
   readonly key: string
@@ -17,7 +17,7 @@
   readonly think: string | number
 }
 
-/** One run: asks, and keeps count of what comes back. */
+/** Sends the requests of one run and records outcomes and latencies. */
 export class LoadGenerator {
   #options: LoadOptions
   #urls: readonly string[]
@@ -37,7 +37,7 @@
     this.#body = JSON.stringify({ model: options.model, messages: [{ role: 'user', content: 'how many nights?' }], max_tokens: tokens, stream: true })
   }
 
-  /** Asks once and reads the whole answer. */
+  /** Sends one request to the next URL, round-robin; resolves after the response was read or failed. */
   sendRequest (): Promise<void> {
     this.#sentCount += 1
     const url = this.#urls[this.#sentCount % this.#urls.length]
@@ -103,7 +103,7 @@
   }
 }
 
-// Every event with text has this; the last one, which ends the answer, has not.
+// Every event with text contains this key; the final event does not.
 function countTokens (chunk: Buffer): number {
   let count = 0
   for (let at = chunk.indexOf('"content"'); at >= 0; at = chunk.indexOf('"content"', at + 9)) count += 1
--- a/src/bin/local-routes.ts
+++ b/src/bin/local-routes.ts
@@ -1,6 +1,6 @@
 /**
- * The part of `wrenlane-local` that routes by a document: one registry, one
- * gateway and two stand-in endpoints, in the product's own dialect.
+ * The part of `wrenlane-local` that routes by a routing document: one registry,
+ * one gateway and two stand-in endpoints, in the native dialect.
  */
 import { request as httpRequest } from 'node:http'
 import { join } from 'node:path'
@@ -10,7 +10,7 @@
 import { EventLog, Metrics } from '../runtime/index.js'
 import { StandinEndpoint } from '../standin/index.js'
 
-/** What runs, and how to end it. */
+/** Addresses of the running boxes; `stop` resolves with the number of requests that were aborted. */
 export interface LocalRoutes {
   readonly url: string
   readonly registry: string
@@ -21,9 +21,9 @@
 const zone = 'zone-a'
 const service = 'desk'
 const endpointHeaders = { requestId: 'x-wrenlane-request-id', expectedEndpoint: 'x-wrenlane-endpoint', notRun: 'x-wrenlane-not-run', mark: '', lastEvent: 'last-event-id' }
-/** How often the stand-ins say where they are, ms. */
+/** Interval at which the stand-ins are registered, ms. */
 const heartbeatIntervalMs = 1000
-/** The longest that the routes may take to be in force, ms. */
+/** Maximum time until the gateway is ready, ms. */
 const readyTimeoutMs = 10_000
 
 const document = {
@@ -35,7 +35,7 @@
   services: [{ name: service }]
 }
 
-/** Starts everything on ports from `port` on; resolves once the routes are in force. */
+/** Starts everything on ports from `port` on; resolves when the gateway is ready, or after `readyTimeoutMs`. */
 export async function startRoutes (port: number, data: string, writeLine: (line: string) => void): Promise<LocalRoutes> {
   const sharedSettings = { zone, host, linkPort: port + 1, loadPort: port + 4, seeds: [`${host}:${port + 2}`], secretFile: '', openLinks: true, metricsPort: 0, logLinesPerSecond: 200, statsd: null }
   const createContext = (id: string) => ({ dialect: nativeDialect, log: new EventLog(id, writeLine), metrics: new Metrics(null, id), secret: null })
@@ -74,7 +74,7 @@
   return setInterval(sendHeartbeats, heartbeatIntervalMs)
 }
 
-// A registry that isn't there yet is called again.
+// Errors are ignored, as callers repeat the request until the registry is up.
 function sendRequest (port: number, method: string, path: string, body: object): Promise<void> {
   return new Promise(resolve => {
     const request = httpRequest({ host, port, method, path, headers: { 'content-type': 'application/json' } }, answer => {
--- a/src/bin/local.ts
+++ b/src/bin/local.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `wrenlane-local`: the whole path in one process, with stand-ins behind it. */
+/** `wrenlane-local`: a complete deployment in one process, with stand-in engines and services. */
 import { mkdirSync, mkdtempSync, writeFileSync } from 'node:fs'
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
@@ -33,15 +33,15 @@
   .version(readVersion())
   .describe('Runs two entry boxes, three keepers, six stand-in engines and a plain service in one process.')
   .option('-p, --port', 'Port of the first entry box; others follow it', 8080)
-  .option('-d, --data', 'Folder of the keepers; a new temporary one by default')
-  .option('-c, --config', 'TOML file with workspaces, classes and the pool', sampleConfig)
-  .option('--quiet', 'Print only what people need')
+  .option('-d, --data', 'Data folder of the keepers; a new temporary folder by default')
+  .option('-c, --config', 'TOML file with workspaces, classes and the engine pool', sampleConfig)
+  .option('--quiet', 'Print only the ready line, no event logs')
   .action((options: Options) => runProgram(() => start(options)))
   .parse(process.argv)
 
 async function start (options: Options): Promise<void> {
   const port = Number(options.port)
-  if (!Number.isInteger(port) || port < 1 || port > 65_000) exitWithError(usageExitCode, `--port is a whole number from 1 to 65000, not ${String(options.port)}`)
+  if (!Number.isInteger(port) || port < 1 || port > 65_000) exitWithError(usageExitCode, `--port must be an integer from 1 to 65000, got ${String(options.port)}`)
   const intent = readUserFile(options.config)
   const data = options.data ?? mkdtempSync(join(tmpdir(), 'wrenlane-'))
   mkdirSync(data, { recursive: true })
@@ -108,7 +108,7 @@
       heartbeatMs: 100,
       electionMs: 600
     }
-    const noteFatal = (error: Error): void => exitWithError(failureExitCode, `the disk failed: ${error.message}`)
+    const noteFatal = (error: Error): void => exitWithError(failureExitCode, `disk failure: ${error.message}`)
     return new KeeperBox(settings, { log: new EventLog(id, writeLine), metrics: new Metrics(null, id), secret, noteFatal })
   })
   for (const box of boxes) await box.start()
@@ -138,7 +138,7 @@
   return engines
 }
 
-// The ports follow --port, so engines and services are added to the file's intent.
+// Engines and services are configured separately from the file, as their ports depend on --port.
 function composeEndpoints (port: number): string {
   const lines: string[] = []
   for (let i = 0; i < engineCount; i++) {
@@ -153,17 +153,17 @@
   for (const text of [intent, endpoints]) {
     const reply = await client.call({ type: 'plan', id: client.identify(text), intent: text })
     if (reply.type === 'mistakes') exitWithError(usageExitCode, reply.mistakes.join('\n'))
-    if (reply.type !== 'result' || reply.result.type !== 'planned') exitWithError(failureExitCode, `the configuration was not planned: ${JSON.stringify(reply)}`)
+    if (reply.type !== 'result' || reply.result.type !== 'planned') exitWithError(failureExitCode, `planning the configuration failed: ${JSON.stringify(reply)}`)
     const { plan, changes } = reply.result
     if (changes.length === 0) continue
     const id = client.identify(`confirm ${plan}`)
     const confirmReply = await client.call({ type: 'command', command: { part: 'config', command: { type: 'confirm', id, plan } } })
-    if (confirmReply.type !== 'result' || confirmReply.result.type !== 'accepted') exitWithError(failureExitCode, `the configuration was not accepted: ${JSON.stringify(confirmReply)}`)
+    if (confirmReply.type !== 'result' || confirmReply.result.type !== 'accepted') exitWithError(failureExitCode, `confirming the configuration failed: ${JSON.stringify(confirmReply)}`)
   }
   client.close()
 }
 
-// So that `wrenlane status --settings FILE` works beside it.
+// Writes the settings file for `wrenlane status --settings FILE` and other operator commands.
 function writeOperatorSettings (keepers: KeeperSettings['keepers'], data: string): string {
   const path = join(data, 'wrenlane.toml')
   const secretFile = join(data, 'secret')
@@ -176,7 +176,7 @@
 async function waitReady (entries: readonly EntryBox[]): Promise<void> {
   const deadline = Date.now() + readyTimeoutMs
   while (!entries.every(entry => entry.composeStatus().ready && entry.configuration.engines.size > 0)) {
-    if (Date.now() > deadline) exitWithError(failureExitCode, 'the entry boxes did not become ready')
+    if (Date.now() > deadline) exitWithError(failureExitCode, 'timeout: the entry boxes did not become ready')
     await new Promise(resolve => setTimeout(resolve, 20))
   }
 }
--- a/src/bin/losses.ts
+++ b/src/bin/losses.ts
@@ -1,34 +1,35 @@
 /**
- * Where service is lost, by kind of request, reason and moment, from the
- * gateways' `event=exchange` lines. Each exchange counts once, under the first
- * thing that went wrong with it, so that the reasons add up to the whole.
+ * Breaks missed service levels down by route, time and reason, from the
+ * `event=exchange` log lines of gateways. Each exchange counts once, under the
+ * first problem that applies, so that the reasons add up to all exchanges.
  */
 import { mergeEvents } from './timeline.js'
 import type { TimelineEvent } from './timeline.js'
 
 /**
- * How an exchange ended for its caller. `late`: the first event, or the whole
- * answer, came after the target; `pause`: a pause between events was too long;
- * `refused`: told that it did not run; `left`: the caller went first; `broken`: the
- * endpoint's answer broke off or failed; `silent`: nothing came in its time.
+ * Outcome of an exchange for its caller. `late`: the first event, or the complete
+ * response, came after the target; `pause`: a pause between events was too long;
+ * `refused`: rejected without being run; `left`: the caller disconnected;
+ * `broken`: the endpoint failed or its response was truncated; `silent`: the
+ * endpoint timed out.
  */
 export type LossReason = 'in-time' | 'late' | 'pause' | 'refused' | 'left' | 'broken' | 'silent'
 
-/** Every reason, in the order in which a table shows them. */
+/** All reasons, in the order of the table's columns. */
 export const lossReasons: readonly LossReason[] = ['in-time', 'late', 'pause', 'refused', 'left', 'broken', 'silent']
 
-/** Exchanges of one route that ended within one span of time, by reason. */
+/** Number of exchanges of one route that ended within one time interval, by reason. */
 export interface LossRow {
   readonly route: string
-  /** Start of the span, s after the first exchange's end. */
+  /** Start of the interval, s after the end of the first exchange. */
   readonly second: number
   readonly counts: Readonly<Record<LossReason, number>>
 }
 
-/** Outcomes that tell the caller that the request did not run. */
+/** Outcomes with which the caller knows that the request was not run. */
 const refusalOutcomes = new Set(['overloaded', 'no-engine', 'no-document', 'draining'])
 
-/** Sorts exchanges by route, span and reason; `spanS`: length of a span, s. */
+/** Counts exchanges by route, interval and reason. `intervalS` is the length of an interval, s. */
 export function countLosses (texts: readonly string[], intervalS: number): LossRow[] {
   const exchanges = mergeEvents(texts, null).filter(event => event.fields.get('event') === 'exchange')
   const startMs = exchanges.length === 0 ? 0 : readMs(exchanges[0])
@@ -44,7 +45,7 @@
   return [...rows.values()].sort((a, b) => a.route.localeCompare(b.route) || a.second - b.second)
 }
 
-/** Writes rows as a table; shares of each row's exchanges in 100. */
+/** Formats rows as a text table; each reason as a percentage of the row's exchanges. */
 export function formatLosses (rows: readonly LossRow[]): string {
   const headings = ['route', 'second', 'exchanges', ...lossReasons]
   const lines = rows.map(({ route, second, counts }) => {
--- a/src/bin/measure.ts
+++ b/src/bin/measure.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `npm run measure`: the decision core in virtual time beside naive policies. */
+/** `npm run measure`: compares the scheduler with baseline policies in a simulation with virtual time. */
 import sade from 'sade'
 import { findScenario, policies, runExperiment, scenarios, sharings, userProfiles } from '../measure/index.js'
 import type { Row } from '../measure/index.js'
@@ -19,18 +19,18 @@
 
 sade('measure', true)
   .version(readVersion())
-  .describe('Runs the decisions in virtual time. Lists are separated by commas; what is left out means all.')
-  .option('--json', 'One JSON object a row')
+  .describe('Runs the scheduler in virtual time. Lists are separated by commas; an omitted list means all.')
+  .option('--json', 'Print one JSON object per row')
   .option('--user', `One or more of ${userProfiles.map(user => user.name).join(', ')}`)
   .option('--scenario', `One or more of ${scenarios.map(one => one.name).join(', ')}, long-burst`)
-  .option('--policy', `One or more of ${[...Object.keys(policies), ...Object.keys(sharings)].join(', ')}; "sharing" for all ways of sharing`)
-  .option('--seed', 'Seeds, whole numbers', defaultSeeds.join(','))
+  .option('--policy', `One or more of ${[...Object.keys(policies), ...Object.keys(sharings)].join(', ')}; "sharing" for all sharing policies`)
+  .option('--seed', 'Seeds, non-negative integers', defaultSeeds.join(','))
   .action((options: Options) => measure(options))
   .parse(process.argv)
 
 function measure (options: Options): void {
   const seeds = String(options.seed).split(',').map(Number)
-  if (!seeds.every(seed => Number.isInteger(seed) && seed >= 0)) exitWithError(usageExitCode, `--seed takes whole numbers from 0, not ${String(options.seed)}`)
+  if (!seeds.every(seed => Number.isInteger(seed) && seed >= 0)) exitWithError(usageExitCode, `--seed must be integers of at least 0, got ${String(options.seed)}`)
   const knownPolicies = [...Object.keys(policies), ...Object.keys(sharings)]
   const selectedPolicies = options.policy === 'sharing' ? Object.keys(sharings) : splitList(options.policy) ?? Object.keys(policies)
   rejectUnknown('--policy', selectedPolicies, name => knownPolicies.includes(name))
@@ -50,7 +50,7 @@
 
 function rejectUnknown (option: string, names: readonly string[], isKnown: (name: string) => boolean): void {
   for (const name of names) {
-    if (!isKnown(name)) exitWithError(usageExitCode, `${option} does not know ${JSON.stringify(name)}; see --help`)
+    if (!isKnown(name)) exitWithError(usageExitCode, `${option}: unknown name ${JSON.stringify(name)}; see --help`)
   }
 }
 
--- a/src/bin/notice-report.ts
+++ b/src/bin/notice-report.ts
@@ -1,31 +1,31 @@
-/** What `wrenlane status --registry` shows: what endpoints say of themselves on their answers. */
+/** Output of `wrenlane status --registry`: rate limits, back-off and shutdown notices from response headers of endpoints. */
 import { request } from 'node:http'
 import type { Address } from '../config/index.js'
 import type { NoticeStatus } from '../protocol/index.js'
 import { OperatorError } from './operator-client.js'
 
-/** A registry that says nothing for so long is given up, ms. */
+/** Idle timeout of the request to the registry, ms. */
 const requestTimeoutMs = 2000
 
-/** Asks a registry. Throws an `OperatorError` where it can't be asked. */
+/** Queries a registry. Rejects with an `OperatorError` if the request fails. */
 export function readNotices ({ host, port }: Address): Promise<NoticeStatus[]> {
   return new Promise((resolve, reject) => {
     const fail = (reason: string): void => reject(new OperatorError(`the registry at ${host}:${port} ${reason}`))
     const call = request({ host, port, path: '/v1/notices', timeout: requestTimeoutMs }, response => {
       let text = ''
       response.on('data', (chunk: Buffer) => { text += chunk.toString() })
-      response.on('error', () => fail('broke off its answer'))
-      response.on('end', () => response.statusCode === 200 ? resolve(JSON.parse(text) as NoticeStatus[]) : fail(`answered ${response.statusCode}`))
+      response.on('error', () => fail('closed the connection before the end of its response'))
+      response.on('end', () => response.statusCode === 200 ? resolve(JSON.parse(text) as NoticeStatus[]) : fail(`answered with status ${response.statusCode}`))
     })
-    call.on('timeout', () => call.destroy(new Error('no answer in time')))
-    call.on('error', error => fail(`can't be asked: ${error.message}`))
+    call.on('timeout', () => call.destroy(new Error('request timed out')))
+    call.on('error', error => fail(`cannot be reached: ${error.message}`))
     call.end()
   })
 }
 
-/** The notices as lines for people. */
+/** Formats notices as human-readable lines. */
 export function formatNotices (notices: readonly NoticeStatus[]): string {
-  if (notices.length === 0) return 'no endpoint names a limit, asks boxes to back off or says on its answers that it leaves'
+  if (notices.length === 0) return 'no endpoint has announced a rate limit, back-off or shutdown'
   return notices.map(formatNotice).join('\n')
 }
 
@@ -36,5 +36,5 @@
     backedOff === 0 ? '' : `asked ${backedOff} ${backedOff === 1 ? 'box' : 'boxes'} to back off`
   ].filter(word => word !== '')
   const age = ageMs === null ? '' : `  known for ${(ageMs / 1000).toFixed(1)} s, told by ${from ?? 'an answer'}`
-  return `${endpoint}  service ${service}  ${parts.length === 0 ? 'no limit any more' : parts.join(', ')}${age}`
+  return `${endpoint}  service ${service}  ${parts.length === 0 ? 'limit lifted' : parts.join(', ')}${age}`
 }
--- a/src/bin/operator-client.ts
+++ b/src/bin/operator-client.ts
@@ -1,4 +1,4 @@
-/** An operator's shell as a peer of the boxes. */
+/** Client of the operator commands: calls keepers over the links that boxes use. */
 import { createHash, randomUUID } from 'node:crypto'
 import { performance } from 'node:perf_hooks'
 import type { Address, KeeperAddress } from '../config/index.js'
@@ -13,7 +13,7 @@
 const directCallTimeoutMs = 1500
 const connectPollMs = 10
 
-/** How a call failed, for people. */
+/** A failed call, with a message for the operator. */
 export class OperatorError extends Error {}
 
 export class OperatorClient {
@@ -39,23 +39,23 @@
     this.#client = new KeeperClient(keepers, this.#links, () => performance.now())
   }
 
-  /** A command's identity: the same number with the same body may be sent again safely. */
+  /** Creates the id of a command. Resending the same body under the same number is idempotent; without a number, a random one is used. */
   identify (body: string, number?: string): CommandId {
     const digest = createHash('sha256').update(body).digest('base64url')
     return { operator: this.operator, number: number ?? randomUUID(), digest }
   }
 
-  /** Calls the leading keeper. Throws an `OperatorError` where none answers. */
+  /** Calls the leader of the keepers. Rejects with an `OperatorError` if none answers. */
   async call (body: KeeperCall): Promise<KeeperReply> {
     const outcome = await this.#client.call(body, body.type === 'repair' ? repairTimeoutMs : callTimeoutMs)
     switch (outcome.type) {
       case 'reply': return outcome.reply
-      case 'unsent': throw new OperatorError('no keeper can be reached; nothing was changed')
-      case 'unanswered': throw new OperatorError('no quorum of keepers answered; whether the command took effect is not known. Send it again with the same --number to find out')
+      case 'unsent': throw new OperatorError('no keeper is reachable; nothing was changed')
+      case 'unanswered': throw new OperatorError('timeout: no quorum of keepers answered, so the command may or may not have been applied. Resend it with the same --number to find out')
     }
   }
 
-  /** Asks one keeper, whether it leads or not; null where it can't be reached. */
+  /** Calls one keeper, leader or not; resolves with null if it is unreachable or does not answer in time. */
   async ask (keeper: KeeperAddress, body: KeeperCall): Promise<KeeperReply | null> {
     if (!await this.#connect(keeper)) return null
     return await new Promise(resolve => {
--- a/src/bin/pages.ts
+++ b/src/bin/pages.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Writes docs/ERRORS.md and docs/CONFIG.md from the tables in the code. */
+/** Generates the reference pages on errors and settings in docs/ from the tables in the code. */
 import { writeFileSync } from 'node:fs'
 import { composePages } from '../report/index.js'
 
--- a/src/bin/program.ts
+++ b/src/bin/program.ts
@@ -1,35 +1,34 @@
-/** What the programs share: arguments, settings files, signals, exit codes. */
+/** Shared by all programs: arguments, settings files, signals, exit codes. */
 import { readFileSync } from 'node:fs'
 import sade from 'sade'
 import type { Sade } from 'sade'
 import { formatMistake, parseToml } from '../config/index.js'
 import type { FieldTable } from '../config/index.js'
 
-/** Exit code for what the caller of the program got wrong. */
+/** Exit code for invalid arguments or input files. */
 export const usageExitCode = 2
-/** Exit code for what went wrong in running. */
+/** Exit code for failures at run time. */
 export const failureExitCode = 1
 
 const minSecretLength = 16
 
-/** The version in package.json. */
 export function readVersion (): string {
   const url = new URL('../../../package.json', import.meta.url)
   return (JSON.parse(readFileSync(url, 'utf8')) as { version: string }).version
 }
 
-/** A program of one command that takes a settings file. */
+/** Creates a program with a single command and no subcommands. */
 export function createProgram (name: string, about: string): Sade {
   return sade(name, true).version(readVersion()).describe(about)
 }
 
-/** Ends with one line of error. */
+/** Prints one line to stderr and exits with `code`. */
 export function exitWithError (code: number, text: string): never {
   process.stderr.write(`error: ${text}\n`)
   process.exit(code)
 }
 
-/** Reads a file that the user named. */
+/** Reads a file given by the user; exits with an error message if it cannot be read. */
 export function readUserFile (path: string): string {
   try {
     return readFileSync(path, 'utf8')
@@ -38,38 +37,38 @@
   }
 }
 
-/** Reads a settings file; prints every mistake and ends where there are any. */
+/** Reads a settings file; if it is invalid, prints every error and exits. */
 export function readSettings<T> (path: string, fields: FieldTable): T {
   const parsed = parseToml(readUserFile(path), fields)
   if (parsed.ok) return parsed.value as T
   for (const mistake of parsed.mistakes) process.stderr.write(`${formatMistake(path, mistake)}\n`)
-  return exitWithError(usageExitCode, `${path}: ${parsed.mistakes.length} mistake${parsed.mistakes.length === 1 ? '' : 's'}`)
+  return exitWithError(usageExitCode, `${path}: ${parsed.mistakes.length} error${parsed.mistakes.length === 1 ? '' : 's'}`)
 }
 
-/** Reads the shared secret. */
+/** Reads the shared secret, without surrounding white space; exits if it is too short. */
 export function readSecret (path: string): string {
   const secret = readUserFile(path).trim()
-  if (secret.length < minSecretLength) exitWithError(usageExitCode, `${path}: a secret is at least ${minSecretLength} characters long`)
+  if (secret.length < minSecretLength) exitWithError(usageExitCode, `${path}: the secret must have at least ${minSecretLength} characters`)
   return secret
 }
 
-/** Runs `start`; a port in use and the like are told in one line. */
+/** Runs `start`; an error, such as a port in use, is printed as one line without a stack trace. */
 export async function runProgram (start: () => Promise<void>): Promise<void> {
   try {
     await start()
   } catch (error) {
     const { code, port, message } = error as NodeJS.ErrnoException & { port?: number }
-    if (code === 'EADDRINUSE') exitWithError(usageExitCode, `port ${port ?? ''} is in use`)
+    if (code === 'EADDRINUSE') exitWithError(usageExitCode, `port ${port ?? ''} is already in use`)
     if (code === 'EACCES') exitWithError(usageExitCode, message)
     exitWithError(failureExitCode, message)
   }
 }
 
-/** Calls `stop` at the first signal to end, and ends at once at the second. */
+/** On the first SIGTERM or SIGINT calls `stop` and exits with its code; exits immediately on the second. */
 export function handleSignals (stop: () => Promise<number>, countInFlight: () => number): void {
   let isStopping = false
   const handleSignal = (): void => {
-    if (isStopping) exitWithError(failureExitCode, `stopped at once; ${countInFlight()} requests in flight were cut`)
+    if (isStopping) exitWithError(failureExitCode, `stopped immediately; ${countInFlight()} requests in flight were aborted`)
     isStopping = true
     stop().then(code => process.exit(code), (error: Error) => exitWithError(failureExitCode, error.message))
   }
--- a/src/bin/report.ts
+++ b/src/bin/report.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `npm run measure:report`: writes docs/MEASURED.md and its plots from measured rows. */
+/** `npm run measure:report`: generates a Markdown page and its plots from measured rows. */
 import { mkdirSync, readFileSync, writeFileSync } from 'node:fs'
 import { dirname, join } from 'node:path'
 import sade from 'sade'
@@ -16,18 +16,18 @@
 
 sade('report <rows>', true)
   .version(readVersion())
-  .describe('Writes a page of tables and plots from files of rows, one JSON object a line.')
-  .option('--page', 'Markdown file; what follows its marker is written anew', 'docs/MEASURED.md')
+  .describe('Generates a page of tables and plots from files with one JSON row per line.')
+  .option('--page', 'Markdown file; everything after its marker is replaced', 'docs/MEASURED.md')
   .action((first: string, options: Options) => writeReport([first, ...options._], options.page))
   .parse(process.argv)
 
 function writeReport (paths: readonly string[], page: string): void {
   const rows = paths.flatMap(readRows)
-  if (rows.length === 0) exitWithError(usageExitCode, 'the files hold no rows')
+  if (rows.length === 0) exitWithError(usageExitCode, 'the input files contain no rows')
   const report = composeReport(rows)
   const text = readFileSync(page, 'utf8')
   const markerIndex = text.indexOf(marker)
-  if (markerIndex < 0) exitWithError(usageExitCode, `${page} has no line ${marker}`)
+  if (markerIndex < 0) exitWithError(usageExitCode, `${page} lacks the marker ${marker}`)
   writeFileSync(page, `${text.slice(0, markerIndex + marker.length)}\n\n${report.page}`)
   const folder = join(dirname(page), 'measured')
   mkdirSync(folder, { recursive: true })
@@ -39,7 +39,7 @@
     try {
       return JSON.parse(line) as Row
     } catch {
-      return exitWithError(usageExitCode, `${path}:${i + 1}: not a JSON row`)
+      return exitWithError(usageExitCode, `${path}:${i + 1}: line is not valid JSON`)
     }
   })
 }
--- a/src/bin/route-program.ts
+++ b/src/bin/route-program.ts
@@ -1,4 +1,4 @@
-/** What gateways and registries share as programs: settings that change while they run, logs, metrics, signals. */
+/** Start-up code of gateways and registries: settings that are reloaded at run time, logs, metrics, signals. */
 import { handleHangup } from './early-signals.js'
 import { unwatchFile, watchFile } from 'node:fs'
 import { parseToml, formatMistake, gatewayFields, registryFields } from '../config/index.js'
@@ -10,7 +10,7 @@
 import type { EventLog } from '../runtime/index.js'
 import { exitWithError, handleSignals, readUserFile, readSecret, readSettings, runProgram, usageExitCode } from './program.js'
 
-/** How often the settings file is looked at: it may change without a signal, ms. */
+/** Interval at which the settings file is polled, as it may change without a SIGHUP, ms. */
 const settingsPollMs = 1000
 
 interface ProgramContext<Settings> {
@@ -21,7 +21,7 @@
   readonly flush: () => void
 }
 
-/** Runs a gateway that speaks `dialect` with the settings at `path`. */
+/** Runs a gateway with the given dialect and settings file until a signal stops it. */
 export function runGateway (dialect: Dialect, path: string): void {
   void runProgram(async () => {
     const program = await openProgram<GatewaySettings>(path, gatewayFields)
@@ -36,7 +36,7 @@
   })
 }
 
-/** Runs a registry that speaks `dialect` with the settings at `path`. */
+/** Runs a registry with the given dialect and settings file until a signal stops it. */
 export function runRegistry (dialect: Dialect, path: string): void {
   void runProgram(async () => {
     const program = await openProgram<RegistrySettings>(path, registryFields)
@@ -57,7 +57,7 @@
   const metrics = new Metrics(settings.statsd, settings.id)
   if (settings.metricsPort !== 0) await new MetricsDoor(metrics).listen(settings.host, settings.metricsPort)
   const secret = settings.secretFile === '' ? null : readSecret(settings.secretFile)
-  if (secret === null && !settings.openLinks) exitWithError(usageExitCode, 'links need a secretFile, or openLinks = true where nobody else can reach the network')
+  if (secret === null && !settings.openLinks) exitWithError(usageExitCode, 'links require a secretFile; set openLinks = true only on a network that no one else can reach')
   return { settings, log, metrics, secret, flush: () => sink.flush() }
 }
 
--- a/src/bin/soak.ts
+++ b/src/bin/soak.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `npm run soak`: random histories for as long as is asked, with every invariant checked. */
+/** `npm run soak`: runs randomised histories for a given time and checks every invariant. */
 import { mkdirSync, writeFileSync } from 'node:fs'
 import { join } from 'node:path'
 import { performance } from 'node:perf_hooks'
@@ -21,52 +21,52 @@
   readonly notices?: boolean
 }
 
-/** What is asked of any history: the promises that it found broken. */
+/** Result of a history: the violated invariants. */
 interface HistoryResult {
   readonly violations: readonly string[]
 }
 
-/** One history of each part, by seed. */
+/** Runs one history of a part with a seed. */
 const parts: Readonly<Record<string, (seed: number, options: Options) => HistoryResult | Promise<HistoryResult>>> = {
   coordination: (seed, { steps }) => new RaftHistory(seed, seed % 3 === 0 ? 5 : 3).run(Number(steps)),
   decisions: (seed, { steps }) => new SchedulerHistory(seed, 1 + seed % 6).run(Number(steps)),
   processes: runProcesses
 }
-/** Parts that `all` runs: processes are asked for by name, as they need many ports and some memory. */
+/** Parts included in `all`. `processes` must be named explicitly, as it needs many ports and more memory. */
 const defaultParts = ['coordination', 'decisions']
-/** A step of a history over processes is a tenth of a second of faults, ms. */
+/** Duration of one step in histories of `processes`, ms. */
 const stepMs = 100
 
 sade('soak', true)
   .version(readVersion())
-  .describe('Runs random histories and checks every invariant. A seed that fails replays the same with --seconds 0.')
+  .describe('Runs randomised histories and checks every invariant. To replay a failing seed, use --seconds 0.')
   .option('--part', `One of ${Object.keys(parts).join(', ')}, or all (${defaultParts.join(' and ')})`, 'all')
-  .option('--seconds', 'How long; 0 runs the one seed', 10)
+  .option('--seconds', 'Duration; 0 runs only the first seed', 10)
   .option('--seed', 'First seed', 1)
-  .option('--steps', 'Random steps of each history; of processes, tenths of a second', 1500)
-  .option('--gateways', 'Gateways, of processes', 3)
-  .option('--registries', 'Registries, of processes', 3)
-  .option('--engines', 'Engines, of processes, with bursts of requests of several ranks before them; 0 for none', 0)
-  .option('--endpoints', 'Endpoints of a plain service, of processes', 4)
-  .option('--crashers', 'Requests that end each endpoint which runs them and come again and again, of processes; 0 for none', 0)
-  .option('--notices', 'Endpoints name limits on their answers, ask to back off, and say that they leave, of processes')
+  .option('--steps', 'Random steps per history; with processes, tenths of a second', 1500)
+  .option('--gateways', 'Number of gateways, with processes', 3)
+  .option('--registries', 'Number of registries, with processes', 3)
+  .option('--engines', 'Number of engines, with processes; they get bursts of requests with different priorities; 0 for none', 0)
+  .option('--endpoints', 'Number of endpoints of a plain service, with processes', 4)
+  .option('--crashers', 'Number of requests that crash every endpoint which runs them and are sent repeatedly, with processes; 0 for none', 0)
+  .option('--notices', 'Endpoints announce rate limits, back-off and shutdown in response headers, with processes')
   .action((options: Options) => run(options))
   .parse(process.argv)
 
-// Ends the program where the options make no sense.
+// Exits with an error if the options are invalid.
 async function run (options: Options): Promise<void> {
   const [seconds, firstSeed, steps] = [options.seconds, options.seed, options.steps].map(Number)
-  if (!(seconds >= 0) || !Number.isInteger(firstSeed) || !(steps > 0)) exitWithError(usageExitCode, '--seconds, --seed and --steps take numbers from 0')
-  if (![options.gateways, options.registries, options.endpoints].every(count => Number.isInteger(Number(count)) && Number(count) > 0)) exitWithError(usageExitCode, '--gateways, --registries and --endpoints take whole numbers from 1')
-  if (![options.engines, options.crashers].every(count => Number.isInteger(Number(count)) && Number(count) >= 0)) exitWithError(usageExitCode, '--engines and --crashers take whole numbers from 0')
+  if (!(seconds >= 0) || !Number.isInteger(firstSeed) || !(steps > 0)) exitWithError(usageExitCode, '--seconds must be at least 0, --seed an integer and --steps above 0')
+  if (![options.gateways, options.registries, options.endpoints].every(count => Number.isInteger(Number(count)) && Number(count) > 0)) exitWithError(usageExitCode, '--gateways, --registries and --endpoints must be integers of at least 1')
+  if (![options.engines, options.crashers].every(count => Number.isInteger(Number(count)) && Number(count) >= 0)) exitWithError(usageExitCode, '--engines and --crashers must be integers of at least 0')
   const names = options.part === 'all' ? defaultParts : [options.part]
   for (const name of names) {
-    if (!Object.hasOwn(parts, name)) exitWithError(usageExitCode, `--part does not know ${JSON.stringify(name)}; it knows ${Object.keys(parts).join(', ')}, all`)
+    if (!Object.hasOwn(parts, name)) exitWithError(usageExitCode, `--part: unknown part ${JSON.stringify(name)}; expected ${Object.keys(parts).join(', ')}, all`)
   }
   for (const name of names) await runPart(name, seconds / names.length, firstSeed, options)
 }
 
-// Runs histories of one part, from the first seed on, until the time is over or one fails.
+// Runs histories of one part with consecutive seeds until the time is over; exits at the first violation.
 async function runPart (name: string, seconds: number, firstSeed: number, options: Options): Promise<void> {
   const deadline = performance.now() + seconds * 1000
   let seed = firstSeed
@@ -84,7 +84,7 @@
 async function runProcesses (seed: number, options: Options): Promise<HistoryResult> {
   const deployment = { gateways: Number(options.gateways), registries: Number(options.registries), endpoints: Number(options.endpoints), engines: Number(options.engines), crashers: Number(options.crashers), notices: options.notices === true }
   const history = new SoakHistory(seed, Number(options.steps) * stepMs, deployment)
-  // Whoever ends the soak ends what it started.
+  // A signal stops the child processes before the soak exits.
   const stopAndExit = (): void => { void history.stop().then(() => process.exit(failureExitCode)) }
   process.once('SIGTERM', stopAndExit).once('SIGINT', stopAndExit)
   const { violations, calls, served, faults, ranked, crashes, logs } = await history.run()
@@ -94,7 +94,7 @@
   return { violations }
 }
 
-// The logs of a history that failed, for whoever traces it.
+// Saves the logs of a failed history for diagnosis.
 function saveLogs (seed: number, logs: ReadonlyMap<string, readonly string[]>): void {
   const folder = join('data', `soak-${seed}`)
   mkdirSync(folder, { recursive: true })
--- a/src/bin/standin.ts
+++ b/src/bin/standin.ts
@@ -1,12 +1,12 @@
 #!/usr/bin/env node
-/** `wrenlane-standin`: stand-in engines and services, for tests and measurements. */
+/** `wrenlane-standin`: simulated engines and services, for tests and measurements. */
 import { standinFields } from '../config/index.js'
 import type { StandinSettings } from '../config/index.js'
 import { openStandardLog } from '../runtime/index.js'
 import { StandinEngine, StandinService } from '../standin/index.js'
 import { createProgram, handleSignals, readSettings, runProgram } from './program.js'
 
-createProgram('wrenlane-standin <settings>', 'Stands in for engines and plain services; settings is a TOML file.')
+createProgram('wrenlane-standin <settings>', 'Simulates engines and plain services; <settings> is a TOML file.')
   .action((path: string) => runProgram(async () => {
     const settings = readSettings<StandinSettings>(path, standinFields)
     const log = openStandardLog('standin')
--- a/src/bin/start.ts
+++ b/src/bin/start.ts
@@ -1,13 +1,13 @@
 /**
- * Runs a bundled program from code that was compiled before. Reading and
- * compiling a bundle takes a small box longer than all else that it does before
- * it serves, and boxes that lost power start all at once.
+ * Runs a bundled program with a V8 code cache. On a small box, reading and
+ * compiling the bundle takes longer than the rest of the start, and after a
+ * power failure all boxes start at the same time.
  *
  *     start PROGRAM [ARGUMENTS]
  *     start --compile MS PROGRAM [ARGUMENTS]
  *
- * The second form runs the program for so many ms, then writes what the engine
- * compiled meanwhile beside it and ends: what a start needs is in it, and no more.
+ * The second form runs the program for MS milliseconds, then writes the code
+ * cache next to it and exits. The cache thus holds the functions that a start needs.
  */
 import { readFileSync, writeFileSync } from 'node:fs'
 import { createRequire } from 'node:module'
@@ -16,14 +16,14 @@
 
 const usageExitCode = 2
 
-/** A CommonJS module as a function of what it may name. */
+/** The wrapper function of a CommonJS module. */
 type ModuleFunction = (exports: object, require: NodeJS.Require, module: object, file: string, folder: string) => void
 
 function readCodeCache (path: string): Buffer | undefined {
   try {
     return readFileSync(path)
   } catch {
-    process.stderr.write(`${path} can't be read: the program is compiled anew\n`)
+    process.stderr.write(`cannot read code cache ${path}: compiling the program from source\n`)
     return undefined
   }
 }
@@ -31,7 +31,7 @@
 function loadScript (file: string, cachedData: Buffer | undefined): Script {
   const code = readFileSync(file, 'utf8')
   const script = new Script(`(function (exports, require, module, __filename, __dirname) { ${code}\n})`, { filename: file, cachedData })
-  if (script.cachedDataRejected === true) process.stderr.write(`${file}: its compiled code is of another version: it is compiled anew\n`)
+  if (script.cachedDataRejected === true) process.stderr.write(`${file}: code cache rejected, from another version or damaged: compiling from source\n`)
   return script
 }
 
--- a/src/bin/status-report.ts
+++ b/src/bin/status-report.ts
@@ -1,18 +1,18 @@
-/** What `wrenlane status` shows, from what the keepers say. */
+/** Output of `wrenlane status`, composed from the statuses of the keepers. */
 import type { BoxStatus, KeeperStatus } from '../protocol/index.js'
 
-/** The state of a deployment. */
+/** State of a deployment. */
 export interface StatusReport {
   readonly revision: number
   readonly inForceEverywhere: boolean
   readonly leader: string | null
-  /** Keepers that can still be lost; -1 where there is no quorum. */
+  /** Number of keepers that may still fail without losing the quorum; -1 if there is none. */
   readonly spareKeepers: number
   readonly keepers: readonly (KeeperStatus | { readonly id: string, readonly role: 'unreachable' })[]
   readonly boxes: readonly BoxStatus[]
 }
 
-/** Puts the words of all keepers together; the leader's counts most. */
+/** Merges keeper statuses, given in the order of `names` and null if unreachable. For each box, the most recently sent status wins. */
 export function composeReport (names: readonly string[], statuses: readonly (KeeperStatus | null)[]): StatusReport {
   const received = statuses.filter(status => status !== null)
   const leader = received.find(status => status.role === 'leader')
@@ -36,17 +36,17 @@
   }
 }
 
-/** The report as lines for people. */
+/** Formats the report as human-readable lines. */
 export function formatReport (report: StatusReport): string {
   const lines = [
-    `revision ${report.revision}, ${report.inForceEverywhere ? 'in force on every box heard from' : 'not yet in force everywhere'}`,
+    `revision ${report.revision}, ${report.inForceEverywhere ? 'in force on all reporting boxes' : 'not yet in force on all reporting boxes'}`,
     `keepers: leader ${report.leader ?? 'none'}, ${formatSpare(report.spareKeepers)}`
   ]
   for (const keeper of report.keepers) {
     if (keeper.role === 'unreachable') lines.push(`  ${keeper.id}  unreachable`)
-    else if ('term' in keeper) lines.push(`  ${keeper.id}  ${keeper.role}  term ${keeper.term}  commit ${keeper.commit}  revision ${keeper.revision}  claims ${keeper.claims}${keeper.waiting.length > 0 ? `  waiting to be let in: ${keeper.waiting.join(', ')}` : ''}`)
+    else if ('term' in keeper) lines.push(`  ${keeper.id}  ${keeper.role}  term ${keeper.term}  commit ${keeper.commit}  revision ${keeper.revision}  claims ${keeper.claims}${keeper.waiting.length > 0 ? `  waiting to join: ${keeper.waiting.join(', ')}` : ''}`)
   }
-  lines.push('boxes (each as it said within the last seconds):')
+  lines.push('boxes (as reported within the last few seconds):')
   for (const box of report.boxes) {
     const queues = Object.entries(box.queues).filter(([, size]) => size > 0).map(([name, size]) => `${name}=${size}`).join(' ')
     lines.push(`  ${box.id}  zone ${box.zone}  revision ${box.revision}  ${box.leaving ? 'leaving' : box.ready ? 'ready' : 'not ready'}  in flight ${box.inFlight}  violations ${box.violations}  queues ${queues === '' ? 'empty' : queues}`)
@@ -59,7 +59,7 @@
 }
 
 function formatSpare (spare: number): string {
-  if (spare < 0) return 'no quorum: nothing can be accepted'
-  if (spare === 0) return 'redundancy lost: one more loss stops changes and claims'
-  return `${spare} can be lost`
+  if (spare < 0) return 'no quorum: changes and claims are not accepted'
+  if (spare === 0) return 'no redundancy: one more failure stops changes and claims'
+  return `${spare} may fail`
 }
--- a/src/bin/timeline.ts
+++ b/src/bin/timeline.ts
@@ -1,6 +1,6 @@
-/** Merges the event logs of all processes into one order. */
+/** Merges the event logs of several processes, ordered by hybrid logical time. */
 
-/** One event's line, read. */
+/** A parsed log line of an event. */
 export interface TimelineEvent {
   readonly hlc: string
   readonly fields: ReadonlyMap<string, string>
@@ -9,7 +9,7 @@
 
 const fieldPattern = /([A-Za-z0-9_.-]+)=("(?:[^"\\]|\\.)*"|\S*)/g
 
-/** Reads a line of key=value pairs; null where it is no event. */
+/** Parses a line of key=value pairs; null if it is not an event. */
 export function parseEvent (line: string): TimelineEvent | null {
   const fields = new Map<string, string>()
   for (const [, key, value] of line.matchAll(fieldPattern)) {
@@ -19,7 +19,7 @@
   return hlc === undefined ? null : { hlc, fields, line }
 }
 
-/** All events in the order of their hybrid logical times, those of one request alone if asked. */
+/** Merges events in the order of their hybrid logical times; if `request` is not null, only those of that request. */
 export function mergeEvents (texts: readonly string[], request: string | null): TimelineEvent[] {
   const events: TimelineEvent[] = []
   for (const text of texts) {
@@ -36,14 +36,14 @@
   return event.fields.get('request') === request || event.fields.get('to') === request
 }
 
-/** Time before a request's end in which changes of what was believed may explain it, ms. */
+/** How long before the end of a request a routing change may explain its outcome, ms. */
 const causeWindowMs = 15_000
-/** Events that change what a box believes of the endpoints, or routes by. */
+/** Events that change the endpoint states or routes that a box uses. */
 const routingStateEvents = new Set(['endpoint', 'endpoint-reached', 'routes-in-force', 'registry-lost', 'registry-met', 'hub-chosen', 'hubs-silent'])
 
 /**
- * The way from a request to its cause: its own lines, and before them what its
- * box came to believe of the endpoints that it was sent to and of the others.
+ * Collects the events that explain a request's outcome: its own, and the preceding
+ * routing changes on its box that concern the endpoints it was sent to, or all endpoints.
  */
 export function explainRequest (texts: readonly string[], request: string): TimelineEvent[] {
   const requestEvents = mergeEvents(texts, request)
--- a/src/bin/wrenlane.ts
+++ b/src/bin/wrenlane.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `wrenlane`: the operator's shell. */
+/** `wrenlane`: the command-line tool for operators. */
 import { createHash, randomBytes } from 'node:crypto'
 import { userInfo } from 'node:os'
 import sade from 'sade'
@@ -39,8 +39,8 @@
   keepers: {
     type: 'list',
     least: 1,
-    about: 'The keepers.',
-    of: { type: 'table', about: 'A keeper.', fields: { id: describeName('Name of the keeper.'), host: describeHost('IP number.'), port: describePort('Port.') } }
+    about: 'Addresses of the keepers.',
+    of: { type: 'table', about: 'A keeper.', fields: { id: describeName('Name of the keeper.'), host: describeHost('IP address.'), port: describePort('Port.') } }
   },
   secretFile: describeText('File with the secret that boxes and operators share.')
 }
@@ -54,41 +54,41 @@
 ]
 
 const program = sade('wrenlane').version(readVersion())
-  .option('-s, --settings', 'TOML file that names the keepers and the secret', 'wrenlane.toml')
-  .option('--json', 'Answer in JSON')
+  .option('-s, --settings', 'TOML file with the addresses of the keepers and the path of the secret', 'wrenlane.toml')
+  .option('--json', 'Print JSON')
 
-program.command('check <file>', 'Check a settings file or an intent; shows every mistake')
+program.command('check <file>', 'Validate a settings file or an intent (the desired configuration); prints every error')
   .action((path: string) => checkFile(path))
 
-program.command('plan', 'Answer an intent with a plan of what would change')
+program.command('plan', 'Plan the changes that an intent (the desired configuration) requires')
   .option('-f, --file', 'TOML file with the intent')
   .option('--number', 'Number of this command, to resend it safely')
   .action((options: Options) => runWithClient(options, client => plan(client, options)))
 
-program.command('confirm <plan>', 'Put a plan in force')
+program.command('confirm <plan>', 'Apply a plan')
   .option('--number', 'Number of this command, to resend it safely')
   .action((number: string, options: Options) => runWithClient(options, client => confirm(client, number, options)))
 
 program.command('status', 'Show boxes, zones, revisions in force, engines and queues')
-  .option('--registry', 'HOST:PORT of a registry: show its endpoints\' limits, back-off and words of leaving instead')
+  .option('--registry', 'HOST:PORT of a registry: show rate limits, back-off and shutdown announced by its endpoints instead')
   .action((options: Options) => options.registry === undefined ? runWithClient(options, client => showStatus(client, options)) : showNotices(options.registry, options))
 
-program.command('drain <engine>', 'Give an engine no new work from now on, through a plan that is confirmed at once')
-  .option('--undo', 'Give it work again')
+program.command('drain <engine>', 'Stop sending new requests to an engine; plans and confirms the change immediately')
+  .option('--undo', 'Send it requests again')
   .action((engine: string, options: Options) => runWithClient(options, client => drain(client, engine, options)))
 
-program.command('repair <keeper>', 'Let a keeper with another disk take the place of its old replica')
+program.command('repair <keeper>', 'Replace the replica of a keeper whose disk was lost or exchanged')
   .action((keeper: string, options: Options) => runWithClient(options, client => repair(client, keeper, options)))
 
-program.command('timeline <file>', 'Merge event logs into one order')
-  .option('--request', 'Follow one request')
+program.command('timeline <file>', 'Merge event logs in the order of time')
+  .option('--request', 'Show one request and the routing changes that may explain its outcome')
   .action((path: string, options: Options & { _: string[] }) => showTimeline([path, ...options._], options))
 
-program.command('losses <file>', 'Say where service is lost, by route, moment and reason, from logs of gateways')
-  .option('--seconds', 'Length of a span of time', 5)
+program.command('losses <file>', 'Count missed service levels by route, time and reason, from logs of gateways')
+  .option('--seconds', 'Length of an interval', 5)
   .action((path: string, options: Options & { _: string[] }) => showLosses([path, ...options._], options))
 
-program.command('key', 'Make a workspace key and its digest')
+program.command('key', 'Generate a workspace key and its digest')
   .action((options: Options) => generateKey(options))
 
 program.parse(process.argv)
@@ -116,8 +116,8 @@
   const parsed = parseToml(text, fields)
   const mistakes = parsed.ok ? checkIntent(text, parsed.value, fields) : parsed.mistakes
   for (const mistake of mistakes) process.stdout.write(`${formatMistake(path, mistake)}\n`)
-  if (mistakes.length > 0) exitWithError(usageExitCode, `${path}: ${mistakes.length} mistake${mistakes.length === 1 ? '' : 's'}`)
-  process.stdout.write(`${path}: no mistakes\n`)
+  if (mistakes.length > 0) exitWithError(usageExitCode, `${path}: ${mistakes.length} error${mistakes.length === 1 ? '' : 's'}`)
+  process.stdout.write(`${path}: no errors\n`)
 }
 
 function detectFields (text: string): FieldTable {
@@ -141,14 +141,14 @@
 }
 
 async function plan (client: OperatorClient, options: Options): Promise<void> {
-  if (options.file === undefined) exitWithError(usageExitCode, 'plan needs -f FILE, a TOML file with the intent')
+  if (options.file === undefined) exitWithError(usageExitCode, 'plan requires -f FILE, a TOML file with the intent')
   const intent = readUserFile(options.file)
   const reply = await client.call({ type: 'plan', id: client.identify(intent, options.number), intent })
   const result = expectResult(reply)
   if (result.type !== 'planned') return exitWithResult(options, result)
   const text = result.changes.length === 0
-    ? 'nothing would change'
-    : `${result.changes.map(formatChange).join('\n')}\nplan ${result.plan} on revision ${result.base}; put it in force with: wrenlane confirm ${result.plan}`
+    ? 'no changes'
+    : `${result.changes.map(formatChange).join('\n')}\nplan ${result.plan} based on revision ${result.base}; apply it with: wrenlane confirm ${result.plan}`
   print(options, result, text)
 }
 
@@ -163,12 +163,12 @@
 }
 
 async function confirm (client: OperatorClient, planNumber: string, options: Options): Promise<void> {
-  if (!/^\d+$/.test(planNumber)) exitWithError(usageExitCode, `a plan is a whole number, not ${JSON.stringify(planNumber)}`)
+  if (!/^\d+$/.test(planNumber)) exitWithError(usageExitCode, `a plan number must be an integer, got ${JSON.stringify(planNumber)}`)
   const id = client.identify(`confirm ${planNumber}`, options.number)
   const reply = await client.call({ type: 'command', command: { part: 'config', command: { type: 'confirm', id, plan: Number(planNumber) } } })
   const result = expectResult(reply)
   if (result.type !== 'accepted') return exitWithResult(options, result)
-  print(options, result, `accepted as revision ${result.revision}; wrenlane status shows where it is in force`)
+  print(options, result, `accepted as revision ${result.revision}; run wrenlane status to see whether it is in force on all boxes`)
 }
 
 function expectResult (reply: KeeperReply): LedgerResult {
@@ -176,9 +176,9 @@
     case 'result': return reply.result as LedgerResult
     case 'mistakes':
       for (const mistake of reply.mistakes) process.stderr.write(`${mistake}\n`)
-      return exitWithError(usageExitCode, `${reply.mistakes.length} mistakes in the intent`)
+      return exitWithError(usageExitCode, `${reply.mistakes.length} errors in the intent`)
     case 'fault': return exitWithError(failureExitCode, reply.text)
-    default: return exitWithError(failureExitCode, `unexpected answer ${reply.type}`)
+    default: return exitWithError(failureExitCode, `unexpected reply of type ${reply.type}`)
   }
 }
 
@@ -189,10 +189,10 @@
 
 function describeResult (result: LedgerResult): string {
   switch (result.type) {
-    case 'conflict': return `the plan was made on revision ${result.base}, but ${result.revision} is in force; since then:\n${result.since.map(formatChange).join('\n')}\nplan again`
-    case 'unknown-plan': return `there is no plan ${result.plan}`
-    case 'already-confirmed': return `plan ${result.plan} was confirmed before, as revision ${result.revision}`
-    case 'other-command': return 'this command number was used before with another command'
+    case 'conflict': return `the plan is based on revision ${result.base}, but the current revision is ${result.revision}; changes since then:\n${result.since.map(formatChange).join('\n')}\ncreate a new plan`
+    case 'unknown-plan': return `unknown plan ${result.plan}`
+    case 'already-confirmed': return `plan ${result.plan} is already confirmed, as revision ${result.revision}`
+    case 'other-command': return 'this command number was already used for a different command'
     default: return result.type
   }
 }
@@ -202,14 +202,14 @@
     const reply = await client.ask(keeper, { type: 'status' })
     return reply?.type === 'status' ? reply.status : null
   }))
-  if (statuses.every(status => status === null)) throw new OperatorError('no keeper can be reached')
+  if (statuses.every(status => status === null)) throw new OperatorError('no keeper is reachable')
   const report = composeReport(client.keepers.map(keeper => keeper.id), statuses as (KeeperStatus | null)[])
   print(options, report, formatReport(report))
 }
 
 async function showNotices (registry: string, options: Options): Promise<void> {
   const address = parseAddress(registry)
-  if (address.host === '' || !(address.port > 0)) return exitWithError(usageExitCode, '--registry: HOST:PORT of a registry')
+  if (address.host === '' || !(address.port > 0)) return exitWithError(usageExitCode, '--registry must be HOST:PORT of a registry')
   try {
     const notices = await readNotices(address)
     print(options, notices, formatNotices(notices))
@@ -221,9 +221,9 @@
 
 async function drain (client: OperatorClient, engine: string, options: Options): Promise<void> {
   const reply = await client.call({ type: 'document' })
-  if (reply.type !== 'document') return exitWithError(failureExitCode, `unexpected answer ${reply.type}`)
+  if (reply.type !== 'document') return exitWithError(failureExitCode, `unexpected reply of type ${reply.type}`)
   const current = reply.document.engines?.[brandId<EngineId>(engine)] as Record<string, unknown> | undefined
-  if (current === undefined) return exitWithError(usageExitCode, `no engine ${JSON.stringify(engine)} is configured`)
+  if (current === undefined) return exitWithError(usageExitCode, `engine ${JSON.stringify(engine)} is not configured`)
   const leaving = options.undo !== true
   const change: Change = { section: 'engines', name: engine, before: current, after: { ...current, leaving } }
   const planId = client.identify(`drain ${engine} ${leaving} ${reply.revision}`)
@@ -234,7 +234,7 @@
 
 async function repair (client: OperatorClient, keeper: string, options: Options): Promise<void> {
   const reply = await client.call({ type: 'repair', replace: keeper, id: client.identify(`repair ${keeper}`) })
-  if (reply.type !== 'repaired') return exitWithError(failureExitCode, reply.type === 'fault' ? reply.text : `unexpected answer ${reply.type}`)
+  if (reply.type !== 'repaired') return exitWithError(failureExitCode, reply.type === 'fault' ? reply.text : `unexpected reply of type ${reply.type}`)
   print(options, reply.members, `repaired; the voters are ${reply.members.voters.join(', ')}`)
 }
 
@@ -248,7 +248,7 @@
 
 function showLosses (paths: readonly string[], options: Options): void {
   const intervalS = Number(options.seconds)
-  if (!(intervalS > 0)) return exitWithError(usageExitCode, '--seconds: a number of seconds above 0')
+  if (!(intervalS > 0)) return exitWithError(usageExitCode, '--seconds must be a number above 0')
   const rows = countLosses(paths.map(readUserFile), intervalS)
   print(options, rows, formatLosses(rows))
 }
--- a/test/early-signals.test.ts
+++ b/test/early-signals.test.ts
@@ -4,12 +4,12 @@
 import { test } from 'node:test'
 
 const cases: readonly { name: string, script: string, expectedOutput: string }[] = [
-  { name: 'before a handler is there is kept for it', script: "process.kill(process.pid, 'SIGHUP'); setTimeout(() => { handleHangup(() => console.log('taken')); process.exit(0) }, 50)", expectedOutput: 'taken' },
-  { name: 'after it is handed on', script: "handleHangup(() => { console.log('taken'); process.exit(0) }); process.kill(process.pid, 'SIGHUP'); setTimeout(() => {}, 5000)", expectedOutput: 'taken' }
+  { name: 'before a handler is registered is delivered to it later', script: "process.kill(process.pid, 'SIGHUP'); setTimeout(() => { handleHangup(() => console.log('taken')); process.exit(0) }, 50)", expectedOutput: 'taken' },
+  { name: 'after a handler is registered is delivered immediately', script: "handleHangup(() => { console.log('taken'); process.exit(0) }); process.kill(process.pid, 'SIGHUP'); setTimeout(() => {}, 5000)", expectedOutput: 'taken' }
 ]
 
 for (const { name, script, expectedOutput } of cases) {
-  test(`a signal to read settings that comes ${name}`, () => {
+  test(`a SIGHUP that arrives ${name}`, () => {
     const code = `const { handleHangup } = await import(${JSON.stringify(new URL('../src/bin/early-signals.js', import.meta.url).href)}); ${script}`
     const { status, stdout } = spawnSync(process.execPath, ['--input-type=module', '-e', code], { encoding: 'utf8', timeout: 20_000 })
     assert.deepEqual([status, stdout.trim()], [0, expectedOutput])
@@ -17,13 +17,13 @@
 }
 
 for (const program of ['gateway', 'registry']) {
-  test(`the ${program} loads nothing before it takes the signal`, () => {
+  test(`the ${program} loads no other module before the SIGHUP handler`, () => {
     const imports = readFileSync(`src/bin/${program}.ts`, 'utf8').match(/^import .*$/gm) ?? []
     assert.deepEqual(imports, ["import './early-signals.js'"])
   })
 }
 
-test('the platform\'s programs, which are one file each, run it before the rest', () => {
+test('the bundled platform programs install the SIGHUP handler before any other module runs', () => {
   const [first] = readFileSync('src/bin/route-program.ts', 'utf8').match(/^import .*$/m) ?? []
   assert.match(first ?? '', /early-signals/)
 })
--- a/test/start.test.ts
+++ b/test/start.test.ts
@@ -18,15 +18,15 @@
 
 const expectedOutput = JSON.stringify(['function', program, ['a.toml']])
 
-// What was compiled must never decide whether a box starts.
+// Guards against boxes that fail to start because of a missing or damaged code cache.
 const states: { name: string, prepare: () => void, err: RegExp }[] = [
-  { name: 'was never written', prepare: () => {}, err: /can't be read: the program is compiled anew/ },
-  { name: 'is of this program', prepare: () => assert.equal(start('--compile', '50', program, 'a.toml').status, 0), err: /^$/ },
-  { name: 'is torn', prepare: () => writeFileSync(cachePath, 'torn'), err: /of another version: it is compiled anew/ }
+  { name: 'is missing', prepare: () => {}, err: /cannot read code cache .*\.compiled: compiling the program from source/ },
+  { name: 'is valid', prepare: () => assert.equal(start('--compile', '50', program, 'a.toml').status, 0), err: /^$/ },
+  { name: 'is damaged', prepare: () => writeFileSync(cachePath, 'torn'), err: /code cache rejected, from another version or damaged: compiling from source/ }
 ]
 
 for (const { name, prepare, err } of states) {
-  test(`a program starts as it is named, with its words, where its compiled code ${name}`, () => {
+  test(`a program starts with its file name and arguments when its code cache ${name}`, () => {
     prepare()
     const result = start(program, 'a.toml')
     assert.deepEqual([result.status, result.out], [0, expectedOutput])
@@ -36,11 +36,11 @@
 
 const invalidUsages: { name: string, args: string[] }[] = [
   { name: 'no program', args: [] },
-  { name: 'no time to compile in', args: ['--compile', program] }
+  { name: 'no time after --compile', args: ['--compile', program] }
 ]
 
 for (const { name, args } of invalidUsages) {
-  test(`${name} is told in a line, with the exit code of wrong usage`, () => {
+  test(`invalid usage prints one line and exits with the usage code: ${name}`, () => {
     const result = start(...args)
     assert.deepEqual([result.status, result.err], [2, 'error: start [--compile MS] PROGRAM [ARGUMENTS]'])
   })
--- a/test/timeline.test.ts
+++ b/test/timeline.test.ts
@@ -5,7 +5,7 @@
 import { explainRequest, mergeEvents, parseEvent } from '../src/bin/timeline.js'
 import { EventLog, HybridClock, formatTime } from '../src/runtime/index.js'
 
-test('a line holds its values through writing and reading', () => {
+test('parsing a log line yields the logged values', () => {
   const lines: string[] = []
   const log = new EventLog('entry-1', line => lines.push(line), () => 1000)
   const values = ['plain', 'two words', 'a "quoted" one', 'k=v', '', 'a\\b']
@@ -19,7 +19,7 @@
   })
 })
 
-test('what was caused comes after its cause, although its box has a slow clock', () => {
+test('an effect is ordered after its cause even if its box has a slow clock', () => {
   const lines: string[] = []
   const ahead = new EventLog('ahead', line => lines.push(line), () => 5000)
   const behind = new EventLog('behind', line => lines.push(line), () => 1000)
@@ -32,7 +32,7 @@
   assert.deepEqual(mergeEvents([lines.join('\n')], 'r1').map(event => event.fields.get('event')), ['cause', 'effect'])
 })
 
-test('a clock never falls, and passes what it heard of', () => {
+test('a hybrid clock never goes back, and advances past received times', () => {
   let now = 100
   const clock = new HybridClock(() => now)
   const first = clock.read()
@@ -43,7 +43,7 @@
   assert.equal(formatTime(clock.read()), '900.0005')
 })
 
-test('a request is told with what its box came to believe of the endpoints that it was sent to', () => {
+test('a request is shown with the preceding routing changes on its box for the endpoints it was sent to', () => {
   const lines: string[] = []
   let now = 1000
   const log = new EventLog('gateway-1', line => lines.push(line), () => now)
@@ -74,7 +74,7 @@
   { fields: { outcome: 'engine-timeout' }, reason: 'silent' }
 ]
 
-test('each exchange is counted once, by route, span and the first thing that went wrong', () => {
+test('each exchange is counted once, by route, interval and first problem', () => {
   const lines: string[] = []
   let now = 1000
   const log = new EventLog('gateway-1', line => lines.push(line), () => now)
