--- a/src/bin/capacity.ts
+++ b/src/bin/capacity.ts
@@ -106,6 +106,6 @@
   const [beginMarker, endMarker] = [`<!-- begin:${name} -->`, `<!-- end:${name} -->`]
   const beginIndex = text.indexOf(beginMarker)
   const endIndex = text.indexOf(endMarker)
-  if (beginIndex < 0 || endIndex < beginIndex) exitWithError(usageExitCode, `the page has no markers <!-- begin:${name} --> and <!-- end:${name} --> for the table`)
+  if (beginIndex < 0 || endIndex < beginIndex) exitWithError(usageExitCode, `the page has no begin and end markers for table ${name}`)
   return `${text.slice(0, beginIndex + beginMarker.length)}\n\n${table}\n\n${text.slice(endIndex)}`
 }
--- a/src/bin/load-run.ts
+++ b/src/bin/load-run.ts
@@ -106,7 +106,7 @@
 // Every event with text contains this key; the final event does not.
 function countTokens (chunk: Buffer): number {
   let count = 0
-  for (let at = chunk.indexOf('"content"'); at >= 0; at = chunk.indexOf('"content"', at + 9)) count += 1
+  for (let index = chunk.indexOf('"content"'); index >= 0; index = chunk.indexOf('"content"', index + 9)) count += 1
   return count
 }
 
--- a/src/bin/local.ts
+++ b/src/bin/local.ts
@@ -50,9 +50,9 @@
   const entries = await startEntries(port, keepers, data, writeLine)
   const keeperBoxes = await startKeepers(keepers, data, writeLine)
   const engines = await startEngines(port)
-  const service = new StandinService({ id: 'bookings', host, port: port + 41, delayMs: 5 })
-  await service.listen()
-  await configure(keepers, intent, composeEndpoints(port))
+  const bookings = new StandinService({ id: 'bookings', host, port: port + 41, delayMs: 5 })
+  await bookings.listen()
+  await configure(keepers, intent, composeEndpointIntent(port))
   await waitReady(entries)
   const routes = await startRoutes(port + 50, data, writeLine)
   const settings = writeOperatorSettings(keepers, data)
@@ -61,7 +61,7 @@
   handleSignals(async () => {
     const cutRequests = await Promise.all([...entries.map(entry => entry.stop()), routes.stop()])
     await Promise.all(keeperBoxes.map(box => box.stop()))
-    for (const server of [...engines, service]) server.close()
+    for (const server of [...engines, bookings]) server.close()
     return cutRequests.every(count => count === 0) ? 0 : 1
   }, () => entries.reduce((sum, entry) => sum + entry.inFlight, 0))
 }
@@ -139,7 +139,7 @@
 }
 
 // Engines and services are configured separately from the file, as their ports depend on --port.
-function composeEndpoints (port: number): string {
+function composeEndpointIntent (port: number): string {
   const lines: string[] = []
   for (let i = 0; i < engineCount; i++) {
     lines.push(`[engines.engine-${i + 1}]`, 'pool = "steppe"', `zone = "${zones[i % zones.length]}"`, `host = "${host}"`, `port = ${port + 31 + i}`, `checksFencing = ${i % 2 === 0}`, '')
--- a/src/bin/losses.ts
+++ b/src/bin/losses.ts
@@ -48,12 +48,12 @@
 /** Formats rows as a text table; each reason as a percentage of the row's exchanges. */
 export function formatLosses (rows: readonly LossRow[]): string {
   const headings = ['route', 'second', 'exchanges', ...lossReasons]
-  const lines = rows.map(({ route, second, counts }) => {
+  const tableRows = rows.map(({ route, second, counts }) => {
     const total = lossReasons.reduce((sum, reason) => sum + counts[reason], 0)
     return [route, String(second), String(total), ...lossReasons.map(reason => counts[reason] === 0 ? '-' : `${(100 * counts[reason] / total).toFixed(1)}`)]
   })
-  const widths = headings.map((name, i) => Math.max(name.length, ...lines.map(line => line[i].length)))
-  return [headings, ...lines].map(line => line.map((cell, i) => i === 0 ? cell.padEnd(widths[i]) : cell.padStart(widths[i])).join('  ')).join('\n')
+  const widths = headings.map((name, i) => Math.max(name.length, ...tableRows.map(line => line[i].length)))
+  return [headings, ...tableRows].map(line => line.map((cell, i) => i === 0 ? cell.padEnd(widths[i]) : cell.padStart(widths[i])).join('  ')).join('\n')
 }
 
 function createCounts (): Record<LossReason, number> {
--- a/src/bin/program.ts
+++ b/src/bin/program.ts
@@ -18,13 +18,13 @@
 }
 
 /** Creates a program with a single command and no subcommands. */
-export function createProgram (name: string, about: string): Sade {
-  return sade(name, true).version(readVersion()).describe(about)
+export function createProgram (name: string, description: string): Sade {
+  return sade(name, true).version(readVersion()).describe(description)
 }
 
 /** Prints one line to stderr and exits with `code`. */
-export function exitWithError (code: number, text: string): never {
-  process.stderr.write(`error: ${text}\n`)
+export function exitWithError (code: number, message: string): never {
+  process.stderr.write(`error: ${message}\n`)
   process.exit(code)
 }
 
--- a/src/bin/report.ts
+++ b/src/bin/report.ts
@@ -18,7 +18,7 @@
   .version(readVersion())
   .describe('Generates a page of tables and plots from files with one JSON row per line.')
   .option('--page', 'Markdown file; everything after its marker is replaced', 'docs/MEASURED.md')
-  .action((first: string, options: Options) => writeReport([first, ...options._], options.page))
+  .action((firstPath: string, options: Options) => writeReport([firstPath, ...options._], options.page))
   .parse(process.argv)
 
 function writeReport (paths: readonly string[], page: string): void {
--- a/src/bin/route-program.ts
+++ b/src/bin/route-program.ts
@@ -24,13 +24,13 @@
 /** Runs a gateway with the given dialect and settings file until a signal stops it. */
 export function runGateway (dialect: Dialect, path: string): void {
   void runProgram(async () => {
-    const program = await openProgram<GatewaySettings>(path, gatewayFields)
-    const box = new GatewayBox(program.settings, { ...program, dialect })
+    const context = await createContext<GatewaySettings>(path, gatewayFields)
+    const box = new GatewayBox(context.settings, { ...context, dialect })
     await box.start()
-    followSettings<GatewaySettings>(path, gatewayFields, program.log, settings => box.setSeeds(settings.seeds))
+    followSettings<GatewaySettings>(path, gatewayFields, context.log, settings => box.setSeeds(settings.seeds))
     handleSignals(async () => {
       const cutRequests = await box.stop()
-      program.flush()
+      context.flush()
       return cutRequests === 0 ? 0 : 1
     }, () => box.inFlight)
   })
@@ -39,19 +39,19 @@
 /** Runs a registry with the given dialect and settings file until a signal stops it. */
 export function runRegistry (dialect: Dialect, path: string): void {
   void runProgram(async () => {
-    const program = await openProgram<RegistrySettings>(path, registryFields)
-    const box = new RegistryBox(program.settings, { ...program, dialect })
+    const context = await createContext<RegistrySettings>(path, registryFields)
+    const box = new RegistryBox(context.settings, { ...context, dialect })
     await box.start()
-    followSettings<RegistrySettings>(path, registryFields, program.log, settings => box.setSeeds(settings.seeds))
+    followSettings<RegistrySettings>(path, registryFields, context.log, settings => box.setSeeds(settings.seeds))
     handleSignals(async () => {
       await box.stop()
-      program.flush()
+      context.flush()
       return 0
     }, () => 0)
   })
 }
 
-async function openProgram<Settings extends RouteBoxSettings> (path: string, fields: FieldTable): Promise<ProgramContext<Settings>> {
+async function createContext<Settings extends RouteBoxSettings> (path: string, fields: FieldTable): Promise<ProgramContext<Settings>> {
   const settings = readSettings<Settings>(path, fields)
   const { log, sink } = openProgramLog(settings.id, settings.logLinesPerSecond)
   const metrics = new Metrics(settings.statsd, settings.id)
--- a/src/bin/standin.ts
+++ b/src/bin/standin.ts
@@ -10,8 +10,8 @@
   .action((path: string) => runProgram(async () => {
     const settings = readSettings<StandinSettings>(path, standinFields)
     const log = openStandardLog('standin')
-    const engines = settings.engines.map(one => new StandinEngine(one))
-    const services = settings.services.map(one => new StandinService(one))
+    const engines = settings.engines.map(engine => new StandinEngine(engine))
+    const services = settings.services.map(service => new StandinService(service))
     for (const server of [...engines, ...services]) {
       await server.listen()
       log.info('listening', { id: server.settings.id, port: server.port })
--- a/src/bin/start.ts
+++ b/src/bin/start.ts
@@ -42,10 +42,10 @@
 }
 
 function start (args: readonly string[]): void {
-  const [firstArg, ms, ...rest] = args
+  const [firstArg, compileMs, ...rest] = args
   const isCompiling = firstArg === '--compile'
   const [program, ...programArgs] = isCompiling ? rest : args
-  if (program === undefined || (isCompiling && !(Number(ms) > 0))) {
+  if (program === undefined || (isCompiling && !(Number(compileMs) > 0))) {
     process.stderr.write('error: start [--compile MS] PROGRAM [ARGUMENTS]\n')
     process.exit(usageExitCode)
   }
@@ -57,7 +57,7 @@
     setTimeout(() => {
       writeFileSync(cachePath, script.createCachedData())
       process.exit(0)
-    }, Number(ms))
+    }, Number(compileMs))
   }
   runScript(script, file)
 }
--- a/src/bin/status-report.ts
+++ b/src/bin/status-report.ts
@@ -40,7 +40,7 @@
 export function formatReport (report: StatusReport): string {
   const lines = [
     `revision ${report.revision}, ${report.inForceEverywhere ? 'in force on all reporting boxes' : 'not yet in force on all reporting boxes'}`,
-    `keepers: leader ${report.leader ?? 'none'}, ${formatSpare(report.spareKeepers)}`
+    `keepers: leader ${report.leader ?? 'none'}, ${formatRedundancy(report.spareKeepers)}`
   ]
   for (const keeper of report.keepers) {
     if (keeper.role === 'unreachable') lines.push(`  ${keeper.id}  unreachable`)
@@ -58,7 +58,7 @@
   return lines.join('\n')
 }
 
-function formatSpare (spare: number): string {
+function formatRedundancy (spare: number): string {
   if (spare < 0) return 'no quorum: changes and claims are not accepted'
   if (spare === 0) return 'no redundancy: one more failure stops changes and claims'
   return `${spare} may fail`
--- a/src/bin/timeline.ts
+++ b/src/bin/timeline.ts
@@ -47,15 +47,15 @@
  */
 export function explainRequest (texts: readonly string[], request: string): TimelineEvent[] {
   const requestEvents = mergeEvents(texts, request)
-  const last = requestEvents.at(-1)
-  if (last === undefined) return []
-  const box = last.fields.get('box')
-  const attempts = last.fields.get('attempts') ?? ''
+  const lastEvent = requestEvents.at(-1)
+  if (lastEvent === undefined) return []
+  const box = lastEvent.fields.get('box')
+  const attempts = lastEvent.fields.get('attempts') ?? ''
   const mayExplain = (event: TimelineEvent): boolean => {
     if (!routingStateEvents.has(event.fields.get('event') ?? '') || event.fields.get('box') !== box) return false
-    const age = Number(last.hlc.split('.')[0]) - Number(event.hlc.split('.')[0])
+    const ageMs = Number(lastEvent.hlc.split('.')[0]) - Number(event.hlc.split('.')[0])
     const endpoint = event.fields.get('endpoint')
-    return age >= 0 && age <= causeWindowMs && (endpoint === undefined || attempts.includes(endpoint))
+    return ageMs >= 0 && ageMs <= causeWindowMs && (endpoint === undefined || attempts.includes(endpoint))
   }
   return [...mergeEvents(texts, null).filter(mayExplain), ...requestEvents].sort((a, b) => compareTimes(a.hlc, b.hlc))
 }
