--- a/src/bin/local-routes.ts
+++ b/src/bin/local-routes.ts
@@ -21,7 +21,7 @@
 const zone = 'zone-a'
 const service = 'desk'
 const endpointHeaders = { requestId: 'x-wrenlane-request-id', expectedEndpoint: 'x-wrenlane-endpoint', notRun: 'x-wrenlane-not-run', mark: '', lastEvent: 'last-event-id' }
-/** Interval at which the stand-ins are registered, ms. */
+/** Interval between registrations (heartbeats) of the stand-in endpoints, ms. */
 const heartbeatIntervalMs = 1000
 /** Maximum time until the gateway is ready, ms. */
 const readyTimeoutMs = 10_000
--- a/src/bin/route-program.ts
+++ b/src/bin/route-program.ts
@@ -61,7 +61,7 @@
   return { settings, log, metrics, secret, flush: () => sink.flush() }
 }
 
-// A file that can't be read keeps what was in force.
+// Reloads the settings on SIGHUP and when the file changes; an invalid file is logged and the current settings stay in force.
 function followSettings<Settings extends RouteBoxSettings> (path: string, fields: FieldTable, log: EventLog, applySettings: (settings: Settings) => void): void {
   const reload = (reason: string): void => {
     const parsed = parseToml(readUserFile(path), fields)
--- a/src/bin/soak.ts
+++ b/src/bin/soak.ts
@@ -26,7 +26,7 @@
   readonly violations: readonly string[]
 }
 
-/** Runs one history of a part with a seed. */
+/** For each part, a function that runs one history with the given seed. */
 const parts: Readonly<Record<string, (seed: number, options: Options) => HistoryResult | Promise<HistoryResult>>> = {
   coordination: (seed, { steps }) => new RaftHistory(seed, seed % 3 === 0 ? 5 : 3).run(Number(steps)),
   decisions: (seed, { steps }) => new SchedulerHistory(seed, 1 + seed % 6).run(Number(steps)),
--- a/src/bin/start.ts
+++ b/src/bin/start.ts
@@ -7,7 +7,7 @@
  *     start --compile MS PROGRAM [ARGUMENTS]
  *
  * The second form runs the program for MS milliseconds, then writes the code
- * cache next to it and exits. The cache thus holds the functions that a start needs.
+ * cache next to it and exits, so that the cache holds only the functions that a start needs.
  */
 import { readFileSync, writeFileSync } from 'node:fs'
 import { createRequire } from 'node:module'
--- a/src/bin/status-report.ts
+++ b/src/bin/status-report.ts
@@ -12,7 +12,10 @@
   readonly boxes: readonly BoxStatus[]
 }
 
-/** Merges keeper statuses, given in the order of `names` and null if unreachable. For each box, the most recently sent status wins. */
+/**
+ * Merges keeper statuses, given in the order of `names` and null if unreachable. For each
+ * box, the most recently sent status wins, with the highest revision that any keeper reports.
+ */
 export function composeReport (names: readonly string[], statuses: readonly (KeeperStatus | null)[]): StatusReport {
   const received = statuses.filter(status => status !== null)
   const leader = received.find(status => status.role === 'leader')
--- a/src/bin/wrenlane.ts
+++ b/src/bin/wrenlane.ts
@@ -35,7 +35,7 @@
 }
 
 const operatorFields: FieldTable = {
-  operator: describeName('Name of the operator; empty for the name of the user.', 'operator'),
+  operator: describeName('Name of the operator; if omitted, the login name of the user.', 'operator'),
   keepers: {
     type: 'list',
     least: 1,
