--- a/src/bin/load.ts
+++ b/src/bin/load.ts
@@ -1,50 +1,50 @@
 #!/usr/bin/env node
-/** A load generator: so many callers, each asking again as soon as it is answered. */
+/** A closed-loop load generator: each caller sends its next request when the previous one has completed. */
 import { performance } from 'node:perf_hooks'
 import { setTimeout as sleep } from 'node:timers/promises'
 import sade from 'sade'
-import { Load } from './load-run.js'
+import { LoadGenerator } from './load-run.js'
 import type { LoadOptions } from './load-run.js'
-import { endWith, readVersion, usageExit } from './program.js'
+import { exitWithError, readVersion, usageExitCode } from './program.js'
 
-const host = /^http:\/\/[^/]+$/
+const originPattern = /^http:\/\/[^/]+$/
 
 sade('load', true)
   .version(readVersion())
-  .describe('Loads a chat endpoint, and prints rates and times as one JSON object.')
-  .option('--url', 'Where to ask; several, separated by commas, are taken in turn', 'http://127.0.0.1:8080')
+  .describe('Sends load to a chat endpoint, and prints throughput and latencies as one JSON object.')
+  .option('--url', 'Target URLs, separated by commas, used round-robin', 'http://127.0.0.1:8080')
   .option('--key', 'Workspace key', 'demo-campsites')
-  .option('--callers', 'Callers at a time', 50)
-  .option('--seconds', 'How long', 5)
-  .option('--tokens', 'Tokens of each answer', 20)
-  .option('--model', 'Model to ask for', 'steppe-small')
-  .option('--name', 'Name of the run, given back in the result', 'run')
-  .option('--think', 'A caller waits up to so many ms, by lot, before it asks again', 0)
-  .option('--service', 'Call this path of a plain service, with a new Idempotency-Key each, instead of chats')
+  .option('--callers', 'Number of concurrent callers', 50)
+  .option('--seconds', 'Duration', 5)
+  .option('--tokens', 'Tokens per response', 20)
+  .option('--model', 'Model to request', 'steppe-small')
+  .option('--name', 'Name of the run, included in the result', 'run')
+  .option('--think', 'Maximum think time, ms: each caller waits a random time up to this between requests', 0)
+  .option('--service', 'Call this path of a plain service, each time with a new Idempotency-Key, instead of sending chats')
   .action((options: LoadOptions) => run(options))
   .parse(process.argv)
 
 async function run (options: LoadOptions): Promise<void> {
   const urls = options.url.split(',')
-  for (const url of urls) if (!host.test(url)) endWith(usageExit, `--url takes http://HOST:PORT, not ${JSON.stringify(url)}`)
+  for (const url of urls) if (!originPattern.test(url)) exitWithError(usageExitCode, `--url must be http://HOST:PORT, got ${JSON.stringify(url)}`)
   const callers = readCount('--callers', options.callers)
-  const until = performance.now() + readCount('--seconds', options.seconds) * 1000
-  const load = new Load(options, urls, readCount('--tokens', options.tokens))
-  const think = Number(options.think)
-  if (!(think >= 0)) endWith(usageExit, `--think takes a number from 0, not ${JSON.stringify(options.think)}`)
-  const began = performance.now()
+  const deadline = performance.now() + readCount('--seconds', options.seconds) * 1000
+  const generator = new LoadGenerator(options, urls, readCount('--tokens', options.tokens))
+  const thinkMs = Number(options.think)
+  if (!(thinkMs >= 0)) exitWithError(usageExitCode, `--think must be a number of at least 0, got ${JSON.stringify(options.think)}`)
+  const startedAt = performance.now()
   await Promise.all(Array.from({ length: callers }, async () => {
-    while (performance.now() < until) {
-      await load.ask()
-      if (think > 0) await sleep(Math.random() * think)
+    while (performance.now() < deadline) {
+      await generator.sendRequest()
+      if (thinkMs > 0) await sleep(Math.random() * thinkMs)
     }
   }))
-  process.stdout.write(`${JSON.stringify(load.summarise(performance.now() - began, callers))}\n`)
+  process.stdout.write(`${JSON.stringify(generator.summarise(performance.now() - startedAt, callers))}\n`)
   process.exit(0)
 }
 
 function readCount (option: string, value: string | number): number {
   const count = Number(value)
-  if (!Number.isInteger(count) || count < 1) endWith(usageExit, `${option} takes a whole number over 0, not ${JSON.stringify(value)}`)
+  if (!Number.isInteger(count) || count < 1) exitWithError(usageExitCode, `${option} must be an integer above 0, got ${JSON.stringify(value)}`)
   return count
 }
--- a/src/bin/losses.ts
+++ b/src/bin/losses.ts
@@ -1,69 +1,70 @@
 /**
- * Where service is lost, by kind of request, reason and moment, from the
- * gateways' `event=exchange` lines. Each exchange counts once, under the first
- * thing that went wrong with it, so that the reasons add up to the whole.
+ * Breaks missed service levels down by route, time and reason, from the
+ * `event=exchange` log lines of gateways. Each exchange counts once, under the
+ * first problem that applies, so that the reasons add up to all exchanges.
  */
 import { mergeEvents } from './timeline.js'
 import type { TimelineEvent } from './timeline.js'
 
 /**
- * How an exchange ended for its caller. `late`: the first event, or the whole
- * answer, came after the target; `pause`: a pause between events was too long;
- * `refused`: told that it did not run; `left`: the caller went first; `broken`: the
- * endpoint's answer broke off or failed; `silent`: nothing came in its time.
+ * Outcome of an exchange for its caller. `late`: the first event, or the complete
+ * response, came after the target; `pause`: a pause between events was too long;
+ * `refused`: rejected without being run; `left`: the caller disconnected;
+ * `broken`: the endpoint failed or its response was truncated; `silent`: the
+ * endpoint timed out.
  */
 export type LossReason = 'in-time' | 'late' | 'pause' | 'refused' | 'left' | 'broken' | 'silent'
 
-/** Every reason, in the order in which a table shows them. */
+/** All reasons, in the order of the table's columns. */
 export const lossReasons: readonly LossReason[] = ['in-time', 'late', 'pause', 'refused', 'left', 'broken', 'silent']
 
-/** Exchanges of one route that ended within one span of time, by reason. */
+/** Number of exchanges of one route that ended within one time interval, by reason. */
 export interface LossRow {
   readonly route: string
-  /** Start of the span, s after the first exchange's end. */
+  /** Start of the interval, s after the end of the first exchange. */
   readonly second: number
   readonly counts: Readonly<Record<LossReason, number>>
 }
 
-/** Outcomes that tell the caller that the request did not run. */
-const refusals = new Set(['overloaded', 'no-engine', 'no-document', 'draining'])
+/** Outcomes with which the caller knows that the request was not run. */
+const refusalOutcomes = new Set(['overloaded', 'no-engine', 'no-document', 'draining'])
 
-/** Sorts exchanges by route, span and reason; `spanS`: length of a span, s. */
-export function countLosses (texts: readonly string[], spanS: number): LossRow[] {
+/** Counts exchanges by route, interval and reason. `intervalS` is the length of an interval, s. */
+export function countLosses (texts: readonly string[], intervalS: number): LossRow[] {
   const exchanges = mergeEvents(texts, null).filter(event => event.fields.get('event') === 'exchange')
   const startMs = exchanges.length === 0 ? 0 : readMs(exchanges[0])
   const rows = new Map<string, LossRow & { counts: Record<LossReason, number> }>()
   for (const event of exchanges) {
     const route = event.fields.get('route') ?? ''
-    const second = Math.floor((readMs(event) - startMs) / 1000 / spanS) * spanS
+    const second = Math.floor((readMs(event) - startMs) / 1000 / intervalS) * intervalS
     const key = `${route} ${second}`
     const row = rows.get(key) ?? { route, second, counts: createCounts() }
-    row.counts[findReason(event)] += 1
+    row.counts[classifyExchange(event)] += 1
     rows.set(key, row)
   }
   return [...rows.values()].sort((a, b) => a.route.localeCompare(b.route) || a.second - b.second)
 }
 
-/** Writes rows as a table; shares of each row's exchanges in 100. */
+/** Formats rows as a text table; each reason as a percentage of the row's exchanges. */
 export function formatLosses (rows: readonly LossRow[]): string {
-  const head = ['route', 'second', 'exchanges', ...lossReasons]
-  const lines = rows.map(({ route, second, counts }) => {
-    const all = lossReasons.reduce((sum, reason) => sum + counts[reason], 0)
-    return [route, String(second), String(all), ...lossReasons.map(reason => counts[reason] === 0 ? '-' : `${(100 * counts[reason] / all).toFixed(1)}`)]
+  const headings = ['route', 'second', 'exchanges', ...lossReasons]
+  const tableRows = rows.map(({ route, second, counts }) => {
+    const total = lossReasons.reduce((sum, reason) => sum + counts[reason], 0)
+    return [route, String(second), String(total), ...lossReasons.map(reason => counts[reason] === 0 ? '-' : `${(100 * counts[reason] / total).toFixed(1)}`)]
   })
-  const widths = head.map((name, i) => Math.max(name.length, ...lines.map(line => line[i].length)))
-  return [head, ...lines].map(line => line.map((cell, i) => i === 0 ? cell.padEnd(widths[i]) : cell.padStart(widths[i])).join('  ')).join('\n')
+  const widths = headings.map((name, i) => Math.max(name.length, ...tableRows.map(line => line[i].length)))
+  return [headings, ...tableRows].map(line => line.map((cell, i) => i === 0 ? cell.padEnd(widths[i]) : cell.padStart(widths[i])).join('  ')).join('\n')
 }
 
 function createCounts (): Record<LossReason, number> {
   return { 'in-time': 0, late: 0, pause: 0, refused: 0, left: 0, broken: 0, silent: 0 }
 }
 
-function findReason ({ fields }: TimelineEvent): LossReason {
+function classifyExchange ({ fields }: TimelineEvent): LossReason {
   const outcome = fields.get('outcome') ?? ''
   if (outcome === 'left') return 'left'
   if (outcome === 'engine-timeout') return 'silent'
-  if (refusals.has(outcome)) return 'refused'
+  if (refusalOutcomes.has(outcome)) return 'refused'
   if (outcome !== 'ok') return 'broken'
   if (readNumber(fields, 'firstMs', 0) > readNumber(fields, 'targetMs', Infinity)) return 'late'
   return readNumber(fields, 'pauseMs', 0) > readNumber(fields, 'pauseLimitMs', Infinity) ? 'pause' : 'in-time'
--- a/src/bin/operator-client.ts
+++ b/src/bin/operator-client.ts
@@ -1,4 +1,4 @@
-/** An operator's shell as a peer of the boxes. */
+/** Client of the operator commands: calls keepers over the links that boxes use. */
 import { createHash, randomUUID } from 'node:crypto'
 import { performance } from 'node:perf_hooks'
 import type { Address, KeeperAddress } from '../config/index.js'
@@ -8,12 +8,12 @@
 import { HybridClock } from '../runtime/index.js'
 import { KeeperClient } from '../tasks/index.js'
 
-const callMs = 10_000
-const repairMs = 90_000
-const linkMs = 1500
-const pollMs = 10
+const callTimeoutMs = 10_000
+const repairTimeoutMs = 90_000
+const directCallTimeoutMs = 1500
+const connectPollMs = 10
 
-/** How a call failed, for people. */
+/** A failed call, with a message for the operator. */
 export class OperatorError extends Error {}
 
 export class OperatorClient {
@@ -22,7 +22,7 @@
   #client: KeeperClient
   #keepers: readonly KeeperAddress[]
   #directCalls = new Map<number, (reply: KeeperReply) => void>()
-  #counter = 1_000_000
+  #lastCallId = 1_000_000
 
   constructor (operator: string, keepers: readonly KeeperAddress[], secret: string) {
     this.operator = operator
@@ -39,29 +39,29 @@
     this.#client = new KeeperClient(keepers, this.#links, () => performance.now())
   }
 
-  /** A command's identity: the same number with the same body may be sent again safely. */
+  /** Creates the id of a command. Resending the same body under the same number is idempotent; without a number, a random one is used. */
   identify (body: string, number?: string): CommandId {
     const digest = createHash('sha256').update(body).digest('base64url')
     return { operator: this.operator, number: number ?? randomUUID(), digest }
   }
 
-  /** Calls the leading keeper. Throws an `OperatorError` where none answers. */
+  /** Calls the leader of the keepers. Rejects with an `OperatorError` if none answers. */
   async call (body: KeeperCall): Promise<KeeperReply> {
-    const end = await this.#client.call(body, body.type === 'repair' ? repairMs : callMs)
-    switch (end.type) {
-      case 'reply': return end.reply
-      case 'unsent': throw new OperatorError('no keeper can be reached; nothing was changed')
-      case 'unanswered': throw new OperatorError('no quorum of keepers answered; whether the command took effect is not known. Send it again with the same --number to find out')
+    const outcome = await this.#client.call(body, body.type === 'repair' ? repairTimeoutMs : callTimeoutMs)
+    switch (outcome.type) {
+      case 'reply': return outcome.reply
+      case 'unsent': throw new OperatorError('no keeper is reachable; nothing was changed')
+      case 'unanswered': throw new OperatorError('timeout: no quorum of keepers answered, so the command may or may not have been applied. Resend it with the same --number to find out')
     }
   }
 
-  /** Asks one keeper, whether it leads or not; null where it can't be reached. */
+  /** Calls one keeper, leader or not; resolves with null if it is unreachable or does not answer in time. */
   async ask (keeper: KeeperAddress, body: KeeperCall): Promise<KeeperReply | null> {
     if (!await this.#connect(keeper)) return null
     return await new Promise(resolve => {
-      const call = this.#next()
+      const call = this.#nextCallId()
       this.#directCalls.set(call, resolve)
-      setTimeout(() => resolve(null), linkMs)
+      setTimeout(() => resolve(null), directCallTimeoutMs)
       this.#links.find(keeper.host, keeper.port)?.send({ type: 'call', call, body })
     })
   }
@@ -73,25 +73,25 @@
     this.#links.close()
   }
 
-  #next (): number {
-    this.#counter += 1
-    return this.#counter
+  #nextCallId (): number {
+    this.#lastCallId += 1
+    return this.#lastCallId
   }
 
   async #connect ({ host, port }: Address): Promise<boolean> {
-    const until = performance.now() + linkMs
+    const deadline = performance.now() + directCallTimeoutMs
     while (this.#links.find(host, port) === undefined) {
-      if (performance.now() > until) return false
-      await new Promise(resolve => setTimeout(resolve, pollMs))
+      if (performance.now() > deadline) return false
+      await new Promise(resolve => setTimeout(resolve, connectPollMs))
     }
     return true
   }
 
   #receive (from: string, message: BoxMessage): void {
     if (message.type !== 'reply') return
-    const direct = this.#directCalls.get(message.call)
-    if (direct === undefined) return this.#client.receive(from, message.call, message.body)
+    const resolveDirect = this.#directCalls.get(message.call)
+    if (resolveDirect === undefined) return this.#client.receive(from, message.call, message.body)
     this.#directCalls.delete(message.call)
-    direct(message.body)
+    resolveDirect(message.body)
   }
 }
--- a/src/bin/route-program.ts
+++ b/src/bin/route-program.ts
@@ -1,4 +1,4 @@
-/** What gateways and registries share as programs: settings that change while they run, logs, metrics, signals. */
+/** Start-up code of gateways and registries: settings that are reloaded at run time, logs, metrics, signals. */
 import { handleHangup } from './early-signals.js'
 import { unwatchFile, watchFile } from 'node:fs'
 import { parseToml, formatMistake, gatewayFields, registryFields } from '../config/index.js'
@@ -8,12 +8,12 @@
 import { RegistryBox } from '../registry/index.js'
 import { Metrics, MetricsDoor, openProgramLog } from '../runtime/index.js'
 import type { EventLog } from '../runtime/index.js'
-import { endWith, handleSignals, readNamed, readSecret, readSettings, runProgram, usageExit } from './program.js'
+import { exitWithError, handleSignals, readUserFile, readSecret, readSettings, runProgram, usageExitCode } from './program.js'
 
-/** How often the settings file is looked at: it may change without a signal, ms. */
-const settingsEveryMs = 1000
+/** Interval at which the settings file is polled, as it may change without a SIGHUP, ms. */
+const settingsPollMs = 1000
 
-interface Program<Settings> {
+interface ProgramContext<Settings> {
   readonly settings: Settings
   readonly log: EventLog
   readonly metrics: Metrics
@@ -21,58 +21,58 @@
   readonly flush: () => void
 }
 
-/** Runs a gateway that speaks `dialect` with the settings at `path`. */
+/** Runs a gateway with the given dialect and settings file until a signal stops it. */
 export function runGateway (dialect: Dialect, path: string): void {
   void runProgram(async () => {
-    const program = await openProgram<GatewaySettings>(path, gatewayFields)
-    const box = new GatewayBox(program.settings, { ...program, dialect })
+    const context = await createContext<GatewaySettings>(path, gatewayFields)
+    const box = new GatewayBox(context.settings, { ...context, dialect })
     await box.start()
-    followSettings<GatewaySettings>(path, gatewayFields, program.log, settings => box.setSeeds(settings.seeds))
+    followSettings<GatewaySettings>(path, gatewayFields, context.log, settings => box.setSeeds(settings.seeds))
     handleSignals(async () => {
-      const cut = await box.stop()
-      program.flush()
-      return cut === 0 ? 0 : 1
+      const cutRequests = await box.stop()
+      context.flush()
+      return cutRequests === 0 ? 0 : 1
     }, () => box.inFlight)
   })
 }
 
-/** Runs a registry that speaks `dialect` with the settings at `path`. */
+/** Runs a registry with the given dialect and settings file until a signal stops it. */
 export function runRegistry (dialect: Dialect, path: string): void {
   void runProgram(async () => {
-    const program = await openProgram<RegistrySettings>(path, registryFields)
-    const box = new RegistryBox(program.settings, { ...program, dialect })
+    const context = await createContext<RegistrySettings>(path, registryFields)
+    const box = new RegistryBox(context.settings, { ...context, dialect })
     await box.start()
-    followSettings<RegistrySettings>(path, registryFields, program.log, settings => box.setSeeds(settings.seeds))
+    followSettings<RegistrySettings>(path, registryFields, context.log, settings => box.setSeeds(settings.seeds))
     handleSignals(async () => {
       await box.stop()
-      program.flush()
+      context.flush()
       return 0
     }, () => 0)
   })
 }
 
-async function openProgram<Settings extends RouteBoxSettings> (path: string, fields: FieldTable): Promise<Program<Settings>> {
+async function createContext<Settings extends RouteBoxSettings> (path: string, fields: FieldTable): Promise<ProgramContext<Settings>> {
   const settings = readSettings<Settings>(path, fields)
   const { log, sink } = openProgramLog(settings.id, settings.logLinesPerSecond)
   const metrics = new Metrics(settings.statsd, settings.id)
   if (settings.metricsPort !== 0) await new MetricsDoor(metrics).listen(settings.host, settings.metricsPort)
   const secret = settings.secretFile === '' ? null : readSecret(settings.secretFile)
-  if (secret === null && !settings.openLinks) endWith(usageExit, 'links need a secretFile, or openLinks = true where nobody else can reach the network')
+  if (secret === null && !settings.openLinks) exitWithError(usageExitCode, 'links require a secretFile; set openLinks = true only on a network that no one else can reach')
   return { settings, log, metrics, secret, flush: () => sink.flush() }
 }
 
-// A file that can't be read keeps what was in force.
-function followSettings<Settings extends RouteBoxSettings> (path: string, fields: FieldTable, log: EventLog, adopt: (settings: Settings) => void): void {
-  const reload = (why: string): void => {
-    const parsed = parseToml(readNamed(path), fields)
+// Reloads the settings on SIGHUP and when the file changes; an invalid file is logged and the current settings stay in force.
+function followSettings<Settings extends RouteBoxSettings> (path: string, fields: FieldTable, log: EventLog, applySettings: (settings: Settings) => void): void {
+  const reload = (reason: string): void => {
+    const parsed = parseToml(readUserFile(path), fields)
     if (parsed.ok) {
-      log.info('settings-read', { why, seeds: (parsed.value as Settings).seeds.join(',') })
-      return adopt(parsed.value as Settings)
+      log.info('settings-read', { why: reason, seeds: (parsed.value as Settings).seeds.join(',') })
+      return applySettings(parsed.value as Settings)
     }
-    for (const mistake of parsed.mistakes) log.error('settings-refused', { why, mistake: formatMistake(path, mistake) })
+    for (const mistake of parsed.mistakes) log.error('settings-refused', { why: reason, mistake: formatMistake(path, mistake) })
   }
   handleHangup(() => reload('signal'))
-  watchFile(path, { interval: settingsEveryMs, persistent: false }, (now, before) => {
+  watchFile(path, { interval: settingsPollMs, persistent: false }, (now, before) => {
     if (now.mtimeMs !== before.mtimeMs || now.size !== before.size) reload('change')
   })
   process.on('exit', () => unwatchFile(path))
--- a/src/bin/soak.ts
+++ b/src/bin/soak.ts
@@ -1,12 +1,12 @@
 #!/usr/bin/env node
-/** `npm run soak`: random histories for as long as is asked, with every invariant checked. */
+/** `npm run soak`: runs randomised histories for a given time and checks every invariant. */
 import { mkdirSync, writeFileSync } from 'node:fs'
 import { join } from 'node:path'
 import { performance } from 'node:perf_hooks'
 import sade from 'sade'
 import { RaftHistory, SchedulerHistory } from '../proof/index.js'
 import { SoakHistory } from '../soak/index.js'
-import { endWith, failureExit, readVersion, usageExit } from './program.js'
+import { exitWithError, failureExitCode, readVersion, usageExitCode } from './program.js'
 
 interface Options {
   readonly part: string
@@ -21,81 +21,81 @@
   readonly notices?: boolean
 }
 
-/** What is asked of any history: the promises that it found broken. */
-interface Found {
+/** Result of a history: the violated invariants. */
+interface HistoryResult {
   readonly violations: readonly string[]
 }
 
-/** One history of each part, by seed. */
-const parts: Readonly<Record<string, (seed: number, options: Options) => Found | Promise<Found>>> = {
+/** For each part, a function that runs one history with the given seed. */
+const parts: Readonly<Record<string, (seed: number, options: Options) => HistoryResult | Promise<HistoryResult>>> = {
   coordination: (seed, { steps }) => new RaftHistory(seed, seed % 3 === 0 ? 5 : 3).run(Number(steps)),
   decisions: (seed, { steps }) => new SchedulerHistory(seed, 1 + seed % 6).run(Number(steps)),
   processes: runProcesses
 }
-/** Parts that `all` runs: processes are asked for by name, as they need many ports and some memory. */
-const usualParts = ['coordination', 'decisions']
-/** A step of a history over processes is a tenth of a second of faults, ms. */
+/** Parts included in `all`. `processes` must be named explicitly, as it needs many ports and more memory. */
+const defaultParts = ['coordination', 'decisions']
+/** Duration of one step in histories of `processes`, ms. */
 const stepMs = 100
 
 sade('soak', true)
   .version(readVersion())
-  .describe('Runs random histories and checks every invariant. A seed that fails replays the same with --seconds 0.')
-  .option('--part', `One of ${Object.keys(parts).join(', ')}, or all (${usualParts.join(' and ')})`, 'all')
-  .option('--seconds', 'How long; 0 runs the one seed', 10)
+  .describe('Runs randomised histories and checks every invariant. To replay a failing seed, use --seconds 0.')
+  .option('--part', `One of ${Object.keys(parts).join(', ')}, or all (${defaultParts.join(' and ')})`, 'all')
+  .option('--seconds', 'Duration; 0 runs only the first seed', 10)
   .option('--seed', 'First seed', 1)
-  .option('--steps', 'Random steps of each history; of processes, tenths of a second', 1500)
-  .option('--gateways', 'Gateways, of processes', 3)
-  .option('--registries', 'Registries, of processes', 3)
-  .option('--engines', 'Engines, of processes, with bursts of requests of several ranks before them; 0 for none', 0)
-  .option('--endpoints', 'Endpoints of a plain service, of processes', 4)
-  .option('--crashers', 'Requests that end each endpoint which runs them and come again and again, of processes; 0 for none', 0)
-  .option('--notices', 'Endpoints name limits on their answers, ask to back off, and say that they leave, of processes')
+  .option('--steps', 'Random steps per history; with processes, tenths of a second', 1500)
+  .option('--gateways', 'Number of gateways, with processes', 3)
+  .option('--registries', 'Number of registries, with processes', 3)
+  .option('--engines', 'Number of engines, with processes; they get bursts of requests with different priorities; 0 for none', 0)
+  .option('--endpoints', 'Number of endpoints of a plain service, with processes', 4)
+  .option('--crashers', 'Number of requests that crash every endpoint which runs them and are sent repeatedly, with processes; 0 for none', 0)
+  .option('--notices', 'Endpoints announce rate limits, back-off and shutdown in response headers, with processes')
   .action((options: Options) => run(options))
   .parse(process.argv)
 
-// Ends the program where the options make no sense.
+// Exits with an error if the options are invalid.
 async function run (options: Options): Promise<void> {
-  const [seconds, first, steps] = [options.seconds, options.seed, options.steps].map(Number)
-  if (!(seconds >= 0) || !Number.isInteger(first) || !(steps > 0)) endWith(usageExit, '--seconds, --seed and --steps take numbers from 0')
-  if (![options.gateways, options.registries, options.endpoints].every(count => Number.isInteger(Number(count)) && Number(count) > 0)) endWith(usageExit, '--gateways, --registries and --endpoints take whole numbers from 1')
-  if (![options.engines, options.crashers].every(count => Number.isInteger(Number(count)) && Number(count) >= 0)) endWith(usageExit, '--engines and --crashers take whole numbers from 0')
-  const names = options.part === 'all' ? usualParts : [options.part]
+  const [seconds, firstSeed, steps] = [options.seconds, options.seed, options.steps].map(Number)
+  if (!(seconds >= 0) || !Number.isInteger(firstSeed) || !(steps > 0)) exitWithError(usageExitCode, '--seconds must be at least 0, --seed an integer and --steps above 0')
+  if (![options.gateways, options.registries, options.endpoints].every(count => Number.isInteger(Number(count)) && Number(count) > 0)) exitWithError(usageExitCode, '--gateways, --registries and --endpoints must be integers of at least 1')
+  if (![options.engines, options.crashers].every(count => Number.isInteger(Number(count)) && Number(count) >= 0)) exitWithError(usageExitCode, '--engines and --crashers must be integers of at least 0')
+  const names = options.part === 'all' ? defaultParts : [options.part]
   for (const name of names) {
-    if (!Object.hasOwn(parts, name)) endWith(usageExit, `--part does not know ${JSON.stringify(name)}; it knows ${Object.keys(parts).join(', ')}, all`)
+    if (!Object.hasOwn(parts, name)) exitWithError(usageExitCode, `--part: unknown part ${JSON.stringify(name)}; expected ${Object.keys(parts).join(', ')}, all`)
   }
-  for (const name of names) await runPart(name, seconds / names.length, first, options)
+  for (const name of names) await runPart(name, seconds / names.length, firstSeed, options)
 }
 
-// Runs histories of one part, from the first seed on, until the time is over or one fails.
-async function runPart (name: string, seconds: number, first: number, options: Options): Promise<void> {
-  const until = performance.now() + seconds * 1000
-  let seed = first
+// Runs histories of one part with consecutive seeds until the time is over; exits at the first violation.
+async function runPart (name: string, seconds: number, firstSeed: number, options: Options): Promise<void> {
+  const deadline = performance.now() + seconds * 1000
+  let seed = firstSeed
   do {
     const { violations } = await parts[name](seed, options)
     if (violations.length > 0) {
       process.stdout.write(`part=${name} seed=${seed} steps=${options.steps} violations=${JSON.stringify(violations)}\n`)
-      endWith(failureExit, `replay with: npm run soak -- --part ${name} --seed ${seed} --steps ${options.steps} --gateways ${options.gateways} --registries ${options.registries} --engines ${options.engines} --endpoints ${options.endpoints} --crashers ${options.crashers}${options.notices === true ? ' --notices' : ''} --seconds 0`)
+      exitWithError(failureExitCode, `replay with: npm run soak -- --part ${name} --seed ${seed} --steps ${options.steps} --gateways ${options.gateways} --registries ${options.registries} --engines ${options.engines} --endpoints ${options.endpoints} --crashers ${options.crashers}${options.notices === true ? ' --notices' : ''} --seconds 0`)
     }
     seed += 1
-  } while (performance.now() < until)
-  process.stdout.write(`part=${name} seeds=${first}..${seed - 1} histories=${seed - first} steps=${options.steps} violations=0\n`)
+  } while (performance.now() < deadline)
+  process.stdout.write(`part=${name} seeds=${firstSeed}..${seed - 1} histories=${seed - firstSeed} steps=${options.steps} violations=0\n`)
 }
 
-async function runProcesses (seed: number, options: Options): Promise<Found> {
-  const shape = { gateways: Number(options.gateways), registries: Number(options.registries), endpoints: Number(options.endpoints), engines: Number(options.engines), crashers: Number(options.crashers), notices: options.notices === true }
-  const history = new SoakHistory(seed, Number(options.steps) * stepMs, shape)
-  // Whoever ends the soak ends what it started.
-  const end = (): void => { void history.stop().then(() => process.exit(failureExit)) }
-  process.once('SIGTERM', end).once('SIGINT', end)
+async function runProcesses (seed: number, options: Options): Promise<HistoryResult> {
+  const deployment = { gateways: Number(options.gateways), registries: Number(options.registries), endpoints: Number(options.endpoints), engines: Number(options.engines), crashers: Number(options.crashers), notices: options.notices === true }
+  const history = new SoakHistory(seed, Number(options.steps) * stepMs, deployment)
+  // A signal stops the child processes before the soak exits.
+  const stopAndExit = (): void => { void history.stop().then(() => process.exit(failureExitCode)) }
+  process.once('SIGTERM', stopAndExit).once('SIGINT', stopAndExit)
   const { violations, calls, served, faults, ranked, crashes, logs } = await history.run()
-  process.off('SIGTERM', end).off('SIGINT', end)
+  process.off('SIGTERM', stopAndExit).off('SIGINT', stopAndExit)
   process.stdout.write(`seed=${seed} calls=${calls} served=${served} faults=${faults} ${ranked.map(({ kind, asked, served, inTime }) => `${kind}=${inTime}/${served}/${asked} `).join('')}${crashes === null ? '' : `ended=${crashes.ended.join('/')} harmless=${crashes.served}/${crashes.asked} back=${crashes.backMs.map(Math.round).join('/')} `}violations=${violations.length}\n`)
-  if (violations.length > 0) keepLogs(seed, logs)
+  if (violations.length > 0) saveLogs(seed, logs)
   return { violations }
 }
 
-// The logs of a history that failed, for whoever traces it.
-function keepLogs (seed: number, logs: ReadonlyMap<string, readonly string[]>): void {
+// Saves the logs of a failed history for diagnosis.
+function saveLogs (seed: number, logs: ReadonlyMap<string, readonly string[]>): void {
   const folder = join('data', `soak-${seed}`)
   mkdirSync(folder, { recursive: true })
   for (const [name, lines] of logs) writeFileSync(join(folder, `${name}.log`), `${lines.join('\n')}\n`)
--- a/src/bin/start.ts
+++ b/src/bin/start.ts
@@ -1,29 +1,29 @@
 /**
- * Runs a bundled program from code that was compiled before. Reading and
- * compiling a bundle takes a small box longer than all else that it does before
- * it serves, and boxes that lost power start all at once.
+ * Runs a bundled program with a V8 code cache. On a small box, reading and
+ * compiling the bundle takes longer than the rest of the start, and after a
+ * power failure all boxes start at the same time.
  *
  *     start PROGRAM [ARGUMENTS]
  *     start --compile MS PROGRAM [ARGUMENTS]
  *
- * The second form runs the program for so many ms, then writes what the engine
- * compiled meanwhile beside it and ends: what a start needs is in it, and no more.
+ * The second form runs the program for MS milliseconds, then writes the code
+ * cache next to it and exits, so that the cache holds only the functions that a start needs.
  */
 import { readFileSync, writeFileSync } from 'node:fs'
 import { createRequire } from 'node:module'
 import { dirname, resolve } from 'node:path'
 import { Script } from 'node:vm'
 
-const usageExit = 2
+const usageExitCode = 2
 
-/** A CommonJS module as a function of what it may name. */
-type Program = (exports: object, require: NodeJS.Require, module: object, file: string, folder: string) => void
+/** The wrapper function of a CommonJS module. */
+type ModuleFunction = (exports: object, require: NodeJS.Require, module: object, file: string, folder: string) => void
 
-function readCompiled (path: string): Buffer | undefined {
+function readCodeCache (path: string): Buffer | undefined {
   try {
     return readFileSync(path)
   } catch {
-    process.stderr.write(`${path} can't be read: the program is compiled anew\n`)
+    process.stderr.write(`cannot read code cache ${path}: compiling the program from source\n`)
     return undefined
   }
 }
@@ -31,33 +31,33 @@
 function loadScript (file: string, cachedData: Buffer | undefined): Script {
   const code = readFileSync(file, 'utf8')
   const script = new Script(`(function (exports, require, module, __filename, __dirname) { ${code}\n})`, { filename: file, cachedData })
-  if (script.cachedDataRejected === true) process.stderr.write(`${file}: its compiled code is of another version: it is compiled anew\n`)
+  if (script.cachedDataRejected === true) process.stderr.write(`${file}: code cache rejected, from another version or damaged: compiling from source\n`)
   return script
 }
 
 function runScript (script: Script, file: string): void {
   const module = { exports: {} }
-  const program = script.runInThisContext() as Program
-  program(module.exports, createRequire(file), module, file, dirname(file))
+  const runModule = script.runInThisContext() as ModuleFunction
+  runModule(module.exports, createRequire(file), module, file, dirname(file))
 }
 
-function start (words: readonly string[]): void {
-  const [first, ms, ...rest] = words
-  const isCompiling = first === '--compile'
-  const [program, ...others] = isCompiling ? rest : words
-  if (program === undefined || (isCompiling && !(Number(ms) > 0))) {
+function start (args: readonly string[]): void {
+  const [firstArg, compileMs, ...rest] = args
+  const isCompiling = firstArg === '--compile'
+  const [program, ...programArgs] = isCompiling ? rest : args
+  if (program === undefined || (isCompiling && !(Number(compileMs) > 0))) {
     process.stderr.write('error: start [--compile MS] PROGRAM [ARGUMENTS]\n')
-    process.exit(usageExit)
+    process.exit(usageExitCode)
   }
   const file = resolve(program)
-  const compiled = `${file}.compiled`
-  process.argv = [process.argv[0], file, ...others]
-  const script = loadScript(file, isCompiling ? undefined : readCompiled(compiled))
+  const cachePath = `${file}.compiled`
+  process.argv = [process.argv[0], file, ...programArgs]
+  const script = loadScript(file, isCompiling ? undefined : readCodeCache(cachePath))
   if (isCompiling) {
     setTimeout(() => {
-      writeFileSync(compiled, script.createCachedData())
+      writeFileSync(cachePath, script.createCachedData())
       process.exit(0)
-    }, Number(ms))
+    }, Number(compileMs))
   }
   runScript(script, file)
 }
--- a/test/timeline.test.ts
+++ b/test/timeline.test.ts
@@ -5,7 +5,7 @@
 import { explainRequest, mergeEvents, parseEvent } from '../src/bin/timeline.js'
 import { EventLog, HybridClock, formatTime } from '../src/runtime/index.js'
 
-test('a line holds its values through writing and reading', () => {
+test('parsing a log line yields the logged values', () => {
   const lines: string[] = []
   const log = new EventLog('entry-1', line => lines.push(line), () => 1000)
   const values = ['plain', 'two words', 'a "quoted" one', 'k=v', '', 'a\\b']
@@ -19,7 +19,7 @@
   })
 })
 
-test('what was caused comes after its cause, although its box has a slow clock', () => {
+test('an effect is ordered after its cause even if its box has a slow clock', () => {
   const lines: string[] = []
   const ahead = new EventLog('ahead', line => lines.push(line), () => 5000)
   const behind = new EventLog('behind', line => lines.push(line), () => 1000)
@@ -32,7 +32,7 @@
   assert.deepEqual(mergeEvents([lines.join('\n')], 'r1').map(event => event.fields.get('event')), ['cause', 'effect'])
 })
 
-test('a clock never falls, and passes what it heard of', () => {
+test('a hybrid clock never goes back, and advances past received times', () => {
   let now = 100
   const clock = new HybridClock(() => now)
   const first = clock.read()
@@ -43,7 +43,7 @@
   assert.equal(formatTime(clock.read()), '900.0005')
 })
 
-test('a request is told with what its box came to believe of the endpoints that it was sent to', () => {
+test('a request is shown with the preceding routing changes on its box for the endpoints it was sent to', () => {
   const lines: string[] = []
   let now = 1000
   const log = new EventLog('gateway-1', line => lines.push(line), () => now)
@@ -57,12 +57,12 @@
   log.info('exchange', { request: 'r1', outcome: 'ok', attempts: 'e2@0:done' })
   now = 31_000
   log.warn('exchange', { request: 'r2', outcome: 'engine-failed', attempts: 'e1@0:broken' })
-  const told = explainRequest([lines.map(line => `  31.0 gateway-1 ${line}`).join('\n')], 'r2').map(event => `${event.fields.get('event')} ${event.fields.get('stage') ?? event.fields.get('outcome') ?? event.fields.get('version')}`)
-  assert.deepEqual(told, ['endpoint draining', 'routes-in-force 4', 'exchange engine-failed'])
+  const events = explainRequest([lines.map(line => `  31.0 gateway-1 ${line}`).join('\n')], 'r2').map(event => `${event.fields.get('event')} ${event.fields.get('stage') ?? event.fields.get('outcome') ?? event.fields.get('version')}`)
+  assert.deepEqual(events, ['endpoint draining', 'routes-in-force 4', 'exchange engine-failed'])
   assert.deepEqual(explainRequest([lines.join('\n')], 'nobody'), [])
 })
 
-const ended: readonly { readonly fields: Record<string, string | number>, readonly reason: LossReason }[] = [
+const exchanges: readonly { readonly fields: Record<string, string | number>, readonly reason: LossReason }[] = [
   { fields: { outcome: 'ok', firstMs: 90, targetMs: 100, pauseMs: 40, pauseLimitMs: 50 }, reason: 'in-time' },
   { fields: { outcome: 'ok', firstMs: 90, targetMs: 100 }, reason: 'in-time' },
   { fields: { outcome: 'ok', firstMs: 190, targetMs: 100, pauseMs: 70, pauseLimitMs: 50 }, reason: 'late' },
@@ -74,17 +74,17 @@
   { fields: { outcome: 'engine-timeout' }, reason: 'silent' }
 ]
 
-test('each exchange is counted once, by route, span and the first thing that went wrong', () => {
+test('each exchange is counted once, by route, interval and first problem', () => {
   const lines: string[] = []
   let now = 1000
   const log = new EventLog('gateway-1', line => lines.push(line), () => now)
-  for (const { fields } of ended) log.info('exchange', { route: 'questions', ...fields })
+  for (const { fields } of exchanges) log.info('exchange', { route: 'questions', ...fields })
   now = 7000
   log.info('exchange', { route: 'drafts', outcome: 'ok' })
   log.info('refused', { route: 'drafts' })
   const rows = countLosses([lines.join('\n')], 5)
   assert.deepEqual(rows.map(({ route, second }) => [route, second]), [['drafts', 5], ['questions', 0]])
-  for (const reason of lossReasons) assert.equal(rows[1].counts[reason], ended.filter(one => one.reason === reason).length, reason)
+  for (const reason of lossReasons) assert.equal(rows[1].counts[reason], exchanges.filter(one => one.reason === reason).length, reason)
   assert.match(formatLosses(rows), /questions +0 +9/)
   assert.deepEqual(countLosses([''], 5), [])
 })
