--- a/src/gateway/gateway-box.ts
+++ b/src/gateway/gateway-box.ts
@@ -8,9 +8,9 @@
 import { parseAddress } from '../config/index.js'
 import type { GatewaySettings } from '../config/index.js'
 import type { VersionedText } from '../coordination/index.js'
-import { EndpointDirectory, Fleet, NoticeBook, RecentMost, RouteTable, brandId } from '../core/index.js'
-import type { BoxId, CrashNews, EndpointRecord, ZoneName } from '../core/index.js'
-import type { CallerWords } from '../protocol/index.js'
+import { EndpointDirectory, Fleet, NoticeStore, SlidingMax, RouteTable, brandId } from '../core/index.js'
+import type { BoxId, CrashUpdate, EndpointRecord, ZoneName } from '../core/index.js'
+import type { CallerHeaders } from '../protocol/index.js'
 import type { Refusal } from './answers.js'
 import { CallerServer } from './caller-server.js'
 import { CrashGuard } from './crash-guard.js'
@@ -22,9 +22,9 @@
 import type { ExchangeSummary } from './exchange-summary.js'
 import type { GatewayDependencies } from './gateway-dependencies.js'
 import { sweepIntervalMs, readyWithoutEndpointsMs, balancerLagMs, beliefsIntervalMs, gatewayCountTtlMs, idleMs, cutReserveMs } from './gateway-timing.js'
-import { LimitDesk } from './limit-desk.js'
+import { EndpointLimits } from './endpoint-limits.js'
 import { LoadReporter } from './load-reporter.js'
-import type { Order } from './order.js'
+import type { AdmittedRequest } from './admitted-request.js'
 import { ReadinessServer } from './readiness-server.js'
 import { RegistryFollower } from './registry-follower.js'
 import { RetryBudgets } from './retry-budgets.js'
@@ -44,7 +44,7 @@
   #resolveRouted: () => void = () => {}
   #routed = new Promise<void>(resolve => { this.#resolveRouted = resolve })
   #retryBudgets: RetryBudgets
-  #gatewayCount = new RecentMost(gatewayCountTtlMs)
+  #gatewayCount = new SlidingMax(gatewayCountTtlMs)
   #agent = new EndpointAgent()
   #exchanges = new Set<Exchange>()
   #callerServer: CallerServer
@@ -55,7 +55,7 @@
   #waitQueue: WaitQueue
   #prober: EndpointProber
   #guard: CrashGuard
-  #limits: LimitDesk
+  #limits: EndpointLimits
   /** Null if usage reporting is off. */
   #usageReporter: UsageReporter | null
   #isLeaving = false
@@ -71,7 +71,7 @@
     this.#settings = settings
     this.#dependencies = dependencies
     const { dialect, log } = dependencies
-    const notices = new NoticeBook()
+    const notices = new NoticeStore()
     this.#fleet = new Fleet(brandId<ZoneName>(settings.zone), ({ record }) => this.#agent.isConnected(record.host, record.port), id => notices.find(id))
     this.#retryBudgets = new RetryBudgets(settings.retries)
     this.#loadReporter = this.#createLoadReporter()
@@ -80,7 +80,7 @@
       now,
       draw: Math.random,
       countWaitingBoxes: (service, priority) => this.#fleet.countHolders(service, priority),
-      countReservedEngines: service => this.#fleet.countApart(service)
+      countReservedEngines: service => this.#fleet.countDedicated(service)
     })
     this.#prober = new EndpointProber(log, now)
     this.#guard = new CrashGuard({ log, metrics: dependencies.metrics, fleet: this.#fleet, prober: this.#prober, now, broadcast: news => this.#follower.broadcast({ type: 'crashes', news }) })
@@ -104,7 +104,7 @@
   get fleet (): Fleet { return this.#fleet }
 
   /** Known crashes of endpoints and requests in quarantine. */
-  listCrashes (): CrashNews { return this.#guard.list() }
+  listCrashes (): CrashUpdate { return this.#guard.list() }
 
   /** Starts to serve; callers are refused until the first routes are active. */
   async start (): Promise<void> {
@@ -167,10 +167,10 @@
       now,
       listHubs: () => this.#follower.listReachable(),
       composeLoad: () => this.#fleet.composeLoad(now()),
-      listNotices: () => this.#limits.listUntold(),
-      takeNotices: (notices, hub) => this.#limits.mergeNotices(notices, hub),
-      noteHub: () => this.#limits.noteHubChange(),
-      takeOthers: (others, intervalMs) => {
+      listNotices: () => this.#limits.listUnconfirmed(),
+      handleNotices: (notices, hub) => this.#limits.mergeNotices(notices, hub),
+      noteHubChange: () => this.#limits.noteHubChange(),
+      handleOthers: (others, intervalMs) => {
         this.#fleet.noteOthers(others, now())
         this.#waitQueue.setStaleness(intervalMs)
         this.#waitQueue.retry()
@@ -198,22 +198,22 @@
         this.#gatewayCount.note(now(), count)
         this.#fleet.noteBoxes(this.#gatewayCount.find(now(), 1))
       },
-      noteZoneAlive: heard => this.#fleet.zones.noteHeard(heard, now()),
+      noteZoneAlive: heard => this.#fleet.zones.noteMessage(heard, now()),
       handleNotices: (notices, registry) => this.#limits.mergeNotices(notices, registry),
       handlePermits: answer => this.#limits.takePermits(answer)
     })
   }
 
-  #createLimits (notices: NoticeBook): LimitDesk {
+  #createLimits (notices: NoticeStore): EndpointLimits {
     const { log, metrics } = this.#dependencies
-    return new LimitDesk({
+    return new EndpointLimits({
       log,
       metrics,
       fleet: this.#fleet,
       now,
       countBoxes: () => this.#gatewayCount.find(now(), 0),
       countHeld: (service, priority) => this.#waitQueue.count(service, priority),
-      noteNews: () => this.#loadReporter.noteChange(),
+      noteNoticeChange: () => this.#loadReporter.noteChange(),
       askIssuer: message => this.#follower.sendToIssuer(message),
       setIssuer: registry => this.#follower.setIssuer(registry)
     }, notices)
@@ -230,8 +230,8 @@
       draw: Math.random,
       takeRetry: request => this.#takeRetry(request),
       noteLoad: () => this.#loadReporter.noteChange(),
-      hold: exchange => this.#enqueue(exchange),
-      unhold: exchange => this.#dequeue(exchange),
+      enqueue: exchange => this.#enqueue(exchange),
+      dequeue: exchange => this.#dequeue(exchange),
       noteRun: ({ workspace }, at) => { if (workspace !== null) this.#usageReporter?.note(workspace.name, at) },
       noteEnd: (exchange, summary) => this.#noteEnd(exchange, summary)
     }
@@ -291,7 +291,7 @@
 
   // Requests.
 
-  #startExchange (request: Order, response: ServerResponse): Exchange {
+  #startExchange (request: AdmittedRequest, response: ServerResponse): Exchange {
     const at = now()
     this.#lastActiveAt = at
     this.#retryBudgets.noteRequest(request.service, at)
@@ -305,17 +305,17 @@
 
   #enqueue (exchange: Exchange): void {
     this.#waitQueue.add(exchange)
-    this.#fleet.noteHeld(exchange.order.work, true)
+    this.#fleet.noteHeld(exchange.request.work, true)
     this.#loadReporter.noteChange()
   }
 
   #dequeue (exchange: Exchange): void {
     this.#waitQueue.remove(exchange)
-    this.#fleet.noteHeld(exchange.order.work, false)
+    this.#fleet.noteHeld(exchange.request.work, false)
     this.#loadReporter.noteChange()
   }
 
-  #takeRetry (request: Order): boolean {
+  #takeRetry (request: AdmittedRequest): boolean {
     if (!this.#guard.maySendAgain(request)) return false
     const at = now()
     return this.#retryBudgets.take(request.service, at, this.#gatewayCount.find(at, 1))
@@ -332,7 +332,7 @@
     for (const { service, text } of this.#fleet.describe(now())) this.#dependencies.log.info('beliefs', { service, text })
   }
 
-  #noteRefused (headers: CallerWords | null, refusal: Refusal): void {
+  #noteRefused (headers: CallerHeaders | null, refusal: Refusal): void {
     this.#dependencies.metrics.count('refused', { kind: refusal.kind })
     this.#dependencies.log.warn('refused', { request: headers?.requestId, kind: refusal.kind, version: this.#table?.version ?? 0, text: refusal.text })
   }
@@ -340,7 +340,7 @@
   #noteEnd (exchange: Exchange, summary: ExchangeSummary): void {
     this.#lastActiveAt = now()
     this.#exchanges.delete(exchange)
-    this.#guard.forget(exchange.order)
+    this.#guard.forget(exchange.request)
     this.#callerServer.release(exchange)
     reportExchange(summary, this.#dependencies.log, this.#dependencies.metrics)
   }
--- a/src/gateway/load-reporter.ts
+++ b/src/gateway/load-reporter.ts
@@ -4,10 +4,10 @@
  * same zone if one is reachable; a hub that stops sending is replaced by another.
  */
 import { randomInt } from 'node:crypto'
-import { SumReader, brandId, chooseByHash, dropWaiting, noTotals, staleMs, subtractOwn } from '../core/index.js'
+import { LoadUpdateDecoder, brandId, chooseByHash, dropBacklog, noTotals, staleMs, subtractOwn } from '../core/index.js'
 import type { BoxId, BoxLoad, EndpointNotice, LoadTotals, ZoneName } from '../core/index.js'
-import { decodeTotalsWord, encodeLoadWord, isNewerWord, startLimit } from '../protocol/index.js'
-import type { WordNumber } from '../protocol/index.js'
+import { decodeTotalsReport, encodeGatewayReport, isNewerReport, startLimit } from '../protocol/index.js'
+import type { ReportSequence } from '../protocol/index.js'
 import { DatagramPort, Inbox } from '../runtime/index.js'
 import type { EventLog } from '../runtime/index.js'
 import type { ReachableRegistry } from './registry-follower.js'
@@ -26,11 +26,11 @@
   /** Notices that the hub has not confirmed. */
   listNotices (): readonly EndpointNotice[]
   /** Handles notices from the hub. */
-  takeNotices (notices: readonly EndpointNotice[], hub: BoxId): void
+  handleNotices (notices: readonly EndpointNotice[], hub: BoxId): void
   /** The box reports to another hub from now on. */
-  noteHub (): void
+  noteHubChange (): void
   /** Handles the total load of all other boxes; `intervalMs`: how often the hub sends it. */
-  takeOthers (others: LoadTotals, intervalMs: number): void
+  handleOthers (others: LoadTotals, intervalMs: number): void
 }
 
 /** The hub to which this box reports. */
@@ -38,9 +38,9 @@
   readonly host: string
   /** When the first report was sent to it. */
   readonly chosenAt: number
-  readonly reader: SumReader
+  readonly reader: LoadUpdateDecoder
   /** Number of its newest update; undefined before the first. */
-  newest: WordNumber | undefined
+  newest: ReportSequence | undefined
   heardAt: number
 }
 
@@ -124,14 +124,14 @@
   #receiveTotals (bytes: Buffer, from: string): void {
     const hub = this.#hub
     if (hub === null || hub.host !== from) return
-    const update = decodeTotalsWord(bytes)
-    if (update === null || !isNewerWord(update, hub.newest)) return
+    const update = decodeTotalsReport(bytes)
+    if (update === null || !isNewerReport(update, hub.newest)) return
     const now = this.#host.now()
     hub.newest = { start: update.start, number: update.number }
     hub.heardAt = now
     this.#heardAt = now
     this.#intervalMs = update.intervalMs
-    if (update.notices.length > 0) this.#host.takeNotices(update.notices, brandId(hub.host))
+    if (update.notices.length > 0) this.#host.handleNotices(update.notices, brandId(hub.host))
     const totals = hub.reader.take(update.news)
     if (totals !== null) this.#setOthers(subtractOwn(totals, this.#sentLoads.get(update.ownNumber) ?? null), update.intervalMs)
   }
@@ -146,15 +146,15 @@
   // Without updates from any hub, first the queued requests of the other boxes are discarded, later all of their load.
   #expireOthers (silentMs: number): void {
     if (this.#others === null || silentMs <= staleMs) return
-    if (silentMs <= othersTtlMs) return this.#setOthers(dropWaiting(this.#others), this.#intervalMs)
+    if (silentMs <= othersTtlMs) return this.#setOthers(dropBacklog(this.#others), this.#intervalMs)
     this.#others = null
     this.#host.log.warn('hubs-silent', { hub: this.#hub?.host ?? '' })
-    this.#host.takeOthers(noTotals, 0)
+    this.#host.handleOthers(noTotals, 0)
   }
 
   #setOthers (others: LoadTotals, intervalMs: number): void {
     this.#others = others
-    this.#host.takeOthers(others, intervalMs)
+    this.#host.handleOthers(others, intervalMs)
   }
 
   // Replaces a hub that is silent, and one of another zone as soon as one of this zone is reachable.
@@ -165,8 +165,8 @@
     if (best === hub?.host || best === undefined) return
     this.#host.log.info('hub-chosen', { hub: best, before: hub?.host ?? '' })
     if (hub !== null) this.#sendLoad(hub.host, null)
-    this.#host.noteHub()
-    this.#hub = { host: best, chosenAt: now, reader: new SumReader(), newest: undefined, heardAt: -Infinity }
+    this.#host.noteHubChange()
+    this.#hub = { host: best, chosenAt: now, reader: new LoadUpdateDecoder(), newest: undefined, heardAt: -Infinity }
     this.#send()
   }
 
@@ -190,7 +190,7 @@
   #sendLoad (host: string, load: BoxLoad | null): void {
     this.#number += 1
     const { id, zone, hubPort } = this.#host
-    this.#datagrams.send(encodeLoadWord({ box: id, zone, start: this.#start, number: this.#number, load, notices: this.#host.listNotices() }), host, hubPort)
+    this.#datagrams.send(encodeGatewayReport({ box: id, zone, start: this.#start, number: this.#number, load, notices: this.#host.listNotices() }), host, hubPort)
   }
 
   #rememberLoad (load: BoxLoad): void {
--- a/src/gateway/notice-tracker.ts
+++ b/src/gateway/notice-tracker.ts
@@ -2,7 +2,7 @@
  * Tracks the notices of endpoints (rate limit, back-off, leaving): reads them from
  * answers, reports them to the hub, and merges those that other boxes have read.
  */
-import { NoticeBook, NoticeUplink } from '../core/index.js'
+import { NoticeStore, NoticeUplink } from '../core/index.js'
 import type { BoxId, EndpointId, EndpointNotice, EndpointRecord, EndpointView, Fleet } from '../core/index.js'
 import type { EndpointNotices } from '../protocol/index.js'
 import type { EventLog, Metrics } from '../runtime/index.js'
@@ -14,7 +14,7 @@
   readonly fleet: Fleet
   now (): number
   /** There is something new to report to the hub. */
-  noteNews (): void
+  noteNoticeChange (): void
 }
 
 /** Minimum time between log lines about malformed headers of one endpoint, ms. */
@@ -24,11 +24,11 @@
 
 export class NoticeTracker {
   #host: NoticeTrackerHost
-  #book: NoticeBook
+  #book: NoticeStore
   #uplink: NoticeUplink
   #faultyLoggedAt = new Map<EndpointId, number>()
 
-  constructor (host: NoticeTrackerHost, book: NoticeBook) {
+  constructor (host: NoticeTrackerHost, book: NoticeStore) {
     this.#host = host
     this.#book = book
     this.#uplink = new NoticeUplink(book)
@@ -42,7 +42,7 @@
     if (notice !== null) {
       this.#apply([notice], 'answer')
       this.#uplink.note(notice)
-      this.#host.noteNews()
+      this.#host.noteNoticeChange()
     }
     if (faulty.length > 0) this.#logFaulty(id, service, faulty)
   }
@@ -59,7 +59,7 @@
   }
 
   /** Notices that the hub has not confirmed. */
-  listUntold (): readonly EndpointNotice[] { return this.#uplink.list() }
+  listUnconfirmed (): readonly EndpointNotice[] { return this.#uplink.list() }
 
   /** The box reports to another hub from now on. */
   noteHubChange (): void { this.#uplink.reset() }
@@ -82,7 +82,7 @@
   // Back-off applies to this box alone; the others only learn that the endpoint is loaded.
   #noteBackoff ({ id, gate, record: { service } }: EndpointView, backoffMs: number): void {
     gate.noteBackoff(this.#host.now() + backoffMs)
-    this.#host.noteNews()
+    this.#host.noteNoticeChange()
     this.#host.metrics.count('endpoint-backoff', { service })
     this.#host.log.info('endpoint-backoff', { endpoint: id, service, backoffMs: Math.round(backoffMs) })
   }
--- a/src/gateway/permit-client.ts
+++ b/src/gateway/permit-client.ts
@@ -4,7 +4,7 @@
  * which the registry keeps free for it.
  */
 import { TokenBucket } from '../core/index.js'
-import type { ClosedEndpoint, EndpointId, EndpointNotice, EndpointView, PermitGrant, PermitWants } from '../core/index.js'
+import type { ClosedEndpoint, EndpointId, EndpointNotice, EndpointView, PermitGrant, PermitDemand } from '../core/index.js'
 import type { RouteMessage } from '../protocol/index.js'
 import type { EventLog } from '../runtime/index.js'
 import type { PermitAnswer } from './registry-follower.js'
@@ -193,7 +193,7 @@
   }
 }
 
-function countWants (requests: readonly PermitRequest[]): PermitWants {
+function countWants (requests: readonly PermitRequest[]): PermitDemand {
   const counts = new Map<number, number>()
   for (const { priority } of requests) counts.set(priority, (counts.get(priority) ?? 0) + 1)
   return [...counts]
--- a/src/gateway/registry-follower.ts
+++ b/src/gateway/registry-follower.ts
@@ -5,9 +5,9 @@
  */
 import { parseAddress } from '../config/index.js'
 import { DocumentPull } from '../coordination/index.js'
-import type { HolderState, PullPatience, VersionedText } from '../coordination/index.js'
+import type { HolderState, PullTimeouts, VersionedText } from '../coordination/index.js'
 import { brandId, chooseByHash } from '../core/index.js'
-import type { BoxId, CrashNews, EndpointNotice, EndpointRecord, ReadPrompt, ZoneName } from '../core/index.js'
+import type { BoxId, CrashUpdate, EndpointNotice, EndpointRecord, PromptReport, ZoneName } from '../core/index.js'
 import { LinkPool, unpackDocument } from '../protocol/index.js'
 import type { Link, PackedDocument, RouteMessage } from '../protocol/index.js'
 import { Inbox } from '../runtime/index.js'
@@ -25,12 +25,12 @@
   draw (): number
   handleDocument (document: VersionedText): void
   /** Handles a report of which prompts engines hold. */
-  handlePrompts (prompts: readonly ReadPrompt[]): void
+  handlePrompts (prompts: readonly PromptReport[]): void
   handleRecords (records: readonly EndpointRecord[]): void
   /** Handles a report of endpoint crashes and of requests in quarantine. */
-  handleCrashes (news: CrashNews): void
+  handleCrashes (news: CrashUpdate): void
   /** The crashes and quarantined requests known here, for a registry that may know nothing. */
-  listCrashes (): CrashNews
+  listCrashes (): CrashUpdate
   /** Handles the number of gateways connected to a registry. */
   handleGatewayCount (count: number): void
   noteZoneAlive (zone: ZoneName): void
@@ -57,8 +57,8 @@
   | { readonly type: 'tick' }
 
 /** Heartbeats of links, ms: two missing heartbeats indicate that a zone is cut off. */
-const heartbeat = { everyMs: 300, silentMs: 1500 }
-const dialOptions = { connectMs: 500, longestRetryMs: 500 }
+const heartbeat = { intervalMs: 300, timeoutMs: 1500 }
+const dialOptions = { connectMs: 500, maxRetryMs: 500 }
 /** A registry that is silent for this long may be cut off, ms: a little more than two heartbeats. */
 const aliveWindowMs = 700
 /** How often the follower checks its links, ms. */
@@ -68,7 +68,7 @@
  * A full packed document of a few thousand routes takes a gateway's link 0.1 s; a
  * registry that takes seconds for it is overloaded or stuck.
  */
-const pullTimeouts: PullPatience = { firstMs: 1000, longestMs: 8000 }
+const pullTimeouts: PullTimeouts = { initialMs: 1000, maxMs: 8000 }
 /** On start, a document of which its registry isn't sure that it is the newest is requested only after the other registries had this long to announce a newer one, ms. */
 const settleMs = 250
 /** Without a document, the next registry is dialled after this, ms: it takes a registry some tens of ms to announce one. */
@@ -109,7 +109,7 @@
     this.#links = new LinkPool<RouteMessage>({
       id: host.id,
       secret: host.secret,
-      pulse: heartbeat,
+      heartbeat,
       clock: host.log.clock,
       receive: (link, message) => this.#inbox.post({ type: 'message', link, message }),
       noteOpen: link => this.#inbox.post({ type: 'open', link }),
@@ -127,7 +127,7 @@
   /** Registries that have been heard from recently. */
   listReachable (): ReachableRegistry[] {
     const since = this.#host.now() - aliveWindowMs
-    return this.#links.listHeard(since).map(({ host, link }) => ({ host, zone: this.#zones.get(link) ?? null }))
+    return this.#links.listActive(since).map(({ host, link }) => ({ host, zone: this.#zones.get(link) ?? null }))
   }
 
   start (seeds: readonly string[]): void {
@@ -148,7 +148,7 @@
 
   /** The link to a reachable registry, of the same zone if there is one. The choice is stable while that registry is reachable. Undefined if none is reachable. */
   findPreferredLink (): Link<RouteMessage> | undefined {
-    const alive = this.#links.listHeard(this.#host.now() - aliveWindowMs)
+    const alive = this.#links.listActive(this.#host.now() - aliveWindowMs)
     const local = alive.filter(({ link }) => this.#zones.get(link) === this.#host.zone)
     const preferred = local.length > 0 ? local : alive
     const host = chooseByHash('usage', preferred.map(one => one.host))
@@ -160,7 +160,7 @@
 
   /** Sends to the registry that issues permits, or to one that knows which does; false if none is reachable. */
   sendToIssuer (message: RouteMessage): boolean {
-    const alive = this.#links.listHeard(this.#host.now() - aliveWindowMs)
+    const alive = this.#links.listActive(this.#host.now() - aliveWindowMs)
     const link = alive.find(({ host }) => host === this.#issuer)?.link ?? this.findPreferredLink()
     return link?.send(message) ?? false
   }
@@ -212,7 +212,7 @@
         this.#zones.set(link, brandId(message.zone))
         return
       case 'version':
-        this.#pull.noteNamed(link, message.version)
+        this.#pull.noteAdvertised(link, message.version)
         if (message.version > 0) this.#firstAnnouncedAt ??= this.#host.now()
         if (message.version > 0 && message.isCurrent) this.#knowsNewest = true
         return this.#requestDocument()
@@ -252,7 +252,7 @@
 
   #tick (): void {
     for (const [link, zone] of this.#zones) {
-      if (this.#host.now() - link.heardAt < 2 * heartbeat.everyMs) this.#host.noteZoneAlive(zone)
+      if (this.#host.now() - link.lastReceivedAt < 2 * heartbeat.intervalMs) this.#host.noteZoneAlive(zone)
     }
     this.#dialNext()
     this.#requestDocument()
@@ -285,11 +285,11 @@
   #isSettling (now: number): boolean {
     if (this.#firstAnnouncedAt === null) return true
     if (this.#knowsNewest) return false
-    return this.#document === null && this.#pull.namedCount < this.#hosts.size && now - this.#firstAnnouncedAt < settleMs
+    return this.#document === null && this.#pull.advertisedCount < this.#hosts.size && now - this.#firstAnnouncedAt < settleMs
   }
 
   // Registries of the same zone are preferred, as traffic between zones is expensive.
   #describeHolder (link: Link<RouteMessage>, now: number): HolderState {
-    return { isHeard: link.isOpen && now - link.heardAt < aliveWindowMs, isNear: this.#zones.get(link) === this.#host.zone }
+    return { isResponsive: link.isOpen && now - link.lastReceivedAt < aliveWindowMs, isNear: this.#zones.get(link) === this.#host.zone }
   }
 }
--- a/src/gateway/retry-budgets.ts
+++ b/src/gateway/retry-budgets.ts
@@ -1,11 +1,11 @@
 import type { GatewaySettings } from '../config/index.js'
-import { RetryPurse } from '../core/index.js'
+import { SharedRetryBudget } from '../core/index.js'
 import type { ServiceName } from '../core/index.js'
 
 /** The retry budgets of this box, one for each service. */
 export class RetryBudgets {
   #bounds: GatewaySettings['retries']
-  #budgets = new Map<ServiceName, RetryPurse>()
+  #budgets = new Map<ServiceName, SharedRetryBudget>()
 
   constructor (bounds: GatewaySettings['retries']) {
     this.#bounds = bounds
@@ -14,11 +14,11 @@
   /** Adds a budget for a service; an existing budget is kept. */
   addService (service: ServiceName): void {
     const { ratio, extra, windowSeconds } = this.#bounds
-    if (!this.#budgets.has(service)) this.#budgets.set(service, new RetryPurse({ ratio, extra, windowMs: windowSeconds * 1000 }))
+    if (!this.#budgets.has(service)) this.#budgets.set(service, new SharedRetryBudget({ ratio, extra, windowMs: windowSeconds * 1000 }))
   }
 
   noteRequest (service: ServiceName, at: number): void { this.#budgets.get(service)?.noteRequest(at) }
 
   /** Takes one retry; false if none is left or the service is unknown. `boxCount`: boxes that share the extra budget. */
-  take (service: ServiceName, at: number, boxCount: number): boolean { return this.#budgets.get(service)?.take(at, boxCount) ?? false }
+  take (service: ServiceName, at: number, boxCount: number): boolean { return this.#budgets.get(service)?.tryConsume(at, boxCount) ?? false }
 }
--- a/src/gateway/usage-meter.ts
+++ b/src/gateway/usage-meter.ts
@@ -3,7 +3,7 @@
  * windows of wall-clock time, and composes reports of the changed or of all windows.
  */
 import { randomBytes } from 'node:crypto'
-import type { UsageTelling, UsageWindow } from '../coordination/index.js'
+import type { UsageUpdate, UsageWindow } from '../coordination/index.js'
 import type { WorkspaceName } from '../core/index.js'
 
 /** What the meter needs from its box. */
@@ -40,7 +40,7 @@
   }
 
   /** Composes a report of the windows changed since the last one, or of all if `isFull`. `isLast`: no more requests will start here. */
-  composeReport (isFull: boolean, isLast = false): UsageTelling {
+  composeReport (isFull: boolean, isLast = false): UsageUpdate {
     const wallClockMs = this.#host.toWallClockMs(this.#host.now())
     this.#dropOld(Math.floor(wallClockMs / this.#host.windowMs))
     const windows = [...this.#windows].filter(([window]) => isFull || this.#changed.has(window))
--- a/src/gateway/wait-queue.ts
+++ b/src/gateway/wait-queue.ts
@@ -3,7 +3,7 @@
  * load of the engines changes, and every few ms: the most urgent first; within a
  * priority first those that can still meet their target, then by arrival.
  */
-import type { ServiceName, Work } from '../core/index.js'
+import type { ServiceName, RequestProfile } from '../core/index.js'
 import type { Exchange } from './exchange.js'
 
 /** What the queue needs from its box. */
@@ -38,7 +38,7 @@
 
   /** Number of requests of a service that wait at this priority or a more urgent one. */
   count (service: ServiceName, priority: number): number {
-    return this.#waiting.filter(({ order: { work } }) => work.service === service && work.priority <= priority).length
+    return this.#waiting.filter(({ request: { work } }) => work.service === service && work.priority <= priority).length
   }
 
   /** Sets how old the load of the other boxes is when it is received, ms. */
@@ -67,7 +67,7 @@
     if (this.#waiting.length === 0) return
     const now = this.#host.now()
     const ordered = [...this.#waiting].sort((a, b) => compareUrgency(a, b, now))
-    if (!this.#drawTurn(ordered[0].order.work)) return
+    if (!this.#drawTurn(ordered[0].request.work)) return
     for (const exchange of ordered.slice(0, maxTries)) exchange.tryPlace()
   }
 
@@ -78,7 +78,7 @@
   }
 
   // The probability of a turn is engines over boxes, divided by the retries within the time that a load update takes.
-  #drawTurn ({ service, priority }: Work): boolean {
+  #drawTurn ({ service, priority }: RequestProfile): boolean {
     const boxes = this.#host.countWaitingBoxes(service, priority)
     if (boxes <= 1) return true
     const retriesPerUpdate = Math.max(1, this.#stalenessMs / retryIntervalMs)
@@ -87,13 +87,13 @@
 }
 
 function compareUrgency (a: Exchange, b: Exchange, now: number): number {
-  const first = a.order
-  const second = b.order
+  const first = a.request
+  const second = b.request
   if (first.work.priority !== second.work.priority) return first.work.priority - second.work.priority
   const lateness = Number(isLate(a, now)) - Number(isLate(b, now))
   return lateness !== 0 ? lateness : first.arrivedAt - second.arrivedAt
 }
 
-function isLate ({ order: request }: Exchange, now: number): boolean {
+function isLate ({ request }: Exchange, now: number): boolean {
   return now - request.arrivedAt > request.work.targetMs
 }
--- a/src/measure/event-queue.ts
+++ b/src/measure/event-queue.ts
@@ -14,7 +14,7 @@
   get now (): number { return this.#now }
 
   /** Schedules `run` to be called `delayMs` from now. */
-  after (delayMs: number, run: () => void): void {
+  schedule (delayMs: number, run: () => void): void {
     this.#push({ at: this.#now + delayMs, order: this.#nextOrder, run })
     this.#nextOrder += 1
   }
--- a/src/measure/experiment.ts
+++ b/src/measure/experiment.ts
@@ -9,7 +9,7 @@
 import type { UserProfile } from './user-profile.js'
 
 /** Results of one class in one run. */
-export interface Row {
+export interface ResultRow {
   readonly user: string
   readonly scenario: string
   readonly policy: string
@@ -45,7 +45,7 @@
 }
 
 /** Variants of how several boxes share a pool of engines, by name. */
-export const sharings: Readonly<Record<string, PolicyFactory>> = {
+export const sharingPolicies: Readonly<Record<string, PolicyFactory>> = {
   'owned-32': createShardPolicy({ mode: 'owned', maxEnginesPerShard: 32, floorPlaces: null }),
   'owned-8': createShardPolicy({ mode: 'owned', maxEnginesPerShard: 8, floorPlaces: null }),
   alone: createShardPolicy({ mode: 'alone', maxEnginesPerShard: defaultEnginesPerShard, floorPlaces: null }),
@@ -68,8 +68,8 @@
 }
 
 /** Runs one combination. Throws for an unknown policy name. */
-export function runOnce (user: UserProfile, scenario: Scenario, policy: string, seed: number): Row[] {
-  const createPolicy = policies[policy] ?? sharings[policy]
+export function runOnce (user: UserProfile, scenario: Scenario, policy: string, seed: number): ResultRow[] {
+  const createPolicy = policies[policy] ?? sharingPolicies[policy]
   const result = new Simulation(user, scenario, createPolicy, seed).run()
   const { counters } = result.tally
   const effort = counters.reduce((sum, one) => sum + one.effort, 0)
@@ -95,7 +95,7 @@
 }
 
 /** Runs all chosen combinations and passes on each row as soon as its run ends. Unknown scenario names are skipped. */
-export function runExperiment (choice: ExperimentChoice, handleRow: (row: Row) => void): void {
+export function runExperiment (choice: ExperimentChoice, handleRow: (row: ResultRow) => void): void {
   const names = choice.scenarios ?? scenarios.map(one => one.name)
   for (const user of userProfiles) {
     if (choice.users !== undefined && !choice.users.includes(user.name)) continue
@@ -117,6 +117,6 @@
 export function measureRemoteShare (): number {
   const [user] = userProfiles
   const scenario = findScenario('ordinary') as Scenario
-  const { submitted } = new Simulation(user, scenario, sharings['owned-8'], 1).run()
+  const { submitted } = new Simulation(user, scenario, sharingPolicies['owned-8'], 1).run()
   return submitted.remote / (submitted.remote + submitted.local)
 }
--- a/src/measure/shard-policy.ts
+++ b/src/measure/shard-policy.ts
@@ -1,6 +1,6 @@
 /** The production policy in a simulation: a `Placer` on each box and a `Scheduler` for each shard. */
-import { Placer, RetryBudget, Scheduler, assignOwners, brandId, defaultTuning, partEngines } from '../core/index.js'
-import type { BoxId, EngineId, EngineSpec, LoadReport, ModelName, Placement, PoolName, SchedulerAction, SchedulerEvent, Shard, ShardId, ShardWord, StreamEnd, Submission, ZoneName } from '../core/index.js'
+import { Placer, RetryBudget, Scheduler, assignOwners, brandId, defaultTuning, partitionEngines } from '../core/index.js'
+import type { BoxId, EngineId, EngineSpec, LoadReport, ModelName, Placement, PoolName, SchedulerAction, SchedulerEvent, Shard, ShardId, ShardMessage, StreamEnd, Submission, ZoneName } from '../core/index.js'
 import type { Policy, PolicyHost } from './policy.js'
 import type { SimRequest } from './sim-request.js'
 
@@ -127,7 +127,7 @@
     const { mode, maxEnginesPerShard } = this.#sharing
     const engines = this.#host.engines.map(engine => ({ id: engine.id, pool, zone: engine.zone }))
     if (mode === 'owned') {
-      const shards = partEngines(engines, () => [model], maxEnginesPerShard)
+      const shards = partitionEngines(engines, () => [model], maxEnginesPerShard)
       const owners = this.#assignOwners(shards)
       for (const shard of shards) this.#addShard(shard, owners.get(shard.id), 1)
       return
@@ -231,7 +231,7 @@
     this.#requests.delete(request.id)
   }
 
-  #deliver (from: BoxId, owner: BoxId, shard: ShardId, message: ShardWord): boolean {
+  #deliver (from: BoxId, owner: BoxId, shard: ShardId, message: ShardMessage): boolean {
     const owned = this.#shards.get(shard)
     if (owned === undefined || owned.owner !== owner || !this.#isReachable(from, owner)) return false
     if (message.type === 'submit') this.#host.noteSubmitted(from !== owner)
@@ -249,7 +249,7 @@
     return this.#zones.get(from) === this.#zones.get(to) ? sameZoneDelayMs : crossZoneDelayMs
   }
 
-  #handleMessage (owned: OwnedShard, message: ShardWord): void {
+  #handleMessage (owned: OwnedShard, message: ShardMessage): void {
     const at = this.#host.now()
     if (message.type === 'submit') this.#step(owned, { type: 'submit', at, submission: { ...message.submission, deadline: at + message.leftMs } })
     else this.#step(owned, { ...message, at })
--- a/src/measure/sim-engine.ts
+++ b/src/measure/sim-engine.ts
@@ -40,7 +40,7 @@
 
   /** Starts a request. While the engine is down, it fails after `connectionRefusedMs` as not reached. */
   add (request: SimRequest, priority: number): void {
-    if (this.#isDown) return this.#queue.after(connectionRefusedMs, () => this.#host.noteFailed(request, this.id, false))
+    if (this.#isDown) return this.#queue.schedule(connectionRefusedMs, () => this.#host.noteFailed(request, this.id, false))
     this.#streams.set(request.id, request)
     request.effort += request.promptTokens * promptTokenEffort
     this.#model.add({ id: request.id, priority, promptTokens: request.promptTokens + request.receivedTokens, prefix: request.prefix, tokens: request.tokens - request.receivedTokens })
@@ -73,7 +73,7 @@
     this.#isStepping = true
     const { ms, tokens, finished } = this.#model.step()
     this.#lastStepMs = ms
-    this.#queue.after(ms, () => {
+    this.#queue.schedule(ms, () => {
       this.#isStepping = false
       for (const id of tokens) this.#deliverToken(id)
       for (const id of finished) this.#finishStream(id)
--- a/src/measure/simulation.ts
+++ b/src/measure/simulation.ts
@@ -99,7 +99,7 @@
       engines: this.#engines,
       boxes: this.#boxes,
       now: () => this.#queue.now,
-      schedule: (delayMs, run) => this.#queue.after(delayMs, run),
+      schedule: (delayMs, run) => this.#queue.schedule(delayMs, run),
       random: this.#policyRandom,
       canReach: (box, zone) => this.#canReach(box, zone),
       getZone: engine => this.#zones.get(engine) ?? 0,
@@ -119,7 +119,7 @@
   }
 
   #repeat (everyMs: number, run: () => void): void {
-    this.#queue.after(everyMs, () => {
+    this.#queue.schedule(everyMs, () => {
       run()
       this.#repeat(everyMs, run)
     })
@@ -131,7 +131,7 @@
     const waitMs = -Math.log(1 - this.#random()) * 1000 / this.#findRate(traffic)
     const next = this.#truncateAtRateChange(waitMs)
     if (this.#queue.now + next.waitMs >= this.#scenario.durationMs) return
-    this.#queue.after(next.waitMs, () => {
+    this.#queue.schedule(next.waitMs, () => {
       if (next.arrives) this.#handleArrival(traffic)
       this.#scheduleArrival(traffic)
     })
@@ -181,7 +181,7 @@
     }
     if (box.id === this.#failedBox) return this.#end(request, 'failed')
     this.#openRequests.add(request)
-    this.#queue.after(traffic.callerTimeoutMs, () => this.#cancelOnTimeout(request))
+    this.#queue.schedule(traffic.callerTimeoutMs, () => this.#cancelOnTimeout(request))
     this.#policy.handleArrival(request)
   }
 
@@ -201,7 +201,7 @@
     request.engine = engine
     request.attempts += 1
     const { attempts } = request
-    this.#queue.after(engineDelayMs, () => {
+    this.#queue.schedule(engineDelayMs, () => {
       if (request.outcome !== null || request.attempts !== attempts) return
       const zone = this.#zones.get(engine) ?? 0
       if (!this.#canReach(request.box, zone)) return this.#noteFailed(request, engine, false)
@@ -253,18 +253,18 @@
 
   #scheduleFaults (): void {
     const { slowdown, crashes, permanentCrash, boxFailure } = this.#scenario
-    if (slowdown !== null) this.#queue.after(slowdown.fromMs, () => this.#sampleEngines(slowdown.share).forEach(engine => { engine.slowFactor = slowdown.factor }))
-    if (permanentCrash !== null) this.#queue.after(permanentCrash.fromMs, () => this.#sampleEngines(permanentCrash.share).forEach(engine => engine.crash()))
+    if (slowdown !== null) this.#queue.schedule(slowdown.fromMs, () => this.#sampleEngines(slowdown.share).forEach(engine => { engine.slowFactor = slowdown.factor }))
+    if (permanentCrash !== null) this.#queue.schedule(permanentCrash.fromMs, () => this.#sampleEngines(permanentCrash.share).forEach(engine => engine.crash()))
     if (crashes !== null) this.#repeatCrashes(crashes)
-    if (boxFailure !== null) this.#queue.after(boxFailure.atMs, () => this.#failBox(this.#boxes[boxFailure.box].id))
+    if (boxFailure !== null) this.#queue.schedule(boxFailure.atMs, () => this.#failBox(this.#boxes[boxFailure.box].id))
   }
 
   #repeatCrashes (crashes: NonNullable<Scenario['crashes']>): void {
-    this.#queue.after(crashes.everyMs, () => {
+    this.#queue.schedule(crashes.everyMs, () => {
       if (this.#queue.now >= this.#scenario.durationMs) return
       for (const engine of this.#sampleEngines(crashes.share)) {
         engine.crash()
-        this.#queue.after(crashes.downMs, () => engine.recover())
+        this.#queue.schedule(crashes.downMs, () => engine.recover())
       }
       this.#repeatCrashes(crashes)
     })
@@ -287,7 +287,7 @@
   #sendReports (): void {
     for (const engine of this.#engines) {
       const report = engine.report()
-      this.#queue.after(this.#scenario.reportLagMs, () => this.#policy.noteReport(engine.id, report))
+      this.#queue.schedule(this.#scenario.reportLagMs, () => this.#policy.noteReport(engine.id, report))
     }
   }
 }
--- a/src/proof/history-peer.ts
+++ b/src/proof/history-peer.ts
@@ -26,7 +26,7 @@
     this.#stored = {
       hard: effect.hard ?? this.#stored.hard,
       snapshot: list.snapshot,
-      entries: list.slice(list.base + 1, Infinity)
+      entries: list.slice(list.snapshotIndex + 1, Infinity)
     }
   }
 }
--- a/src/proof/lease-history.ts
+++ b/src/proof/lease-history.ts
@@ -6,7 +6,7 @@
  * commands in order but late, and loses replies. The called service does not
  * check fencing tokens; the caller of `playLeaseHistory` checks the arrivals.
  */
-import { LeaseBook, LeaseHolder, planLeaseTiming } from '../coordination/index.js'
+import { LeaseTable, LeaseHolder, planLeaseTiming } from '../coordination/index.js'
 import type { ClockReading, LeaseCommand, LeaseResult, LeaseTiming } from '../coordination/index.js'
 import { createRandom } from '../runtime/index.js'
 
@@ -16,7 +16,7 @@
   readonly boxes: number
   readonly steps: number
   /** Injects a known bug that the checks must detect: the lease's validity counts from the reply instead of the request. */
-  readonly countsFromAnswer?: boolean
+  readonly countsFromReply?: boolean
 }
 
 /** A call that arrived at the called service; calls that are exempt from the bound are left out. */
@@ -67,11 +67,11 @@
     return this.holder
   }
 
-  readClocks (at: number): ClockReading { return { steady: this.steady, wall: at + this.wallOffsetMs } }
+  readClocks (at: number): ClockReading { return { monotonic: this.steady, wall: at + this.wallOffsetMs } }
 }
 
 /** Runs one simulation; returns the arrivals in order. */
-export function playLeaseHistory (shape: LeaseHistoryShape): LeaseArrival[] {
+export function runLeaseHistory (shape: LeaseHistoryShape): LeaseArrival[] {
   return new LeaseHistory(shape).play()
 }
 
@@ -79,7 +79,7 @@
   #shape: LeaseHistoryShape
   #random: () => number
   #boxes: HistoryBox[]
-  #leases = new LeaseBook()
+  #leases = new LeaseTable()
   /** Callbacks to run at a later true time, ms. */
   #scheduled: { readonly at: number, readonly run: () => void }[] = []
   #arrivals: LeaseArrival[] = []
@@ -170,9 +170,9 @@
 
   #handleResult (box: HistoryBox, holder: LeaseHolder, result: LeaseResult | null): void {
     if (box.holder !== holder) return
-    holder.noteEnd(result)
+    holder.noteResult(result)
     // The injected bug: the remaining validity counts from when the reply is read.
-    if (this.#shape.countsFromAnswer === true && result?.type === 'granted') Object.assign(box.holder, { findFence: createLateFenceCheck(box.readClocks(this.#now), box.timing, result.fence) })
+    if (this.#shape.countsFromReply === true && result?.type === 'granted') Object.assign(box.holder, { findFence: createLateFenceCheck(box.readClocks(this.#now), box.timing, result.fence) })
   }
 
   // The log applies a command after some ms; its reply comes later still, or never. A suspended box reads it when it resumes.
@@ -213,5 +213,5 @@
 }
 
 function createLateFenceCheck (answeredAt: ClockReading, timing: LeaseTiming, fence: number): (now: ClockReading, needMs: number) => number | null {
-  return (now, needMs) => now.steady - answeredAt.steady + needMs > timing.holdMs ? null : fence
+  return (now, needMs) => now.monotonic - answeredAt.monotonic + needMs > timing.holdMs ? null : fence
 }
--- a/src/proof/raft-history.ts
+++ b/src/proof/raft-history.ts
@@ -281,7 +281,7 @@
     const nextMembers = this.#nextMembers(members, lostId, replacement)
     if (nextMembers === null) {
       // Redundancy is restored only once the membership change is committed.
-      if (!leader.node.isSettled) return
+      if (!leader.node.hasCommittedMembers) return
       this.#lostVoter = null
       this.#repaired += 1
       return
--- a/src/proof/scheduler-history.ts
+++ b/src/proof/scheduler-history.ts
@@ -13,7 +13,7 @@
   readonly granted: number
   readonly refused: number
   readonly yielded: number
-  readonly patientFinished: number
+  readonly deferrableFinished: number
 }
 
 interface ActiveRequest {
@@ -68,7 +68,7 @@
       granted: this.#granted,
       refused: this.#refused,
       yielded: this.#yielded,
-      patientFinished: this.#patientFinished
+      deferrableFinished: this.#patientFinished
     }
   }
 
--- a/src/protocol/box-message.ts
+++ b/src/protocol/box-message.ts
@@ -1,6 +1,6 @@
 /** Messages that entry boxes, keepers and operators' clients exchange over links. */
 import type { Change, CommandId, Document, KeeperCommand, KeeperResult, Members, RaftMessage, ReplicaId, Revision } from '../coordination/index.js'
-import type { RequestId, ShardAnswer, ShardId, ShardWord, WorkspaceName } from '../core/index.js'
+import type { RequestId, ShardReply, ShardId, ShardMessage, WorkspaceName } from '../core/index.js'
 import type { PackedLoad } from './packed-load.js'
 import type { BoxStatus, KeeperStatus } from './status.js'
 
@@ -38,8 +38,8 @@
   | { readonly type: 'revisions', readonly revisions: readonly Revision[] }
   | { readonly type: 'whole', readonly document: Document, readonly revision: number }
   | { readonly type: 'ask-config', readonly revision: number }
-  | { readonly type: 'shard-word', readonly shard: ShardId, readonly word: ShardWord }
-  | { readonly type: 'shard-answer', readonly shard: ShardId, readonly answer: ShardAnswer }
+  | { readonly type: 'shard-word', readonly shard: ShardId, readonly word: ShardMessage }
+  | { readonly type: 'shard-answer', readonly shard: ShardId, readonly answer: ShardReply }
   | { readonly type: 'not-owner', readonly shard: ShardId, readonly request: RequestId, readonly attempt: number }
   /** Loads of the shards that a box owns, sent often. `demands` of its active workspaces come less often; null in between. */
   | { readonly type: 'loads', readonly loads: readonly PackedLoad[], readonly demands: readonly (readonly [WorkspaceName, number])[] | null }
--- a/src/protocol/dialect.ts
+++ b/src/protocol/dialect.ts
@@ -5,12 +5,12 @@
  * platform defines its own.
  */
 import type { EndpointRecord, EndpointStage, PromptCost, RoutingDocument } from '../core/index.js'
-import type { DutyCall, DutyLease, OutsideCall } from './duty-call.js'
+import type { DutyCall, DutyLease, OutgoingRequest } from './duty-call.js'
 import type { EndpointNotices } from './endpoint-notices.js'
 import type { HeaderMap } from './header-map.js'
 
 /** Values read from the headers of a caller's request. */
-export interface CallerWords {
+export interface CallerHeaders {
   /** The caller's id for the request; empty if missing. */
   readonly requestId: string
   /** How long the caller waits for the answer, ms; null if not given. */
@@ -39,13 +39,13 @@
 }
 
 /** Values read from the status and headers of an endpoint's answer. */
-export interface AnswerWords {
+export interface AnswerHeaders {
   /** Id of the answered request; empty if missing. */
   readonly requestId: string
   /** True where the endpoint states that it neither ran the request nor will run it. */
   readonly isNotRun: boolean
   /** True where a different endpoint than the addressed one answered. */
-  readonly isOtherEndpoint: boolean
+  readonly isMisdirected: boolean
   /** True where the answer has the header that every complete answer of an endpoint carries, or where the dialect defines none. */
   readonly isMarked: boolean
   readonly notices: EndpointNotices
@@ -81,11 +81,11 @@
 export interface Dialect {
   /** Path of a gateway's readiness check. */
   readonly readyPath: string
-  readCaller (headers: HeaderMap): CallerWords
+  readCaller (headers: HeaderMap): CallerHeaders
   /** Raw headers for the endpoint: the caller's, in their order and case, without hop-by-hop and reserved headers, followed by those for `values`. */
   composeRequest (rawHeaders: readonly string[], values: EndpointRequestHeaders): string[]
   /** `wallMs`: Unix time at which the answer arrived. */
-  readAnswer (status: number, headers: HeaderMap, wallMs: number): AnswerWords
+  readAnswer (status: number, headers: HeaderMap, wallMs: number): AnswerHeaders
   /** The value of Retry-After, in seconds. */
   formatRetryAfter (ms: number): string
   readRegistryCall (method: string, path: string): RegistryCall
@@ -93,9 +93,9 @@
   decodeDocument (text: string): RoutingDocument
   /** Throws `DocumentError` for an invalid registration. */
   decodeRegistration (endpoint: string, text: string): EndpointRecord
-  composeDuty (call: DutyCall, lease: DutyLease): OutsideCall
+  composeDuty (call: DutyCall, lease: DutyLease): OutgoingRequest
   /** The record for an endpoint that deregisters itself. */
-  composeGone (endpoint: string, stage: EndpointStage): EndpointRecord
+  composeDeregistration (endpoint: string, stage: EndpointStage): EndpointRecord
 }
 
 /** Headers that apply to a single connection and must not be forwarded (RFC 9110, section 7.6.1). */
--- a/src/protocol/document-reader.ts
+++ b/src/protocol/document-reader.ts
@@ -1,7 +1,7 @@
 import { DocumentError } from './dialect.js'
 
 /** Highest TCP port. */
-export const mostPort = 65_535
+export const maxPort = 65_535
 
 /**
  * Reads a decoded document field by field and collects all mistakes, so that an
@@ -23,7 +23,7 @@
   has (key: string): boolean { return this.#table[key] !== undefined && this.#table[key] !== null }
 
   /** A non-empty string; a missing one is a mistake unless there is a fallback. */
-  readText (key: string, fallback?: string): string {
+  readString (key: string, fallback?: string): string {
     const found = this.#table[key]
     if (typeof found === 'string' && found !== '') return found
     if (fallback !== undefined && !this.has(key)) return fallback
@@ -40,7 +40,7 @@
   }
 
   /** A safe integer that is at least `least`. */
-  readWhole (key: string, least = 0, fallback?: number): number {
+  readInteger (key: string, least = 0, fallback?: number): number {
     const found = this.#table[key]
     if (fallback !== undefined && !this.has(key)) return fallback
     if (Number.isSafeInteger(found) && (found as number) >= least) return found as number
@@ -53,7 +53,7 @@
     return Object.keys(this.#table).map(key => [key, this.readNumber(key)])
   }
 
-  readSwitch (key: string, fallback: boolean): boolean {
+  readBoolean (key: string, fallback: boolean): boolean {
     const found = this.#table[key]
     if (typeof found === 'boolean') return found
     if (this.has(key)) this.#addMistake(key, 'is not true or false')
@@ -76,7 +76,7 @@
     return []
   }
 
-  readTexts (key: string): string[] {
+  readStrings (key: string): string[] {
     const found = this.#table[key]
     if (Array.isArray(found) && found.every(one => typeof one === 'string')) return found
     this.#addMistake(key, 'is not a list of strings')
@@ -88,13 +88,13 @@
   }
 
   /** Records a mistake that the caller found; returns `replacement` as the field's value. */
-  refuse<T> (key: string, problem: string, replacement: T): T {
+  addMistake<T> (key: string, problem: string, replacement: T): T {
     this.#addMistake(key, problem)
     return replacement
   }
 
   /** Throws `DocumentError` if there were any mistakes. */
-  finish (): void {
+  throwIfInvalid (): void {
     if (this.#mistakes.length > 0) throw new DocumentError(this.#mistakes)
   }
 
--- a/src/protocol/duty-call.ts
+++ b/src/protocol/duty-call.ts
@@ -18,7 +18,7 @@
 }
 
 /** A call as an HTTP request. */
-export interface OutsideCall {
+export interface OutgoingRequest {
   readonly method: string
   readonly path: string
   readonly headers: Readonly<Record<string, string>>
@@ -38,7 +38,7 @@
 }
 
 /** Formats a call in a dialect's names. */
-export function composeDuty (names: DutyNames, call: DutyCall, { holder, fence }: DutyLease): OutsideCall {
+export function composeDuty (names: DutyNames, call: DutyCall, { holder, fence }: DutyLease): OutgoingRequest {
   const headers = { 'content-type': 'application/json', [names.holder]: holder, [names.fence]: String(fence) }
   switch (call.type) {
     case 'report-usage': return { method: 'POST', path: names.usage, headers, body: JSON.stringify(names.composeUsage(call.window, call.counts)) }
--- a/src/protocol/frame-body.ts
+++ b/src/protocol/frame-body.ts
@@ -1,6 +1,6 @@
 /** The body of a link's frame: the sender's hybrid time and a batch of messages. */
 import type { HybridTime } from '../runtime/index.js'
-import { decodeForeign, encodeValue } from './value-codec.js'
+import { decodeUntrusted, encodeValue } from './value-codec.js'
 
 /** Encoded messages, so that a message to hundreds of links is encoded once. Entries live as long as the message object. */
 const encodedMessages = new WeakMap<object, Buffer>()
@@ -17,7 +17,7 @@
 
 /** Decodes the body of a frame; undefined for invalid bytes. */
 export function decodeBody (bytes: Uint8Array): { readonly time: HybridTime, readonly messages: readonly unknown[] } | undefined {
-  const decoded = decodeForeign(bytes)
+  const decoded = decodeUntrusted(bytes)
   if (!Array.isArray(decoded) || !Array.isArray(decoded[2])) return undefined
   const [ms, count, messages] = decoded as [number, number, unknown[]]
   return { time: { ms, count }, messages }
--- a/src/protocol/header-dialect.ts
+++ b/src/protocol/header-dialect.ts
@@ -5,11 +5,11 @@
 import { brandId } from '../core/index.js'
 import type { EndpointRecord, EndpointStage, PromptCost, PromptPart, RoutingDocument } from '../core/index.js'
 import { composeDuty } from './duty-call.js'
-import type { DutyCall, DutyNames, DutyLease, OutsideCall } from './duty-call.js'
+import type { DutyCall, DutyNames, DutyLease, OutgoingRequest } from './duty-call.js'
 import { copyHeaders } from './dialect.js'
 import { readNotices } from './endpoint-notices.js'
 import type { HeaderMap } from './header-map.js'
-import type { AnswerWords, CallerWords, Dialect, EndpointRequestHeaders, RegistryCall } from './dialect.js'
+import type { AnswerHeaders, CallerHeaders, Dialect, EndpointRequestHeaders, RegistryCall } from './dialect.js'
 
 /** The header names of a dialect; lookups ignore case. */
 export interface HeaderNames {
@@ -97,7 +97,7 @@
     this.#strippedHeaders = new Set([...framingHeaders, 'authorization', deadline, expectedEndpoint, workspace, priority, fetchFrom, lastEvent, ...reserved])
   }
 
-  readCaller (headers: HeaderMap): CallerWords {
+  readCaller (headers: HeaderMap): CallerHeaders {
     return {
       requestId: readText(headers, this.#lowerNames.requestId) ?? '',
       deadlineMs: readMs(headers, this.#lowerNames.deadline),
@@ -118,13 +118,13 @@
     return headers
   }
 
-  readAnswer (status: number, headers: HeaderMap, wallMs: number): AnswerWords {
+  readAnswer (status: number, headers: HeaderMap, wallMs: number): AnswerHeaders {
     const { requestId, notRun, mark } = this.#lowerNames
     const isOtherEndpoint = status === misdirectedStatus
     return {
       requestId: readText(headers, requestId) ?? '',
       isNotRun: isOtherEndpoint || headers[notRun] !== undefined,
-      isOtherEndpoint,
+      isMisdirected: isOtherEndpoint,
       isMarked: mark === '' || headers[mark] !== undefined,
       notices: readNotices(status, headers, this.#lowerNames, wallMs)
     }
@@ -149,9 +149,9 @@
     return { type: 'unknown' }
   }
 
-  composeDuty (call: DutyCall, lease: DutyLease): OutsideCall { return composeDuty(this.#duties, call, lease) }
+  composeDuty (call: DutyCall, lease: DutyLease): OutgoingRequest { return composeDuty(this.#duties, call, lease) }
 
-  composeGone (endpoint: string, stage: EndpointStage): EndpointRecord {
+  composeDeregistration (endpoint: string, stage: EndpointStage): EndpointRecord {
     return { id: brandId(endpoint), service: brandId(''), host: '', port: 0, zone: brandId(''), slots: 0, born: 0, software: '', sequence: 0, stage }
   }
 }
@@ -184,7 +184,7 @@
   if (tokens === null) return null
   const [promptTokens, mostTokens] = tokens.split(',').map(Number)
   if (!Number.isFinite(promptTokens)) return null
-  return { promptTokens, mostTokens: Number.isFinite(mostTokens) ? mostTokens : 0, parts: parts === null ? [] : readParts(parts) }
+  return { promptTokens, maxTokens: Number.isFinite(mostTokens) ? mostTokens : 0, parts: parts === null ? [] : readParts(parts) }
 }
 
 function readParts (text: string): PromptPart[] {
--- a/src/protocol/link-pool.ts
+++ b/src/protocol/link-pool.ts
@@ -12,10 +12,10 @@
   /** Time-out of a connection attempt. */
   readonly connectMs: number
   /** Upper bound of the pause between attempts, which doubles with each failure. */
-  readonly longestRetryMs: number
+  readonly maxRetryMs: number
 }
 
-const defaultTiming: DialTiming = { connectMs: 3000, longestRetryMs: 2000 }
+const defaultTiming: DialTiming = { connectMs: 3000, maxRetryMs: 2000 }
 
 interface DialedPeer<Message> {
   readonly host: string
@@ -42,7 +42,7 @@
     this.#host = {
       id: host.id,
       secret: host.secret,
-      pulse: host.pulse,
+      heartbeat: host.heartbeat,
       clock: host.clock,
       receive: (link, message) => host.receive(link, message),
       noteOpen: link => {
@@ -95,11 +95,11 @@
   }
 
   /** Dialed hosts with an open link on which data was received since `since`, a time as of `performance.now()`. */
-  listHeard (since: number): { readonly host: string, readonly link: Link<Message> }[] {
-    return [...this.#dialed.values()].flatMap(({ host, link }) => link?.isOpen === true && link.heardAt >= since ? [{ host, link }] : [])
+  listActive (since: number): { readonly host: string, readonly link: Link<Message> }[] {
+    return [...this.#dialed.values()].flatMap(({ host, link }) => link?.isOpen === true && link.lastReceivedAt >= since ? [{ host, link }] : [])
   }
 
-  hangUp (host: string, port: number): void {
+  disconnect (host: string, port: number): void {
     const key = `${host}:${port}`
     const dialed = this.#dialed.get(key)
     if (dialed === undefined) return
@@ -112,7 +112,7 @@
   close (): void {
     this.#isClosed = true
     this.#server?.close()
-    for (const { host, port } of [...this.#dialed.values()]) this.hangUp(host, port)
+    for (const { host, port } of [...this.#dialed.values()]) this.disconnect(host, port)
     for (const socket of this.#sockets) socket.destroy()
   }
 
@@ -131,7 +131,7 @@
       dialed.link = null
       if (!dialed.isWanted || this.#isClosed) return
       dialed.timer = setTimeout(() => this.#connect(dialed), dialed.retryMs)
-      dialed.retryMs = Math.min(this.#timing.longestRetryMs, dialed.retryMs * 2)
+      dialed.retryMs = Math.min(this.#timing.maxRetryMs, dialed.retryMs * 2)
     })
   }
 
--- a/src/protocol/link.ts
+++ b/src/protocol/link.ts
@@ -12,7 +12,7 @@
 import { HmacAuthenticator, deriveKeys, noAuthentication } from './frame-authentication.js'
 import type { FrameAuthenticator, FrameSide } from './frame-authentication.js'
 import { FrameSplitter, frameBytes } from './frame-splitter.js'
-import { decodeForeign, encodeValue } from './value-codec.js'
+import { decodeUntrusted, encodeValue } from './value-codec.js'
 
 const maxFrameBytes = 64 * 2 ** 20
 const maxHelloBytes = 1024
@@ -33,9 +33,9 @@
 /** Heartbeat timing of a link, ms. */
 export interface LinkHeartbeat {
   /** The longest time between two sent frames. */
-  readonly everyMs: number
+  readonly intervalMs: number
   /** A link that receives nothing for this long is closed. */
-  readonly silentMs: number
+  readonly timeoutMs: number
 }
 
 /** Identity of this side and handlers of the link's events. */
@@ -44,7 +44,7 @@
   /** The shared secret; null disables the authentication of frames. */
   readonly secret: string | null
   /** Undefined for links without heartbeats. */
-  readonly pulse?: LinkHeartbeat
+  readonly heartbeat?: LinkHeartbeat
   readonly clock: HybridClock
   receive (link: Link<Message>, message: Message): void
   noteOpen (link: Link<Message>): void
@@ -87,13 +87,13 @@
   }
 
   /** When data was last received, as of `performance.now()`. */
-  get heardAt (): number { return this.#lastReceivedAt }
+  get lastReceivedAt (): number { return this.#lastReceivedAt }
   /** The peer's IP address. */
   get peerHost (): string { return this.#peerHost }
   /** The peer's name; empty before its hello. */
   get peer (): string { return this.#peer }
   /** True where this side closed the link for lack of heartbeats. */
-  get wasSilent (): boolean { return this.#hasTimedOut }
+  get hasTimedOut (): boolean { return this.#hasTimedOut }
   get isOpen (): boolean { return this.#outgoing !== null && !this.#socket.destroyed }
 
   /** Queues a message for sending; false where the link is not open. */
@@ -155,7 +155,7 @@
   }
 
   #readHello (frame: Buffer): void {
-    const hello = decodeForeign(frame) as Hello | undefined
+    const hello = decodeUntrusted(frame) as Hello | undefined
     if (hello === undefined || hello.v !== protocolVersion || typeof hello.id !== 'string' || hello.nonce?.length !== nonceBytes) {
       return this.#fail('bad-hello')
     }
@@ -181,13 +181,13 @@
   }
 
   #startHeartbeat (): void {
-    const { pulse } = this.#host
-    if (pulse === undefined) return
+    const { heartbeat } = this.#host
+    if (heartbeat === undefined) return
     this.#heartbeatTimer = setInterval(() => {
       const now = performance.now()
-      if (now - this.#lastReceivedAt > pulse.silentMs) return this.#fail('silent')
-      if (now - this.#lastSentAt >= pulse.everyMs) this.#sendFrame([])
-    }, pulse.everyMs / 2)
+      if (now - this.#lastReceivedAt > heartbeat.timeoutMs) return this.#fail('silent')
+      if (now - this.#lastSentAt >= heartbeat.intervalMs) this.#sendFrame([])
+    }, heartbeat.intervalMs / 2)
   }
 
   #readFrame (frame: Buffer, authenticator: FrameAuthenticator): void {
--- a/src/protocol/load-datagram.ts
+++ b/src/protocol/load-datagram.ts
@@ -4,11 +4,11 @@
  * send their gateways the totals. Each datagram can be decoded on its own, so a
  * lost one only delays the data until a later report.
  */
-import type { BoxId, BoxLoad, EndpointId, EndpointLoad, EndpointNotice, EngineGap, ReadPrompt, ServiceTotal, SumNews, WaitingTokens, ZoneName } from '../core/index.js'
-import { decodeForeign, encodeValue } from './value-codec.js'
+import type { BoxId, BoxLoad, EndpointId, EndpointLoad, EndpointNotice, EngineGap, PromptReport, ServiceTotal, LoadUpdate, WaitingTokens, ZoneName } from '../core/index.js'
+import { decodeUntrusted, encodeValue } from './value-codec.js'
 
 /** Orders the reports of a sender: a later one replaces earlier ones. */
-export interface WordNumber {
+export interface ReportSequence {
   /** Random id of the sender's process; numbers restart with it. */
   readonly start: number
   /** Incremented with each report. */
@@ -16,7 +16,7 @@
 }
 
 /** A gateway's report to a hub. */
-export interface GatewayReport extends WordNumber {
+export interface GatewayReport extends ReportSequence {
   readonly box: BoxId
   readonly zone: ZoneName
   /** Null where the gateway reports to a different hub from now on. */
@@ -26,21 +26,21 @@
 }
 
 /** A hub's report to another hub. */
-export interface HubReport extends WordNumber {
+export interface HubReport extends ReportSequence {
   readonly hub: BoxId
   /** Update of the summed loads of this hub's gateways. */
-  readonly news: SumNews
+  readonly news: LoadUpdate
   /** New endpoint notices; periodically all of them. */
   readonly notices: readonly EndpointNotice[]
 }
 
 /** A hub's report to a gateway. */
-export interface TotalsReport extends WordNumber {
+export interface TotalsReport extends ReportSequence {
   /** Number of the gateway's latest report that the totals include. */
   readonly ownNumber: number
   /** Interval at which the hub sends changes, ms. */
   readonly intervalMs: number
-  readonly news: SumNews
+  readonly news: LoadUpdate
   readonly notices: readonly EndpointNotice[]
 }
 
@@ -49,16 +49,16 @@
 export const startLimit = 2 ** 31
 
 /** True for a report with a higher number than the known one, or from another start of the sender. */
-export function isNewerWord (report: WordNumber, known: WordNumber | undefined): boolean {
+export function isNewerReport (report: ReportSequence, known: ReportSequence | undefined): boolean {
   return known === undefined || known.start !== report.start || known.number < report.number
 }
 
-export function encodeLoadWord ({ box, zone, start, number, load, notices }: GatewayReport): Buffer {
+export function encodeGatewayReport ({ box, zone, start, number, load, notices }: GatewayReport): Buffer {
   return encodeValue([wireVersion, box, zone, start, number, load, notices.map(packNotice)])
 }
 
 /** Decodes a gateway's report; null for invalid bytes. */
-export function decodeLoadWord (bytes: Uint8Array): GatewayReport | null {
+export function decodeGatewayReport (bytes: Uint8Array): GatewayReport | null {
   const fields = decodeFields(bytes, 7)
   if (fields === null) return null
   const [, box, zone, start, number, load, packed] = fields as [number, BoxId, ZoneName, number, number, BoxLoad | null, unknown]
@@ -67,12 +67,12 @@
   return isValid && notices !== null ? { box, zone, start, number, load, notices } : null
 }
 
-export function encodeHubWord ({ hub, start, number, news, notices }: HubReport): Buffer {
-  return encodeValue([wireVersion, hub, start, number, encodeNews(news), notices.map(packNotice)])
+export function encodeHubReport ({ hub, start, number, news, notices }: HubReport): Buffer {
+  return encodeValue([wireVersion, hub, start, number, encodeLoadUpdate(news), notices.map(packNotice)])
 }
 
 /** Decodes a hub's report to another hub; null for invalid bytes. */
-export function decodeHubWord (bytes: Uint8Array): HubReport | null {
+export function decodeHubReport (bytes: Uint8Array): HubReport | null {
   const fields = decodeFields(bytes, 6)
   if (fields === null) return null
   const [, hub, start, number, encoded, packed] = fields as [number, BoxId, number, number, unknown, unknown]
@@ -82,7 +82,7 @@
 }
 
 /** Encodes an update of summed loads once for all recipients of a hub's reports. */
-export function encodeNews ({ isWhole, loads, gone, demands, gaps, prompts, zones }: SumNews): Buffer {
+export function encodeLoadUpdate ({ isWhole, loads, gone, demands, gaps, prompts, zones }: LoadUpdate): Buffer {
   return encodeValue([isWhole, loads.map(packLoad), gone, demands, gaps, prompts, zones])
 }
 
@@ -90,17 +90,17 @@
 export function encodeNotices (notices: readonly EndpointNotice[]): Buffer { return encodeValue(notices.map(packNotice)) }
 
 /** Encodes a hub's report to one gateway; `news` and `notices` are already encoded. */
-export function encodeTotalsWord (report: Omit<TotalsReport, 'news' | 'notices'>, news: Buffer, notices: Buffer): Buffer {
+export function encodeTotalsReport (report: Omit<TotalsReport, 'news' | 'notices'>, news: Buffer, notices: Buffer): Buffer {
   return encodeValue([wireVersion, report.start, report.number, report.ownNumber, report.intervalMs, news, notices])
 }
 
 /** Decodes a hub's report to a gateway; null for invalid bytes. */
-export function decodeTotalsWord (bytes: Uint8Array): TotalsReport | null {
+export function decodeTotalsReport (bytes: Uint8Array): TotalsReport | null {
   const fields = decodeFields(bytes, 7)
   if (fields === null) return null
   const [, start, number, ownNumber, intervalMs, encoded, packed] = fields as [number, number, number, number, number, unknown, unknown]
   const news = decodeLoadUpdate(encoded)
-  const notices = packed instanceof Uint8Array ? unpackNotices(decodeForeign(packed)) : null
+  const notices = packed instanceof Uint8Array ? unpackNotices(decodeUntrusted(packed)) : null
   return news === null || notices === null ? null : { start, number, ownNumber, intervalMs, news, notices }
 }
 
@@ -141,16 +141,16 @@
   return typeof endpoint === 'string' && Number.isFinite(born) && Number.isFinite(stamp) && isLimit && typeof isLeaving === 'boolean'
 }
 
-function decodeLoadUpdate (encoded: unknown): SumNews | null {
-  const packed = encoded instanceof Uint8Array ? decodeForeign(encoded) : undefined
+function decodeLoadUpdate (encoded: unknown): LoadUpdate | null {
+  const packed = encoded instanceof Uint8Array ? decodeUntrusted(encoded) : undefined
   if (!Array.isArray(packed) || packed.length !== 7) return null
-  const [isWhole, loads, gone, demands, gaps, prompts, zones] = packed as [boolean, PackedLoad[], EndpointId[], ServiceTotal[], EngineGap[] | null, ReadPrompt[], ZoneName[]]
+  const [isWhole, loads, gone, demands, gaps, prompts, zones] = packed as [boolean, PackedLoad[], EndpointId[], ServiceTotal[], EngineGap[] | null, PromptReport[], ZoneName[]]
   const isValid = [loads, gone, demands, gaps ?? [], prompts, zones].every(list => Array.isArray(list)) && loads.every(isPackedLoad)
   return isValid ? { isWhole, loads: loads.map(unpackLoad), gone, demands, gaps, prompts, zones } : null
 }
 
 function decodeFields (bytes: Uint8Array, length: number): unknown[] | null {
-  const fields = decodeForeign(bytes)
+  const fields = decodeUntrusted(bytes)
   return Array.isArray(fields) && fields.length === length && fields[0] === wireVersion ? fields : null
 }
 
--- a/src/protocol/native-dialect.ts
+++ b/src/protocol/native-dialect.ts
@@ -4,7 +4,7 @@
  */
 import { brandId, defaultCallerLimits } from '../core/index.js'
 import type { EndpointRecord, EndpointSizing, EndpointStage, KeyedWorkspace, PromptTransfer, Route, RouteKind, RoutedService, RoutingDocument, WeightedService } from '../core/index.js'
-import { DocumentReader, mostPort, parseJson } from './document-reader.js'
+import { DocumentReader, maxPort, parseJson } from './document-reader.js'
 import { createDialect } from './header-dialect.js'
 
 const routeKinds: Readonly<Record<RouteKind, RouteKind>> = { repeatable: 'repeatable', once: 'once', events: 'events' }
@@ -55,15 +55,15 @@
     limits: reader.has('limits') ? reader.readTable('limits', readLimits) : defaultCallerLimits,
     workspaces: reader.has('workspaces') ? reader.readList('workspaces', readWorkspace) : null
   }
-  reader.finish()
+  reader.throwIfInvalid()
   return document
 }
 
 function readRoute (reader: DocumentReader): Route {
   return {
-    name: brandId(reader.readText('name')),
-    host: reader.readText('host'),
-    prefix: reader.readText('prefix'),
+    name: brandId(reader.readString('name')),
+    host: reader.readString('host'),
+    prefix: reader.readString('prefix'),
     kind: reader.readChoice('kind', routeKinds),
     timeoutMs: reader.readNumber('timeoutMs'),
     targetMs: reader.readNumber('targetMs'),
@@ -71,18 +71,18 @@
     priority: reader.readNumber('priority', defaultPriority),
     services: reader.readList('services', readWeighted),
     mostAttempts: reader.readNumber('mostAttempts', defaultAttempts),
-    isPublic: reader.readSwitch('public', false),
-    resumable: reader.readSwitch('resumable', false)
+    isPublic: reader.readBoolean('public', false),
+    resumable: reader.readBoolean('resumable', false)
   }
 }
 
 function readWeighted (reader: DocumentReader): WeightedService {
-  return { service: brandId(reader.readText('service')), weight: reader.readNumber('weight', 1) }
+  return { service: brandId(reader.readString('service')), weight: reader.readNumber('weight', 1) }
 }
 
 function readService (reader: DocumentReader): RoutedService {
   return {
-    name: brandId(reader.readText('name')),
+    name: brandId(reader.readString('name')),
     mostConnections: reader.readNumber('mostConnections', defaultConnections),
     sizing: reader.has('sizing') ? reader.readTable('sizing', readSizing) : null,
     engine: reader.has('engine')
@@ -98,8 +98,8 @@
 
 function readSizing (reader: DocumentReader): EndpointSizing {
   return {
-    least: reader.readWhole('least', 0),
-    most: reader.readWhole('most', 1),
+    least: reader.readInteger('least', 0),
+    most: reader.readInteger('most', 1),
     bootMs: reader.readNumber('bootMs', 0),
     spotPrice: reader.has('spotPrice') ? reader.readNumber('spotPrice') : null,
     zonePrices: new Map(reader.has('zonePrices') ? reader.readTable('zonePrices', prices => prices.readNumbers()) : [])
@@ -121,32 +121,32 @@
 
 function readWorkspace (reader: DocumentReader): KeyedWorkspace {
   return {
-    name: brandId(reader.readText('name')),
-    keys: reader.readTexts('keys'),
+    name: brandId(reader.readString('name')),
+    keys: reader.readStrings('keys'),
     priority: reader.has('priority') ? reader.readNumber('priority') : null
   }
 }
 
 function readPort (reader: DocumentReader): number {
-  const port = reader.readWhole('port', 1)
-  return port <= mostPort ? port : reader.refuse('port', `is not a port, which is ${mostPort} at most`, mostPort)
+  const port = reader.readInteger('port', 1)
+  return port <= maxPort ? port : reader.addMistake('port', `is not a port, which is ${maxPort} at most`, maxPort)
 }
 
 function decodeRegistration (endpoint: string, text: string): EndpointRecord {
   const reader = new DocumentReader(parseJson(text))
   const record: EndpointRecord = {
     id: brandId(endpoint),
-    service: brandId(reader.readText('service')),
-    host: reader.readText('host'),
+    service: brandId(reader.readString('service')),
+    host: reader.readString('host'),
     port: readPort(reader),
-    zone: brandId(reader.readText('zone')),
-    slots: reader.readWhole('slots', 1),
-    born: reader.readWhole('born', 0, 0),
-    software: reader.readText('software', ''),
-    ...(reader.readSwitch('spot', false) ? { isSpot: true } : {}),
-    sequence: reader.readWhole('sequence'),
+    zone: brandId(reader.readString('zone')),
+    slots: reader.readInteger('slots', 1),
+    born: reader.readInteger('born', 0, 0),
+    software: reader.readString('software', ''),
+    ...(reader.readBoolean('spot', false) ? { isSpot: true } : {}),
+    sequence: reader.readInteger('sequence'),
     stage: reader.readChoice('stage', stages)
   }
-  reader.finish()
+  reader.throwIfInvalid()
   return record
 }
--- a/src/protocol/packed-document.ts
+++ b/src/protocol/packed-document.ts
@@ -4,7 +4,7 @@
  */
 import { createHash } from 'node:crypto'
 import { deflateRawSync, inflateRawSync } from 'node:zlib'
-import { applySteps, compareTexts } from '../coordination/index.js'
+import { applyPatch, computePatch } from '../coordination/index.js'
 import type { PatchStep, VersionedText } from '../coordination/index.js'
 import { decodeValue, encodeValue } from './value-codec.js'
 
@@ -13,7 +13,7 @@
   readonly version: number
   /** Version of the base document; 0 where the diff is against the empty text. */
   readonly base: number
-  /** Patch steps of `compareTexts`, encoded and deflated. */
+  /** Patch steps of `computePatch`, encoded and deflated. */
   readonly steps: Uint8Array
   /** SHA-256 of the document, to verify the patched text. */
   readonly digest: Uint8Array
@@ -26,7 +26,7 @@
 
 /** Packs a document for a receiver that has `base`; null where it has none. */
 export function packDocument (document: VersionedText, base: VersionedText | null): PackedDocument {
-  const steps = compareTexts(base?.text ?? '', document.text)
+  const steps = computePatch(base?.text ?? '', document.text)
   return {
     version: document.version,
     base: base?.version ?? 0,
@@ -41,7 +41,7 @@
   if (base !== 0 && held?.version !== base) return null
   try {
     const bytes = inflateRawSync(steps, { maxOutputLength: maxDocumentBytes })
-    const text = applySteps(base === 0 ? '' : held?.text ?? '', decodeValue(bytes) as PatchStep[])
+    const text = applyPatch(base === 0 ? '' : held?.text ?? '', decodeValue(bytes) as PatchStep[])
     return computeDigest(text).equals(digest) ? { version, text } : null
   } catch {
     return null
--- a/src/protocol/route-message.ts
+++ b/src/protocol/route-message.ts
@@ -1,12 +1,12 @@
 /**
  * Messages over the links among registries, and between gateways and registries.
  */
-import type { RaftMessage, ReplicaId, UsageTelling, VersionedText } from '../coordination/index.js'
-import type { BoxId, ClosedEndpoint, CrashNews, EndpointId, EndpointNotice, EndpointRecord, PermitGrant, PermitWants, ReadPrompt } from '../core/index.js'
+import type { RaftMessage, ReplicaId, UsageUpdate, VersionedText } from '../coordination/index.js'
+import type { BoxId, ClosedEndpoint, CrashUpdate, EndpointId, EndpointNotice, EndpointRecord, PermitGrant, PermitDemand, PromptReport } from '../core/index.js'
 import type { PackedDocument } from './packed-document.js'
 
 /** Result of a document that a registry forwarded to the leader; `held`: the leader already has it or a newer one; `unknown`: it may or may not be in force. */
-export type PutEnd = 'taken' | 'held' | 'unknown'
+export type PutOutcome = 'taken' | 'held' | 'unknown'
 
 /** One message on a link. */
 export type RouteMessage =
@@ -17,7 +17,7 @@
   | { readonly type: 'gateway-hello', readonly gateway: BoxId, readonly version: number }
   /** Forwards a document to the leader. */
   | { readonly type: 'put', readonly call: number, readonly document: VersionedText }
-  | { readonly type: 'put-end', readonly call: number, readonly end: PutEnd | 'not-leader' }
+  | { readonly type: 'put-end', readonly call: number, readonly end: PutOutcome | 'not-leader' }
   /** Reads the document at the leader; `version`: of the sender's document, so that only a newer one is returned. */
   | { readonly type: 'read', readonly call: number, readonly version: number }
   /** `sure` is false where the replica can't guarantee that it has the newest document; `document` is null where the reader already has it. */
@@ -32,17 +32,17 @@
   /** Requests the prompts cached by engines, sent by a box that has just started. */
   | { readonly type: 'ask-prompts' }
   /** All prompts that some engines have cached, as far as the sender knows. */
-  | { readonly type: 'prompts', readonly prompts: readonly ReadPrompt[] }
+  | { readonly type: 'prompts', readonly prompts: readonly PromptReport[] }
   /** Crashes of endpoints and quarantined requests: only changes, or all of them for a box that may have no data. */
-  | { readonly type: 'crashes', readonly news: CrashNews }
+  | { readonly type: 'crashes', readonly news: CrashUpdate }
   /** Endpoints that sent a record recently, with the sequence number of the latest one. */
   | { readonly type: 'heard', readonly words: readonly (readonly [EndpointId, number])[] }
   /** Counts of started requests: a gateway sends its own, a registry forwards those that it received. */
-  | { readonly type: 'usage', readonly tellings: readonly UsageTelling[] }
+  | { readonly type: 'usage', readonly tellings: readonly UsageUpdate[] }
   /** Endpoint notices for a gateway that starts, so that it has them before it sends any request. */
   | { readonly type: 'notices', readonly notices: readonly EndpointNotice[] }
   /** Requests permits to send to a rate-limited endpoint; `notice`: the latest one that the sender knows. */
-  | { readonly type: 'ask-permits', readonly call: number, readonly notice: EndpointNotice, readonly wants: PermitWants }
+  | { readonly type: 'ask-permits', readonly call: number, readonly notice: EndpointNotice, readonly wants: PermitDemand }
   /** `closed`: other endpoints that have no permits left either. */
   | { readonly type: 'permits', readonly call: number, readonly grants: readonly PermitGrant[], readonly closed: readonly ClosedEndpoint[] }
   /** The requested registry does not issue permits; `leader`: host of the one that does, null if unknown. */
--- a/src/protocol/value-codec.ts
+++ b/src/protocol/value-codec.ts
@@ -26,7 +26,7 @@
 export function decodeValue (bytes: Uint8Array): unknown { return codec.decode(bytes) }
 
 /** Decodes bytes from the network; undefined for invalid ones. */
-export function decodeForeign (bytes: Uint8Array): unknown {
+export function decodeUntrusted (bytes: Uint8Array): unknown {
   try {
     return decodeValue(bytes)
   } catch {
--- a/src/registry/crash-replicator.ts
+++ b/src/registry/crash-replicator.ts
@@ -3,9 +3,9 @@
  * changes, provides the full state for boxes that connect, and persists the
  * quarantine across restarts.
  */
-import { CrashWatch, describeEntry, gatherNewsMs, joinNews } from '../core/index.js'
-import type { CrashNews, Fingerprint, QuarantineEntry, ServiceName } from '../core/index.js'
-import { Gatherer } from '../runtime/index.js'
+import { CrashWatch, describeEntry, crashUpdateDelayMs, mergeCrashUpdates } from '../core/index.js'
+import type { CrashUpdate, Fingerprint, QuarantineEntry, ServiceName } from '../core/index.js'
+import { Batcher } from '../runtime/index.js'
 import type { EventLog } from '../runtime/index.js'
 
 /** What the replicator needs of its box. */
@@ -14,29 +14,29 @@
   now (): number
   countEndpoints (service: ServiceName): number
   /** Sends to gateways and the other registries. */
-  broadcast (news: CrashNews): void
+  broadcast (news: CrashUpdate): void
   save (entries: readonly QuarantineEntry[]): void
 }
 
 export class CrashReplicator {
   #host: CrashReplicatorHost
   #crashes: CrashWatch
-  #unsent: Gatherer<CrashNews>
+  #unsent: Batcher<CrashUpdate>
 
   constructor (host: CrashReplicatorHost) {
     this.#host = host
     this.#crashes = new CrashWatch(host.countEndpoints)
-    this.#unsent = new Gatherer(gatherNewsMs, news => host.broadcast(joinNews(news)))
+    this.#unsent = new Batcher(crashUpdateDelayMs, news => host.broadcast(mergeCrashUpdates(news)))
   }
 
   /** The full state: crashes and quarantine entries. */
-  get state (): CrashNews { return this.#crashes.list(this.#host.now()) }
+  get state (): CrashUpdate { return this.#crashes.list(this.#host.now()) }
 
   /** Restores the entries saved by the previous process. */
   restore (entries: readonly QuarantineEntry[]): void { this.#crashes.merge({ ends: [], entries }, this.#host.now()) }
 
   /** Merges an update of another box; broadcasts only what is new. */
-  merge (news: CrashNews): void { this.#broadcast(this.#crashes.merge(news, this.#host.now())) }
+  merge (news: CrashUpdate): void { this.#broadcast(this.#crashes.merge(news, this.#host.now())) }
 
   /** Lifts a quarantine on an operator's request; false where there is none. */
   lift (fingerprint: Fingerprint): boolean {
@@ -47,7 +47,7 @@
     return true
   }
 
-  #broadcast (news: CrashNews): void {
+  #broadcast (news: CrashUpdate): void {
     if (news.ends.length === 0 && news.entries.length === 0) return
     this.#unsent.add(news)
     if (news.entries.length === 0) return
--- a/src/registry/duty-client.ts
+++ b/src/registry/duty-client.ts
@@ -9,7 +9,7 @@
 import type { Socket } from 'node:net'
 import type { Address } from '../config/index.js'
 import { resetSocket } from '../protocol/index.js'
-import type { OutsideCall } from '../protocol/index.js'
+import type { OutgoingRequest } from '../protocol/index.js'
 
 /** The result of a call; `not-held`: not sent, as this box no longer holds the duty. */
 export type DutyCallResult =
@@ -42,7 +42,7 @@
   get lastUnknownOutcomeAt (): number { return this.#lastUnknownOutcomeAt }
 
   /** Makes a call. `compose` returns the request to send at this moment, or null where it may not be sent. */
-  call (compose: () => OutsideCall | null): Promise<DutyCallResult> {
+  call (compose: () => OutgoingRequest | null): Promise<DutyCallResult> {
     return new Promise(resolve => {
       const socket = connect(this.#address)
       this.#sockets.add(socket)
@@ -74,7 +74,7 @@
   }
 }
 
-function send (socket: Socket, { method, path, headers, body }: OutsideCall, finish: (result: DutyCallResult) => void): void {
+function send (socket: Socket, { method, path, headers, body }: OutgoingRequest, finish: (result: DutyCallResult) => void): void {
   const request = httpRequest({ createConnection: () => socket, method, path, headers: { ...headers, 'content-length': Buffer.byteLength(body), connection: 'close' } }, answer => {
     answer.resume()
     answer.on('end', () => finish({ type: 'answered', status: answer.statusCode ?? 0 }))
--- a/src/registry/duty-runner.ts
+++ b/src/registry/duty-runner.ts
@@ -6,7 +6,7 @@
 import { parseAddress } from '../config/index.js'
 import type { DutySettings } from '../config/index.js'
 import { LeaseHolder, planLeaseTiming } from '../coordination/index.js'
-import type { ClockReading, KeeperCommand, KeeperLog, KeeperResult, LeaseCommand, LeaseResult, UsageResult, UsageTelling } from '../coordination/index.js'
+import type { ClockReading, KeeperCommand, KeeperLog, KeeperResult, LeaseCommand, LeaseResult, UsageResult, UsageUpdate } from '../coordination/index.js'
 import type { Dialect, DutyCall, Link, RouteMessage } from '../protocol/index.js'
 import { DayClock, waitUntil } from '../runtime/index.js'
 import { DutyClient } from './duty-client.js'
@@ -69,7 +69,7 @@
   start (): void { this.#timer = setInterval(() => this.#tick(), tickMs) }
 
   /** Merges usage reports of gateways, received directly or through other registries. */
-  mergeUsage (reports: readonly UsageTelling[]): void { this.#usage.merge(reports) }
+  mergeUsage (reports: readonly UsageUpdate[]): void { this.#usage.merge(reports) }
 
   /** Makes no more calls, and releases the lease once none is in flight, so that the next holder need not wait for its expiry. */
   async stop (): Promise<void> {
@@ -88,7 +88,7 @@
     this.#client.close()
   }
 
-  #readClocks (): ClockReading { return { steady: this.#host.now(), wall: Date.now() } }
+  #readClocks (): ClockReading { return { monotonic: this.#host.now(), wall: Date.now() } }
 
   #tick (): void {
     this.#ticks += 1
@@ -117,7 +117,7 @@
   }
 
   async #requestLease (command: LeaseCommand): Promise<void> {
-    this.#lease.noteEnd(await this.#propose({ part: 'leases', command }) as LeaseResult | null)
+    this.#lease.noteResult(await this.#propose({ part: 'leases', command }) as LeaseResult | null)
   }
 
   async #propose (command: KeeperCommand): Promise<KeeperResult | null> {
--- a/src/registry/endpoint-scaler.ts
+++ b/src/registry/endpoint-scaler.ts
@@ -4,7 +4,7 @@
  * state absolute counts: one sent twice, or by the next holder, changes nothing.
  */
 import { SizePlanner } from '../core/index.js'
-import type { EndpointRecord, GroupWish, LoadTotals, RoutedService, ServiceName, SizingSight, ZoneName, ZoneSight } from '../core/index.js'
+import type { EndpointRecord, GroupTarget, LoadTotals, RoutedService, ServiceName, SizingInput, ZoneName, ZoneEndpoints } from '../core/index.js'
 import type { DutyCall } from '../protocol/index.js'
 import type { EventLog, Metrics } from '../runtime/index.js'
 import type { DutyCallResult } from './duty-client.js'
@@ -75,7 +75,7 @@
     return planner
   }
 
-  #observe ({ name, sizing, engine }: RoutedService, loads: LoadTotals, at: number): SizingSight | null {
+  #observe ({ name, sizing, engine }: RoutedService, loads: LoadTotals, at: number): SizingInput | null {
     if (sizing === null) return null
     const records = this.#host.listRecords().filter(({ service }) => service === name)
     if (records.length === 0) return null
@@ -84,10 +84,10 @@
     const demand = loads.demands.find(({ service }) => service === name)
     const heldTokens = demand?.held.reduce((sum, [, tokens]) => sum + tokens, 0) ?? 0
     const rate = (demand?.patient ?? 0) + (demand?.brisk ?? 0)
-    return { at, sizing, slots: engine?.slots ?? Math.max(...records.map(({ slots }) => slots)), zones: countByZone(records), running, heldMs: rate === 0 ? 0 : heldTokens / rate * 1000 }
+    return { at, sizing, slots: engine?.slots ?? Math.max(...records.map(({ slots }) => slots)), zones: countByZone(records), running, backlogMs: rate === 0 ? 0 : heldTokens / rate * 1000 }
   }
 
-  #sendIfDue (wish: GroupWish, observed: SizingSight, call: (call: DutyCall) => Promise<DutyCallResult>): void {
+  #sendIfDue (wish: GroupTarget, observed: SizingInput, call: (call: DutyCall) => Promise<DutyCallResult>): void {
     const key = `${wish.service} ${wish.zone} ${wish.isSpot}`
     const last = this.#lastOrders.get(key)
     if (last !== undefined && !isDue(last, wish, observed)) return
@@ -96,7 +96,7 @@
     void this.#send(wish, next, call)
   }
 
-  async #send (wish: GroupWish, order: SentOrder, call: (call: DutyCall) => Promise<DutyCallResult>): Promise<void> {
+  async #send (wish: GroupTarget, order: SentOrder, call: (call: DutyCall) => Promise<DutyCallResult>): Promise<void> {
     const { service, zone, isSpot, count, why } = wish
     const result = await call({ type: 'order-endpoints', service, zone, isSpot, count })
     order.isPending = false
@@ -108,25 +108,25 @@
   }
 }
 
-function isDue (last: SentOrder, wish: GroupWish, { at, sizing, zones }: SizingSight): boolean {
+function isDue (last: SentOrder, wish: GroupTarget, { at, sizing, zones }: SizingInput): boolean {
   if (last.isPending) return false
   const sinceMs = at - last.sentAt
   if (!last.isAccepted) return sinceMs >= retryIntervalMs
   if (wish.count > last.count) return true
   if (wish.count < last.count) return sinceMs >= scaleDownIntervalMs
   const counts = zones.find(({ zone }) => zone === wish.zone)
-  const current = (wish.isSpot ? counts?.spot : counts?.ordinary) ?? 0
+  const current = (wish.isSpot ? counts?.spot : counts?.onDemand) ?? 0
   return current < wish.count && sinceMs >= sizing.bootMs + bootGraceMs
 }
 
-function countByZone (records: readonly EndpointRecord[]): ZoneSight[] {
-  const zones = new Map<ZoneName, { ordinary: number, spot: number }>()
+function countByZone (records: readonly EndpointRecord[]): ZoneEndpoints[] {
+  const zones = new Map<ZoneName, { onDemand: number, spot: number }>()
   for (const { zone, stage, isSpot } of records) {
-    const counts = zones.get(zone) ?? { ordinary: 0, spot: 0 }
+    const counts = zones.get(zone) ?? { onDemand: 0, spot: 0 }
     zones.set(zone, counts)
     if (stage !== 'ready') continue
     if (isSpot === true) counts.spot += 1
-    else counts.ordinary += 1
+    else counts.onDemand += 1
   }
   return [...zones].map(([zone, counts]) => ({ zone, ...counts })).sort((a, b) => a.zone < b.zone ? -1 : 1)
 }
--- a/src/registry/endpoint-tracker.ts
+++ b/src/registry/endpoint-tracker.ts
@@ -3,7 +3,7 @@
  * connected boxes; heartbeats that change nothing are forwarded to the other
  * registries periodically, so that all of them detect silent endpoints.
  */
-import { EndpointDirectory, isOtherLife } from '../core/index.js'
+import { EndpointDirectory, isOtherIncarnation } from '../core/index.js'
 import type { EndpointId, EndpointRecord, ServiceName } from '../core/index.js'
 import type { RouteMessage } from '../protocol/index.js'
 import type { EventLog } from '../runtime/index.js'
@@ -93,7 +93,7 @@
       if (!this.#lastHeardAt.has(record.id)) this.#lastHeardAt.set(record.id, this.#host.now())
       const known = this.#directory.find(record.id)
       const changes = this.#directory.merge(record)
-      if (known !== undefined && changes.length > 0 && isOtherLife(record, known)) this.#noteRestart(record.id)
+      if (known !== undefined && changes.length > 0 && isOtherIncarnation(record, known)) this.#noteRestart(record.id)
       changed.push(...changes)
     }
     if (changed.length === 0) return
@@ -130,7 +130,7 @@
     for (const [id, at] of this.#lastHeardAt) {
       if (now - at < this.#host.lostMs) continue
       this.#lastHeardAt.delete(id)
-      lost.push(...this.#directory.lose(id))
+      lost.push(...this.#directory.markLost(id))
     }
     if (lost.length === 0) return
     this.#cachedRecords = null
--- a/src/registry/index.ts
+++ b/src/registry/index.ts
@@ -2,6 +2,6 @@
 export { RegistryBox } from './registry-box.js'
 export type { RegistryDependencies } from './registry-dependencies.js'
 export { isSavedPrompt } from './saved-item-guards.js'
-export { PromptBatches, listBatches } from './prompt-batches.js'
+export { PromptBatchSender, splitIntoBatches } from './prompt-batches.js'
 export { EndpointTracker } from './endpoint-tracker.js'
 export { LoadHub } from './load-hub.js'
--- a/src/registry/known-hosts.ts
+++ b/src/registry/known-hosts.ts
@@ -1,5 +1,5 @@
 import { parseAddress } from '../config/index.js'
-import { getReplicaHost } from '../coordination/index.js'
+import { getKeeperName } from '../coordination/index.js'
 import type { Replica } from '../coordination/index.js'
 import type { LinkPool, RouteMessage } from '../protocol/index.js'
 
@@ -29,7 +29,7 @@
   /** Adds the members of the log, as all seeds may be gone by the time that a box restarts. */
   addMembers (replica: Replica | null): void {
     if (replica === null) return
-    for (const member of [...replica.members.voters, ...replica.members.learners]) this.add(getReplicaHost(member))
+    for (const member of [...replica.members.voters, ...replica.members.learners]) this.add(getKeeperName(member))
   }
 
   add (host: string): void {
@@ -41,6 +41,6 @@
   remove (host: string): void {
     if (this.#seeds.includes(host)) return
     this.#hosts.delete(host)
-    this.#links.hangUp(host, this.#linkPort)
+    this.#links.disconnect(host, this.#linkPort)
   }
 }
--- a/src/registry/leader-client.ts
+++ b/src/registry/leader-client.ts
@@ -4,7 +4,7 @@
  * until its deadline.
  */
 import type { KeeperLog, ReplicaId, VersionedText } from '../coordination/index.js'
-import type { Link, PutEnd, RouteMessage } from '../protocol/index.js'
+import type { Link, PutOutcome, RouteMessage } from '../protocol/index.js'
 
 /** What the client needs of its box. */
 export interface LeaderClientHost {
@@ -37,7 +37,7 @@
   }
 
   /** Activates a document; 'held' where the active version is the same or newer. */
-  async put (document: VersionedText): Promise<PutEnd> {
+  async put (document: VersionedText): Promise<PutOutcome> {
     const deadline = performance.now() + callTimeoutMs
     while (performance.now() < deadline) {
       const newest = this.#host.log.state.routing.newest
@@ -61,7 +61,7 @@
   }
 
   /** Proposes a document to the local log; null where this registry is not the leader or the proposal is rejected. */
-  async putLocally (document: VersionedText): Promise<PutEnd | null> {
+  async putLocally (document: VersionedText): Promise<PutOutcome | null> {
     const { log } = this.#host
     if (!log.isLeader) return null
     const end = await log.propose({ part: 'routing', command: { type: 'put', document } })
@@ -93,7 +93,7 @@
   }
 
   // Null where the leader is unknown or no longer leads; the caller retries.
-  async #tryPut (document: VersionedText, deadline: number): Promise<PutEnd | null> {
+  async #tryPut (document: VersionedText, deadline: number): Promise<PutOutcome | null> {
     if (this.#host.log.isLeader) return await withDeadline(this.putLocally(document), deadline, 'unknown')
     const answer = await this.#callLeader(call => ({ type: 'put', call, document }), deadline)
     if (answer === null) return null
--- a/src/registry/load-hub.ts
+++ b/src/registry/load-hub.ts
@@ -5,10 +5,10 @@
  * traffic between zones. A hub's cost grows with its gateways, a gateway's doesn't.
  */
 import { randomInt } from 'node:crypto'
-import { LoadBook, NoticeBook, NoticeTeller, PromptBook, PromptRelay, SumTeller } from '../core/index.js'
-import type { BoxId, EndpointId, EndpointNotice, EndpointRecord, LoadTotals, ReadPrompt, ServiceName } from '../core/index.js'
-import { decodeHubWord, decodeLoadWord, encodeHubWord, encodeNews, encodeNotices, encodeTotalsWord, isNewerWord, startLimit } from '../protocol/index.js'
-import type { NoticeStatus, WordNumber } from '../protocol/index.js'
+import { LoadTable, NoticeStore, NoticeBroadcaster, PromptIndex, PromptRelay, LoadUpdateEncoder } from '../core/index.js'
+import type { BoxId, EndpointId, EndpointNotice, EndpointRecord, LoadTotals, PromptReport, ServiceName } from '../core/index.js'
+import { decodeHubReport, decodeGatewayReport, encodeHubReport, encodeLoadUpdate, encodeNotices, encodeTotalsReport, isNewerReport, startLimit } from '../protocol/index.js'
+import type { NoticeStatus, ReportSequence } from '../protocol/index.js'
 import { DatagramPort, Inbox } from '../runtime/index.js'
 import type { EventLog } from '../runtime/index.js'
 
@@ -24,13 +24,13 @@
 }
 
 /** A gateway that reports to this hub: the number of its newest report, and its address. */
-interface ReportingGateway extends WordNumber {
+interface ReportingGateway extends ReportSequence {
   readonly host: string
   readonly port: number
 }
 
 /** Another hub: the number of its newest datagram, and its host. */
-interface PeerHub extends WordNumber {
+interface PeerHub extends ReportSequence {
   readonly host: string
 }
 
@@ -63,16 +63,16 @@
   #host: LoadHubHost
   #datagrams: DatagramPort
   #inbox = new Inbox<Input>(maxQueuedInputs)
-  #loads = new LoadBook()
+  #loads = new LoadTable()
   /** Relays the prompts of this hub's gateways to the other hubs, and all prompts to this hub's gateways. */
   #promptsToPeers = new PromptRelay()
   #promptsToGateways = new PromptRelay()
   /** The prompts that engines have cached, as reported by all gateways. */
-  readonly prompts = new PromptBook()
+  readonly prompts = new PromptIndex()
   /** The notices of endpoints, as reported by all gateways. */
-  readonly notices = new NoticeBook()
-  #noticesToPeers = new NoticeTeller(this.notices)
-  #noticesToGateways = new NoticeTeller(this.notices)
+  readonly notices = new NoticeStore()
+  #noticesToPeers = new NoticeBroadcaster(this.notices)
+  #noticesToGateways = new NoticeBroadcaster(this.notices)
   #gateways = new Map<BoxId, ReportingGateway>()
   #peers = new Map<BoxId, PeerHub>()
   /** The UDP port that all hubs use. */
@@ -85,7 +85,7 @@
   #publishedAt = -Infinity
   #lastToGateways = new LastMessage(heartbeatMs)
   #lastToPeers = new LastMessage(peerHeartbeatMs)
-  #sumEncoder = new SumTeller()
+  #sumEncoder = new LoadUpdateEncoder()
   #publishedEndpointCount = 0
   #isScheduled = false
   /** True where no gateway reports to this hub and the other hubs have been told so. */
@@ -150,10 +150,10 @@
   }
 
   #receive (bytes: Buffer, host: string, port: number): void {
-    const report = decodeLoadWord(bytes)
+    const report = decodeGatewayReport(bytes)
     if (report === null) return this.#receivePeerSum(bytes, host)
     const { box, zone, start, number, load } = report
-    if (!isNewerWord(report, this.#gateways.get(box))) return
+    if (!isNewerReport(report, this.#gateways.get(box))) return
     this.mergeNotices(report.notices, box)
     if (load === null) return this.#removeGateway(box)
     // A new gateway has no engine speeds yet.
@@ -162,7 +162,7 @@
     this.#isIdle = false
     const now = this.#host.now()
     this.#loads.note(box, zone, load, now)
-    this.#promptsToPeers.take(load.prompts, now)
+    this.#promptsToPeers.addReported(load.prompts, now)
     this.#mergePrompts(load.prompts, now)
     this.#schedulePublish()
   }
@@ -176,8 +176,8 @@
   }
 
   #receivePeerSum (bytes: Buffer, host: string): void {
-    const message = decodeHubWord(bytes)
-    if (message === null || !isNewerWord(message, this.#peers.get(message.hub))) return
+    const message = decodeHubReport(bytes)
+    if (message === null || !isNewerReport(message, this.#peers.get(message.hub))) return
     const { hub, start, number, news: sum } = message
     // A new or restarted hub has none of the earlier datagrams.
     if (this.#peers.get(hub)?.start !== start) this.#fullSumSentAt = -Infinity
@@ -204,13 +204,13 @@
     for (const { id, stage } of records) if (stage === 'gone') this.notices.forget(id)
   }
 
-  #mergePrompts (prompts: readonly ReadPrompt[], at: number): void {
-    this.prompts.note(this.#promptsToGateways.take(prompts, at))
+  #mergePrompts (prompts: readonly PromptReport[], at: number): void {
+    this.prompts.note(this.#promptsToGateways.addReported(prompts, at))
   }
 
   #tick (): void {
     const now = this.#host.now()
-    for (const box of this.#loads.forgetSilent(now)) {
+    for (const box of this.#loads.dropExpired(now)) {
       this.#peers.delete(box)
       if (this.#gateways.delete(box)) this.#host.log.warn('gateway-silent', { gateway: box })
     }
@@ -233,34 +233,34 @@
     const now = this.#host.now()
     this.#publishedAt = now
     const ownTotals = this.#loads.sumOwn(now)
-    this.#sendToPeers({ ...ownTotals, prompts: this.#promptsToPeers.draw() }, now)
+    this.#sendToPeers({ ...ownTotals, prompts: this.#promptsToPeers.takePending() }, now)
     const allTotals = this.#loads.sumAll(ownTotals, now)
     this.#publishedEndpointCount = allTotals.loads.length
-    this.#sendToGateways({ ...allTotals, prompts: this.#promptsToGateways.draw() }, now)
+    this.#sendToGateways({ ...allTotals, prompts: this.#promptsToGateways.takePending() }, now)
   }
 
   #sendToGateways (totals: LoadTotals, now: number): void {
     const hasGaps = now - this.#gapsSentAt >= fullSumIntervalMs
-    const encodedTotals = encodeNews({ ...totals, isWhole: true, gone: [], gaps: hasGaps ? totals.gaps : null })
-    const notices = this.#noticesToGateways.draw(now)
+    const encodedTotals = encodeLoadUpdate({ ...totals, isWhole: true, gone: [], gaps: hasGaps ? totals.gaps : null })
+    const notices = this.#noticesToGateways.listNext(now)
     if (!this.#lastToGateways.update(encodedTotals, now, hasGaps || totals.prompts.length > 0 || notices.length > 0)) return
     if (hasGaps) this.#gapsSentAt = now
     const encodedNotices = encodeNotices(notices)
     const header = { start: this.#incarnation, number: this.#nextSequence(), intervalMs: this.#intervalMs }
     for (const { host, port, number } of this.#gateways.values()) {
-      this.#datagrams.send(encodeTotalsWord({ ...header, ownNumber: number }, encodedTotals, encodedNotices), host, port)
+      this.#datagrams.send(encodeTotalsReport({ ...header, ownNumber: number }, encodedTotals, encodedNotices), host, port)
     }
   }
 
   // Hubs that have gateways get changes at once, the others only the periodic full subtotal.
   #sendToPeers (ownTotals: LoadTotals, now: number): void {
     const isFull = now - this.#fullSumSentAt >= fullSumIntervalMs
-    const notices = this.#noticesToPeers.draw(now)
-    if (!this.#lastToPeers.update(encodeNews({ ...ownTotals, isWhole: true, gone: [] }), now, ownTotals.prompts.length > 0 || notices.length > 0) && !isFull) return
+    const notices = this.#noticesToPeers.listNext(now)
+    if (!this.#lastToPeers.update(encodeLoadUpdate({ ...ownTotals, isWhole: true, gone: [] }), now, ownTotals.prompts.length > 0 || notices.length > 0) && !isFull) return
     if (isFull) this.#fullSumSentAt = now
     const hosts = isFull ? this.#host.listOthers() : [...this.#peers.values()].map(other => other.host)
     if (hosts.length === 0) return
-    const bytes = encodeHubWord({ hub: this.#host.id, start: this.#incarnation, number: this.#nextSequence(), news: this.#sumEncoder.compose(ownTotals, isFull), notices })
+    const bytes = encodeHubReport({ hub: this.#host.id, start: this.#incarnation, number: this.#nextSequence(), news: this.#sumEncoder.compose(ownTotals, isFull), notices })
     for (const host of hosts) this.#datagrams.send(bytes, host, this.#port)
   }
 
--- a/src/registry/membership-manager.ts
+++ b/src/registry/membership-manager.ts
@@ -3,7 +3,7 @@
  * and makes one change at a time where a voter is silent or missing.
  */
 import { planMembers } from '../coordination/index.js'
-import type { KeeperLog, KeeperSight, MemberWish, ReplicaId } from '../coordination/index.js'
+import type { KeeperLog, KeeperObservation, MembershipTarget, ReplicaId } from '../coordination/index.js'
 import type { EventLog } from '../runtime/index.js'
 
 /** What the manager needs of its box. */
@@ -54,9 +54,9 @@
   /** Makes the next membership change that is needed, where this box leads and none is in progress. */
   async reconcile (keeperLog: KeeperLog): Promise<void> {
     const { replica } = keeperLog
-    if (replica?.isLeader !== true || this.#isChanging || !replica.node.isSettled) return
+    if (replica?.isLeader !== true || this.#isChanging || !replica.node.hasCommittedMembers) return
     const sights = this.#listSightings(keeperLog.id, replica.node.matches)
-    const next = planMembers({ members: replica.members, self: replica.id, commit: replica.node.commitIndex, sights }, this.#target)
+    const next = planMembers({ members: replica.members, self: replica.id, commit: replica.node.commitIndex, observations: sights }, this.#target)
     if (next === null) return
     this.#isChanging = true
     const outcome = await replica.changeMembers(next)
@@ -64,14 +64,14 @@
     this.#host.log.info('members', { voters: next.voters.join(','), learners: next.learners.join(','), end: outcome.type === 'rejected' ? outcome.fault : outcome.type })
   }
 
-  get #target (): MemberWish {
+  get #target (): MembershipTarget {
     const { faults } = this.#host
-    return { voters: Math.max(minVoters, 2 * faults + 1), perZone: Math.max(1, faults), replaceMs, forgetMs }
+    return { voters: Math.max(minVoters, 2 * faults + 1), maxPerZone: Math.max(1, faults), replaceVoterMs: replaceMs, dropLearnerMs: forgetMs }
   }
 
-  #listSightings (self: ReplicaId, matches: ReadonlyMap<ReplicaId, number>): KeeperSight[] {
+  #listSightings (self: ReplicaId, matches: ReadonlyMap<ReplicaId, number>): KeeperObservation[] {
     const now = this.#host.now()
-    const sights: KeeperSight[] = [{ replica: self, zone: this.#host.zone, silentMs: 0, match: matches.get(self) ?? 0 }]
+    const sights: KeeperObservation[] = [{ replica: self, zone: this.#host.zone, silentMs: 0, match: matches.get(self) ?? 0 }]
     for (const [replica, { zone, lastHeardAt }] of this.#heard) sights.push({ replica, zone, silentMs: now - lastHeardAt, match: matches.get(replica) ?? 0 })
     return sights
   }
--- a/src/registry/open-log.ts
+++ b/src/registry/open-log.ts
@@ -17,7 +17,7 @@
   const patience = {
     retryMs: diskRetryMs,
     noteFault: (error: Error) => log.error('disk-refuses', { error: error.message }),
-    noteWell: () => log.info('disk-writes-again')
+    noteRecovered: () => log.info('disk-writes-again')
   }
   const storage = { folder: data, name: host, patience, ...(first && isSeed ? { firstPart: initialDiskId } : {}) }
   for (;;) {
--- a/src/registry/operator-server.ts
+++ b/src/registry/operator-server.ts
@@ -6,7 +6,7 @@
 import { brandId, findDocumentMistakes } from '../core/index.js'
 import type { EndpointRecord, Fingerprint, QuarantineEntry } from '../core/index.js'
 import { DocumentError } from '../protocol/index.js'
-import type { Dialect, NoticeStatus, PutEnd } from '../protocol/index.js'
+import type { Dialect, NoticeStatus, PutOutcome } from '../protocol/index.js'
 import { listen } from '../runtime/index.js'
 import type { EventLog } from '../runtime/index.js'
 
@@ -15,7 +15,7 @@
   readonly dialect: Dialect
   readonly log: EventLog
   /** Activates a document, whichever registry leads. */
-  put (document: VersionedText): Promise<PutEnd>
+  put (document: VersionedText): Promise<PutOutcome>
   /** The newest document; `isConfirmed` is false where a newer one may exist. */
   read (): Promise<{ readonly isConfirmed: boolean, readonly document: VersionedText | null }>
   /** Applies an endpoint's registration and broadcasts it. */
@@ -99,7 +99,7 @@
         this.#host.registerEndpoint(dialect.decodeRegistration(call.endpoint, body.toString('utf8')))
         return { status: 200, body: '{}' }
       case 'deregister':
-        this.#host.registerEndpoint(dialect.composeGone(call.endpoint, 'gone'))
+        this.#host.registerEndpoint(dialect.composeDeregistration(call.endpoint, 'gone'))
         return { status: 200, body: '{}' }
       case 'list-quarantine': return { status: 200, body: JSON.stringify(this.#host.listQuarantine()) }
       case 'lift-quarantine':
--- a/src/registry/permit-server.ts
+++ b/src/registry/permit-server.ts
@@ -55,11 +55,11 @@
     if (!this.#host.isLeader()) return void link.send({ type: 'permits-elsewhere', call, leader: this.#host.findLeader() })
     const now = this.#host.now()
     this.#issuer.setShare(this.#computeShare(now))
-    const grants = this.#issuer.give(notice.endpoint, wants, now)
-    link.send({ type: 'permits', call, grants, closed: this.#issuer.listClosedFor(notice.endpoint, grants, now) })
+    const grants = this.#issuer.grant(notice.endpoint, wants, now)
+    link.send({ type: 'permits', call, grants, closed: this.#issuer.listExhausted(notice.endpoint, grants, now) })
     if (now - this.#cleanedUpAt < cleanupIntervalMs) return
     this.#cleanedUpAt = now
-    this.#issuer.tidy(now)
+    this.#issuer.removeIdle(now)
   }
 
   #computeShare (now: number): number {
--- a/src/registry/prompt-batches.ts
+++ b/src/registry/prompt-batches.ts
@@ -1,4 +1,4 @@
-import type { EndpointId, ReadPrompt } from '../core/index.js'
+import type { EndpointId, PromptReport } from '../core/index.js'
 import type { Link, RouteMessage } from '../protocol/index.js'
 
 /** Maximum prompts per message, so that other messages can pass in between; the prompts of one engine may exceed it. */
@@ -9,15 +9,15 @@
 const cacheMs = 1000
 
 /** Splits cached prompts into batches. The prompts of one engine stay in one batch, as a message replaces all that was known of the engine. */
-export function listBatches (prompts: readonly ReadPrompt[]): ReadPrompt[][] {
-  const byEngine = new Map<EndpointId, ReadPrompt[]>()
+export function splitIntoBatches (prompts: readonly PromptReport[]): PromptReport[][] {
+  const byEngine = new Map<EndpointId, PromptReport[]>()
   for (const prompt of prompts) {
     const [endpoint] = prompt
     const held = byEngine.get(endpoint)
     if (held === undefined) byEngine.set(endpoint, [prompt])
     else held.push(prompt)
   }
-  const batches: ReadPrompt[][] = []
+  const batches: PromptReport[][] = []
   for (const held of byEngine.values()) {
     const last = batches.at(-1)
     if (last === undefined || last.length + held.length > maxBatchSize) batches.push([...held])
@@ -27,13 +27,13 @@
 }
 
 /** Sends a box the prompts that engines have cached, in batches. */
-export class PromptBatches {
-  #listPrompts: () => readonly ReadPrompt[]
+export class PromptBatchSender {
+  #listPrompts: () => readonly PromptReport[]
   #messages: readonly RouteMessage[] = []
   #composedAt = -Infinity
 
   /** `listPrompts`: the prompts that engines have cached now. */
-  constructor (listPrompts: () => readonly ReadPrompt[]) {
+  constructor (listPrompts: () => readonly PromptReport[]) {
     this.#listPrompts = listPrompts
   }
 
@@ -46,7 +46,7 @@
   compose (at: number): readonly RouteMessage[] {
     if (at - this.#composedAt < cacheMs) return this.#messages
     this.#composedAt = at
-    this.#messages = listBatches(this.#listPrompts()).map(prompts => ({ type: 'prompts', prompts }))
+    this.#messages = splitIntoBatches(this.#listPrompts()).map(prompts => ({ type: 'prompts', prompts }))
     return this.#messages
   }
 }
--- a/src/registry/registry-box.ts
+++ b/src/registry/registry-box.ts
@@ -6,7 +6,7 @@
 import { performance } from 'node:perf_hooks'
 import { parseAddress } from '../config/index.js'
 import type { RegistrySettings } from '../config/index.js'
-import { KeeperLog, getReplicaHost } from '../coordination/index.js'
+import { KeeperLog, getKeeperName } from '../coordination/index.js'
 import type { ReplicaId } from '../coordination/index.js'
 import { brandId } from '../core/index.js'
 import type { EndpointRecord } from '../core/index.js'
@@ -24,7 +24,7 @@
 import { OperatorServer } from './operator-server.js'
 import { startLog, openRegistryLog } from './open-log.js'
 import { PermitServer } from './permit-server.js'
-import { PromptBatches } from './prompt-batches.js'
+import { PromptBatchSender } from './prompt-batches.js'
 import type { RegistryDependencies } from './registry-dependencies.js'
 import { ActiveServices } from './active-services.js'
 import { SavedState } from './saved-state.js'
@@ -34,8 +34,8 @@
 /** How often the connected boxes and the heartbeats received are broadcast, ms. */
 const broadcastIntervalMs = 2000
 /** Heartbeats of links, ms: one eighth of the silence after which a box counts as unreachable under user workloads. */
-const heartbeat = { everyMs: 400, silentMs: 1500 }
-const dialTimings = { connectMs: 500, longestRetryMs: 500 }
+const heartbeat = { intervalMs: 400, timeoutMs: 1500 }
+const dialTimings = { connectMs: 500, maxRetryMs: 500 }
 
 /** Monotonic clock of this process, ms. */
 function now (): number { return performance.now() }
@@ -58,7 +58,7 @@
   #gateways = new ConnectedGateways()
   #loadHub: LoadHub
   #permits: PermitServer
-  #prompts = new PromptBatches(() => this.#loadHub.prompts.prompts)
+  #prompts = new PromptBatchSender(() => this.#loadHub.prompts.prompts)
   #documents: DocumentAnnouncer
   #timers: NodeJS.Timeout[] = []
   port = 0
@@ -98,7 +98,7 @@
     this.#crashes.restore(await this.#saved.loadQuarantine())
     this.#timers.push(setTimeout(() => this.#endpoints.tick(), restoredGraceMs))
     this.#log = await this.#openLog()
-    this.#leaderClient = new LeaderClient({ log: this.#log, findLink: replica => this.#links.find(getReplicaHost(replica), linkPort) })
+    this.#leaderClient = new LeaderClient({ log: this.#log, findLink: replica => this.#links.find(getKeeperName(replica), linkPort) })
     await startLog(this.#log, this.#hosts.seeds, this.#settings.first, log)
     this.#hosts.addMembers(this.#log.replica)
     // The document of a snapshot is active from the start, without an apply event.
@@ -140,7 +140,7 @@
     return new LinkPool<RouteMessage>({
       id: this.#settings.id,
       secret,
-      pulse: heartbeat,
+      heartbeat,
       clock: log.clock,
       receive: (link, message) => this.#receive(link, message),
       noteOpen: link => this.#handleOpen(link),
@@ -180,7 +180,7 @@
       hub: this.#loadHub,
       now,
       isLeader: () => this.#log?.isLeader === true,
-      findLeader: () => this.#log?.leader == null ? null : getReplicaHost(this.#log.leader),
+      findLeader: () => this.#log?.leader == null ? null : getKeeperName(this.#log.leader),
       countGateways: () => this.#gateways.count
     })
   }
@@ -224,7 +224,7 @@
   #startDuties (keeper: KeeperLog): void {
     const { id, duties, linkPort } = this.#settings
     if (duties === null) return
-    const findLeader = () => keeper.leader === null ? undefined : this.#links.find(getReplicaHost(keeper.leader), linkPort)
+    const findLeader = () => keeper.leader === null ? undefined : this.#links.find(getKeeperName(keeper.leader), linkPort)
     const listRecords = () => this.#endpoints.records
     this.#duties = new DutyRunner(duties, { ...this.#dependencies, id, keeper, now, findLeader, listRecords, listServices: () => this.#services.list(), sumLoads: () => this.#loadHub.sumLoads() })
     this.#duties.start()
@@ -247,7 +247,7 @@
   }
 
   #handleRegistryHello (message: Extract<RouteMessage, { type: 'registry-hello' }>): void {
-    const host = getReplicaHost(message.replica)
+    const host = getKeeperName(message.replica)
     this.#membership.noteHeard(message.replica, message.zone)
     this.#hosts.add(host)
     for (const other of message.registries) this.#hosts.add(other)
@@ -256,7 +256,7 @@
   #handleClosed (link: Link<RouteMessage>): void {
     const gateway = this.#gateways.remove(link)
     if (gateway === null) return
-    this.#permits.noteDisconnected(gateway, link.wasSilent)
+    this.#permits.noteDisconnected(gateway, link.hasTimedOut)
     this.#dependencies.log.info('gateway-lost', { gateway })
   }
 
@@ -269,7 +269,7 @@
   #broadcastState (): void {
     this.#endpoints.tick()
     this.#gateways.broadcast(this.#composeBoxes())
-    for (const replica of this.#membership.forgetSilent()) this.#hosts.remove(getReplicaHost(replica))
+    for (const replica of this.#membership.forgetSilent()) this.#hosts.remove(getKeeperName(replica))
     this.#saved.savePrompts(this.#loadHub.prompts)
   }
 
@@ -327,7 +327,7 @@
 
   #sendRaft (to: ReplicaId, message: Extract<RouteMessage, { type: 'raft' }>['message']): void {
     const from = this.#log?.id
-    if (from !== undefined) this.#links.find(getReplicaHost(to), this.#settings.linkPort)?.send({ type: 'raft', from, to, message })
+    if (from !== undefined) this.#links.find(getKeeperName(to), this.#settings.linkPort)?.send({ type: 'raft', from, to, message })
   }
 
   // Broadcasts.
--- a/src/registry/saved-item-guards.ts
+++ b/src/registry/saved-item-guards.ts
@@ -1,5 +1,5 @@
 /** Type guards for the items that registries save besides their log, as a partly written file may contain anything. */
-import type { EndpointRecord, QuarantineEntry, ReadPrompt } from '../core/index.js'
+import type { EndpointRecord, QuarantineEntry, PromptReport } from '../core/index.js'
 
 /** True for the record of an endpoint that is ready or draining. */
 export function isSavedRecord (value: unknown): value is EndpointRecord {
@@ -11,7 +11,7 @@
 }
 
 /** True for a prompt that an engine has cached. */
-export function isSavedPrompt (value: unknown): value is ReadPrompt {
+export function isSavedPrompt (value: unknown): value is PromptReport {
   if (!Array.isArray(value) || value.length !== 3 || typeof value[0] !== 'string' || value[2] !== true) return false
   return Array.isArray(value[1]) && value[1].every(isPromptPart)
 }
--- a/src/registry/saved-state.ts
+++ b/src/registry/saved-state.ts
@@ -1,6 +1,6 @@
 /** The state that a registry saves besides its log: the endpoint directory, the prompts cached by engines, and requests in quarantine. */
 import { join } from 'node:path'
-import type { EndpointRecord, PromptBook, QuarantineEntry, ReadPrompt } from '../core/index.js'
+import type { EndpointRecord, PromptIndex, QuarantineEntry, PromptReport } from '../core/index.js'
 import type { EventLog } from '../runtime/index.js'
 import { isSavedEntry, isSavedPrompt, isSavedRecord } from './saved-item-guards.js'
 import { SavedList } from './saved-list.js'
@@ -10,7 +10,7 @@
 
 export class SavedState {
   #records: SavedList<EndpointRecord>
-  #prompts: SavedList<ReadPrompt>
+  #prompts: SavedList<PromptReport>
   #quarantine: SavedList<QuarantineEntry>
   /** The version of the prompts that was saved last. */
   #savedPromptsVersion = 0
@@ -33,13 +33,13 @@
   saveQuarantine (entries: readonly QuarantineEntry[]): void { void this.#quarantine.save(entries) }
 
   /** Adds the saved prompts to the book. */
-  async loadPrompts (book: PromptBook): Promise<void> {
+  async loadPrompts (book: PromptIndex): Promise<void> {
     book.note(await this.#prompts.load())
     this.#savedPromptsVersion = book.version
   }
 
   /** Saves the prompts where they have changed. */
-  savePrompts ({ version, prompts }: PromptBook): void {
+  savePrompts ({ version, prompts }: PromptIndex): void {
     if (version === this.#savedPromptsVersion) return
     this.#savedPromptsVersion = version
     void this.#prompts.save(prompts)
--- a/src/registry/usage-reporter.ts
+++ b/src/registry/usage-reporter.ts
@@ -3,8 +3,8 @@
  * reported it, or the wait has reached its limit, and is then sent from the log until
  * the platform accepts it, always with the same counts.
  */
-import { UsageBook } from '../coordination/index.js'
-import type { SettledWindow, UsageCommand, UsageCounts, UsageLedger, UsageResult, UsageTelling, UsageWindow } from '../coordination/index.js'
+import { UsageAggregator } from '../coordination/index.js'
+import type { SettledWindow, UsageCommand, UsageCounts, UsageLedger, UsageResult, UsageUpdate, UsageWindow } from '../coordination/index.js'
 import type { DutyCall } from '../protocol/index.js'
 import type { EventLog, Metrics } from '../runtime/index.js'
 import type { DutyCallResult } from './duty-client.js'
@@ -42,7 +42,7 @@
 
 export class UsageReporter {
   #host: UsageReporterHost
-  #book = new UsageBook()
+  #book = new UsageAggregator()
   /** The window in which this box first held the duty: the first one reported where none has been settled yet. */
   #firstWindow: UsageWindow | null = null
   #isSettling = false
@@ -54,17 +54,17 @@
     this.#host = host
   }
 
-  merge (reports: readonly UsageTelling[]): void {
+  merge (reports: readonly UsageUpdate[]): void {
     for (const report of reports) this.#book.note(report, this.#host.now())
   }
 
   /** The reports for the leader: those that changed since the last call, or all. */
-  takeUnsent (all: boolean): UsageTelling[] { return this.#book.takeNews(all) }
+  takeUnsent (all: boolean): UsageUpdate[] { return this.#book.takeUpdates(all) }
 
   /** Drops windows that are settled or can no longer be reported. */
   prune (): void {
     const settled = this.#host.ledger.newest ?? -1
-    this.#book.forget(Math.max(settled + 1, this.#currentWindow - maxBackfilledWindows), this.#host.now())
+    this.#book.prune(Math.max(settled + 1, this.#currentWindow - maxBackfilledWindows), this.#host.now())
   }
 
   /** Settles and reports the windows that are due. Only the lease holder calls this, a few times a second. */
--- a/src/report/group.ts
+++ b/src/report/group.ts
@@ -1,4 +1,4 @@
-import type { Row } from '../measure/index.js'
+import type { ResultRow } from '../measure/index.js'
 
 /** Rows that differ only in their seed. */
 export interface Group {
@@ -6,7 +6,7 @@
   readonly scenario: string
   readonly policy: string
   readonly class: string
-  readonly rows: readonly Row[]
+  readonly rows: readonly ResultRow[]
 }
 
 /** Mean and range of a value over seeds. */
@@ -17,8 +17,8 @@
 }
 
 /** Groups rows by user, scenario, policy and class, in order of first occurrence. */
-export function groupRows (rows: readonly Row[]): Group[] {
-  const groups = new Map<string, Row[]>()
+export function groupRows (rows: readonly ResultRow[]): Group[] {
+  const groups = new Map<string, ResultRow[]>()
   for (const row of rows) {
     const key = JSON.stringify([row.user, row.scenario, row.policy, row.class])
     const group = groups.get(key)
--- a/src/report/page.ts
+++ b/src/report/page.ts
@@ -1,5 +1,5 @@
 /** Generates docs/MEASURED.md from the output of `npm run measure -- --json`. */
-import type { Row } from '../measure/index.js'
+import type { ResultRow } from '../measure/index.js'
 import { drawShares } from './chart.js'
 import type { Bar } from './chart.js'
 import { groupRows, computeSpread } from './group.js'
@@ -14,7 +14,7 @@
 }
 
 /** Composes a section with tables and a plot for each user and scenario. */
-export function composeReport (rows: readonly Row[]): Report {
+export function composeReport (rows: readonly ResultRow[]): Report {
   const groups = groupRows(rows)
   const plots = new Map<string, string>()
   const sections: string[] = []
--- a/src/runtime/batcher.ts
+++ b/src/runtime/batcher.ts
@@ -1,5 +1,5 @@
 /** Batches items that are added within a short time. */
-export class Gatherer<Item> {
+export class Batcher<Item> {
   #delayMs: number
   #deliver: (items: readonly Item[]) => void
   #items: Item[] = []
--- a/src/runtime/metrics-server.ts
+++ b/src/runtime/metrics-server.ts
@@ -8,7 +8,7 @@
 const sampleIntervalMs = 1000
 
 /** Serves the metrics of a process in the Prometheus text format; adds the event-loop delay and memory of the process. */
-export class MetricsDoor {
+export class MetricsServer {
   #metrics: Metrics
   #server: Server
   #timer: NodeJS.Timeout
--- a/src/soak/caller-words.ts
+++ b/src/soak/caller-headers.ts
@@ -8,7 +8,7 @@
 const defaultDeadlineMs = 5000
 
 /** Composes the headers of a caller's request. */
-export function composeCaller (requestId: string, deadlineMs = defaultDeadlineMs): Record<string, string> {
+export function composeCallerHeaders (requestId: string, deadlineMs = defaultDeadlineMs): Record<string, string> {
   return {
     host: callerHost,
     authorization: `Bearer ${callerKey}`,
--- a/src/soak/crash-callers.ts
+++ b/src/soak/crash-callers.ts
@@ -6,19 +6,19 @@
  */
 import { performance } from 'node:perf_hooks'
 import { setTimeout as sleep } from 'node:timers/promises'
-import { crashMark } from '../standin/index.js'
-import { composeCaller } from './caller-words.js'
+import { crashBodyPrefix } from '../standin/index.js'
+import { composeCallerHeaders } from './caller-headers.js'
 import type { Disturbances } from './disturbances.js'
 import { callHttp } from './http-call.js'
 import { routeTimeoutMs } from './guarantee-checker.js'
 import type { GuaranteeChecker } from './guarantee-checker.js'
-import { callerPort } from './soak-stage.js'
-import type { SoakStage } from './soak-stage.js'
+import { callerPort } from './soak-testbed.js'
+import type { SoakTestbed } from './soak-testbed.js'
 
 /** Dependencies of the callers. */
 export interface CrashCallersOptions {
   readonly seed: number
-  readonly testbed: SoakStage
+  readonly testbed: SoakTestbed
   readonly checker: GuaranteeChecker
   readonly disturbances: Disturbances
   /** Returns a number in [0, 1). */
@@ -28,11 +28,11 @@
 /** Outcome of the requests. */
 export interface CrashSummary {
   /** Number of endpoint crashes caused by each harmful request. */
-  readonly ended: readonly number[]
+  readonly crashCounts: readonly number[]
   /** For each restarted endpoint, the time from its first registration to its first request, ms; ascending. */
   readonly backMs: readonly number[]
   /** Number of harmless requests sent, and how many of them were served. */
-  readonly asked: number
+  readonly sent: number
   readonly served: number
 }
 
@@ -67,12 +67,12 @@
 
   constructor (options: CrashCallersOptions, count: number) {
     this.#options = options
-    this.#bodies = Array.from({ length: count }, (_, i) => `${crashMark} ${options.seed}-${i}`)
+    this.#bodies = Array.from({ length: count }, (_, i) => `${crashBodyPrefix} ${options.seed}-${i}`)
   }
 
   get summary (): CrashSummary {
-    const backMs = this.#options.testbed.endpoints.flatMap(({ standin }) => standin.backMs).sort((a, b) => a - b)
-    return { backMs, ended: this.#bodies.map(body => this.#listCrashTimes(body).length), asked: this.#asked, served: this.#served }
+    const recoveryMs = this.#options.testbed.endpoints.flatMap(({ standin }) => standin.recoveryMs).sort((a, b) => a - b)
+    return { backMs: recoveryMs, crashCounts: this.#bodies.map(body => this.#listCrashTimes(body).length), sent: this.#asked, served: this.#served }
   }
 
   start (): void {
@@ -98,7 +98,7 @@
   }
 
   #listCrashTimes (body: string): number[] {
-    return this.#options.testbed.endpoints.flatMap(({ standin }) => standin.ends.flatMap((crashBody, i) => crashBody === body ? [standin.endedAt[i]] : []))
+    return this.#options.testbed.endpoints.flatMap(({ standin }) => standin.crashBodies.flatMap((crashBody, i) => crashBody === body ? [standin.crashedAt[i]] : []))
   }
 
   async #sendHarmfulRepeatedly (body: string, path: string): Promise<void> {
@@ -139,7 +139,7 @@
 
   #send (gateway: number, id: string, path: string, body: string): ReturnType<typeof callHttp> {
     const { host } = this.#options.testbed.gateways[gateway]
-    return callHttp({ host, port: callerPort, method: 'POST', path, headers: composeCaller(id), timeout: 4 * routeTimeoutMs }, body)
+    return callHttp({ host, port: callerPort, method: 'POST', path, headers: composeCallerHeaders(id), timeout: 4 * routeTimeoutMs }, body)
   }
 
   #createId (): string {
--- a/src/soak/fault-injector.ts
+++ b/src/soak/fault-injector.ts
@@ -4,7 +4,7 @@
 import type { Disturbances } from './disturbances.js'
 import type { ProcessFault, SoakFault, SoakNotice, TimedFault } from './fault-draw.js'
 import type { GuaranteeChecker } from './guarantee-checker.js'
-import type { SoakStage, TestbedBox, TestbedEndpoint } from './soak-stage.js'
+import type { SoakTestbed, TestbedBox, TestbedEndpoint } from './soak-testbed.js'
 
 /** Polling interval for the exit of a process after SIGTERM, ms. */
 const exitPollMs = 20
@@ -18,13 +18,13 @@
 const breakAfterEvents = 2
 
 export class FaultInjector {
-  #testbed: SoakStage
+  #testbed: SoakTestbed
   #disturbances: Disturbances
   #checker: GuaranteeChecker
   #restartCounts = new Map<string, number>()
   #stopping = new Set<TestbedBox>()
 
-  constructor (testbed: SoakStage, disturbances: Disturbances, checker: GuaranteeChecker) {
+  constructor (testbed: SoakTestbed, disturbances: Disturbances, checker: GuaranteeChecker) {
     this.#testbed = testbed
     this.#disturbances = disturbances
     this.#checker = checker
--- a/src/soak/guarantee-checker.ts
+++ b/src/soak/guarantee-checker.ts
@@ -3,7 +3,7 @@
  * It uses no internal state of the product: only calls, their results, and runs.
  */
 import type { EndpointRun } from '../standin/index.js'
-import { composeEvent, composeWhole } from '../standin/index.js'
+import { composeEvent, composeBody } from '../standin/index.js'
 import type { Disturbances } from './disturbances.js'
 import type { HttpResult } from './http-call.js'
 
@@ -122,7 +122,7 @@
 
 // Composes the body of a complete answer to the call.
 function composeExpected ({ id, kind, path, body }: CheckedCall): string {
-  if (kind === 'once' || kind === 'again') return composeWhole({ requestId: id, method: 'POST', path, body })
+  if (kind === 'once' || kind === 'again') return composeBody({ requestId: id, method: 'POST', path, body })
   const count = Number(/events-(\d+)/.exec(path)?.[1] ?? 0)
   return Array.from({ length: count }, (_, i) => composeEvent(path, i + 1)).join('')
 }
--- a/src/soak/limit-bounds.ts
+++ b/src/soak/limit-bounds.ts
@@ -1,7 +1,7 @@
 /** Required bounds on the requests that an endpoint gets after it has given a notice on its answers. */
 
 /** Time after such an answer from which a box must follow the notice, ms. */
-export const toldMs = 500
+export const noticeReactionMs = 500
 /** A limit is checked from this time after its first notice, ms. */
 export const settleMs = 3000
 /** Length of the windows over which a limit is checked, ms. */
@@ -10,7 +10,7 @@
 const maxFactor = 1.5
 const extraRequests = 5
 /** Maximum number of requests from a box during its back-off. */
-export const mostInBackoff = 2
+export const maxInBackoff = 2
 /** Time after the first answer that announces an endpoint's leaving from which the endpoint must get no requests, ms. */
 export const drainMs = 2000
 
@@ -20,7 +20,7 @@
 }
 
 /** Maximum number of arrivals in any window of `ms` that ends at an arrival between `from` and `until`. */
-export function countMost (arrivals: readonly number[], ms: number, from: number, until = Infinity): number {
+export function countMaxInWindow (arrivals: readonly number[], ms: number, from: number, until = Infinity): number {
   const windowEnds = arrivals.filter(at => at >= from && at <= until)
   return Math.max(0, ...windowEnds.map(end => arrivals.filter(at => at > end - ms && at <= end).length))
 }
--- a/src/soak/notice-checker.ts
+++ b/src/soak/notice-checker.ts
@@ -5,9 +5,9 @@
  */
 import type { EndpointArrival } from '../standin/index.js'
 import type { Disturbances } from './disturbances.js'
-import { countAllowed, drainMs, mostInBackoff, settleMs, toldMs, windowMs } from './limit-bounds.js'
+import { countAllowed, drainMs, maxInBackoff, settleMs, noticeReactionMs, windowMs } from './limit-bounds.js'
 import type { GuaranteeChecker } from './guarantee-checker.js'
-import type { TestbedEndpoint } from './soak-stage.js'
+import type { TestbedEndpoint } from './soak-testbed.js'
 
 /** Arrivals from a box that was disturbed within this time before are exempt, ms: it may not have received the notice yet. */
 const exemptMs = 4000
@@ -53,7 +53,7 @@
       if (limitFrom === -Infinity || at - lastAt > limitGapMs) limitFrom = at
       lastAt = at
       if (at < limitFrom + settleMs || !isUndisturbed(at - windowMs - settleMs, at)) continue
-      const inWindow = sent.slice(0, i + 1).filter(one => one.at > Math.max(at - windowMs, limitFrom + toldMs) && one.limit !== null && !this.#isExempt(one))
+      const inWindow = sent.slice(0, i + 1).filter(one => one.at > Math.max(at - windowMs, limitFrom + noticeReactionMs) && one.limit !== null && !this.#isExempt(one))
       const maxLimit = Math.max(...inWindow.map(one => one.limit ?? 0), limit)
       const allowed = countAllowed(maxLimit)
       if (inWindow.length <= allowed) continue
@@ -66,8 +66,8 @@
   #checkBackoff (id: string, sent: readonly SentArrival[], isUndisturbed: (from: number, to: number) => boolean): void {
     for (const { at, gateway, backoffMs } of sent) {
       if (backoffMs === null || !isUndisturbed(at, at + backoffMs)) continue
-      const meanwhile = sent.filter(one => one.gateway === gateway && one.at > at + toldMs && one.at < at + backoffMs && !this.#isExempt(one))
-      if (meanwhile.length > mostInBackoff) this.#checker.reportViolation('an endpoint got requests from a box that it had asked to back off', `${id}: ${meanwhile.length} from ${gateway} in ${backoffMs} ms`)
+      const meanwhile = sent.filter(one => one.gateway === gateway && one.at > at + noticeReactionMs && one.at < at + backoffMs && !this.#isExempt(one))
+      if (meanwhile.length > maxInBackoff) this.#checker.reportViolation('an endpoint got requests from a box that it had asked to back off', `${id}: ${meanwhile.length} from ${gateway} in ${backoffMs} ms`)
     }
   }
 
--- a/src/soak/precedence-checker.ts
+++ b/src/soak/precedence-checker.ts
@@ -81,14 +81,14 @@
   }
 
   #checkWindow (kind: RankedKind, undisturbed: readonly RankedCall[], from: number): string | null {
-    const asked = undisturbed.filter(call => call.kind === kind && call.sentAt >= from && call.sentAt < from + windowMs)
-    const denied = asked.filter(call => call.firstByteAt === null)
-    if (denied.length < minDenied || denied.length <= asked.length * minDeniedShare) return null
+    const sent = undisturbed.filter(call => call.kind === kind && call.sentAt >= from && call.sentAt < from + windowMs)
+    const denied = sent.filter(call => call.firstByteAt === null)
+    if (denied.length < minDenied || denied.length <= sent.length * minDeniedShare) return null
     const [first, last] = [denied[0].sentAt - leadMs, Math.max(...denied.map(call => call.endedAt))]
     const started = this.#calls.filter(({ kind: { priority }, firstByteAt }) => priority > kind.priority && firstByteAt !== null && firstByteAt >= first && firstByteAt < last)
     const [deniedTokens, startedTokens] = [denied, started].map(sumTokens)
     if (startedTokens <= minTokenRatio * deniedTokens) return null
-    return `${denied.length} of ${asked.length} ${kind.name} requests (${deniedTokens} tokens) got no successful answer in the ${windowMs} ms from ${Math.round(from)}, while less urgent requests of ${startedTokens} tokens started; first denied: ${denied[0].id}`
+    return `${denied.length} of ${sent.length} ${kind.name} requests (${deniedTokens} tokens) got no successful answer in the ${windowMs} ms from ${Math.round(from)}, while less urgent requests of ${startedTokens} tokens started; first denied: ${denied[0].id}`
   }
 
   #isUndisturbed (call: RankedCall): boolean {
--- a/src/soak/ranked-callers.ts
+++ b/src/soak/ranked-callers.ts
@@ -6,14 +6,14 @@
 import { Agent } from 'node:http'
 import { performance } from 'node:perf_hooks'
 import { setTimeout as sleep } from 'node:timers/promises'
-import { callerHost, composeCaller } from './caller-words.js'
+import { callerHost, composeCallerHeaders } from './caller-headers.js'
 import { callHttp } from './http-call.js'
 import type { HttpResult } from './http-call.js'
 import type { PrecedenceChecker } from './precedence-checker.js'
 import { rankedKinds } from './ranked-kind.js'
 import type { RankedKind } from './ranked-kind.js'
-import { callerPort } from './soak-stage.js'
-import type { SoakStage } from './soak-stage.js'
+import { callerPort } from './soak-testbed.js'
+import type { SoakTestbed } from './soak-testbed.js'
 
 /** A period of higher load. */
 export interface Burst {
@@ -29,7 +29,7 @@
 /** Dependencies of the callers. */
 export interface RankedCallersOptions {
   readonly seed: number
-  readonly testbed: SoakStage
+  readonly testbed: SoakTestbed
   readonly checker: PrecedenceChecker
   /** Returns a number in [0, 1). */
   readonly random: () => number
@@ -118,7 +118,7 @@
     const box = this.#options.testbed.gateways[gateway]
     const sentAt = performance.now()
     const headers = {
-      ...composeCaller(id, Math.max(1, Math.round(until - sentAt))),
+      ...composeCallerHeaders(id, Math.max(1, Math.round(until - sentAt))),
       'x-wrenlane-tokens': `${tokens},${kind.events * 10}`,
       'x-wrenlane-prompt-parts': `${id}:${tokens}`
     }
--- a/src/soak/soak-callers.ts
+++ b/src/soak/soak-callers.ts
@@ -6,18 +6,18 @@
 import { Agent } from 'node:http'
 import { performance } from 'node:perf_hooks'
 import { setTimeout as sleep } from 'node:timers/promises'
-import { callerHost, callerKey, composeCaller } from './caller-words.js'
+import { callerHost, callerKey, composeCallerHeaders } from './caller-headers.js'
 import { callHttp } from './http-call.js'
 import { routeTimeoutMs } from './guarantee-checker.js'
 import type { GuaranteeChecker, CheckedCall } from './guarantee-checker.js'
 import { composeRankedRoutes } from './ranked-callers.js'
-import { callerPort, engineService, engineShape, plainService } from './soak-stage.js'
-import type { SoakStage } from './soak-stage.js'
+import { callerPort, engineService, engineShape, plainService } from './soak-testbed.js'
+import type { SoakTestbed } from './soak-testbed.js'
 
 /** Dependencies of the callers and the operator. */
 export interface SoakCallersOptions {
   readonly seed: number
-  readonly testbed: SoakStage
+  readonly testbed: SoakTestbed
   readonly checker: GuaranteeChecker
   /** Returns a number in [0, 1). */
   readonly random: () => number
@@ -77,7 +77,7 @@
     const version = this.#version
     const text = JSON.stringify(composeDocument(version, testbed.engines.length > 0))
     for (let attempt = 0; attempt < maxPutAttempts; attempt++) {
-      const { status } = await testbed.ask((version + attempt) % testbed.registries.length, 'PUT', '/v1/routing', text)
+      const { status } = await testbed.callRegistry((version + attempt) % testbed.registries.length, 'PUT', '/v1/routing', text)
       if (status === 200) {
         this.#acknowledgedAt.set(version, performance.now())
         return true
@@ -136,7 +136,7 @@
     const body = `body of ${id}`
     const gatewayRestarts = this.#options.countRestarts(name)
     const sentAt = performance.now()
-    const result = await callHttp({ host: gatewayHost, port: callerPort, method: 'POST', path, headers: composeCaller(id), agent, timeout: 4 * routeTimeoutMs }, body)
+    const result = await callHttp({ host: gatewayHost, port: callerPort, method: 'POST', path, headers: composeCallerHeaders(id), agent, timeout: 4 * routeTimeoutMs }, body)
     return { id, gateway: name, gatewayRestarts, kind, path, body, version, sentAt, endedAt: performance.now(), result }
   }
 
--- a/src/soak/soak-history.ts
+++ b/src/soak/soak-history.ts
@@ -18,8 +18,8 @@
 import { GuaranteeChecker, routeTimeoutMs } from './guarantee-checker.js'
 import { RankedCallers, drawBursts } from './ranked-callers.js'
 import { SoakCallers } from './soak-callers.js'
-import { SoakStage } from './soak-stage.js'
-import type { TestbedBox } from './soak-stage.js'
+import { SoakTestbed } from './soak-testbed.js'
+import type { TestbedBox } from './soak-testbed.js'
 
 /** Result of a soak run. */
 export interface SoakReport {
@@ -49,7 +49,7 @@
 export class SoakHistory {
   #lengthMs: number
   #faults: readonly TimedFault[]
-  #testbed: SoakStage
+  #testbed: SoakTestbed
   #checker: GuaranteeChecker
   #noticeChecker: NoticeChecker
   #injector: FaultInjector
@@ -64,7 +64,7 @@
     const notices = shape.notices ? drawNotices(createRandom(noticeSeedOffset + seed), shape, lengthMs) : []
     this.#faults = [...drawFaults(createRandom(seed), shape, lengthMs), ...notices]
     this.#checker = new GuaranteeChecker(disturbances)
-    this.#testbed = new SoakStage(shape, seed, (name, code) => this.#checker.reportViolation('a process exited unexpectedly', `${name} with code ${code}`))
+    this.#testbed = new SoakTestbed(shape, seed, (name, code) => this.#checker.reportViolation('a process exited unexpectedly', `${name} with code ${code}`))
     this.#noticeChecker = new NoticeChecker(disturbances, this.#checker)
     this.#injector = new FaultInjector(this.#testbed, disturbances, this.#checker)
     this.#callers = new SoakCallers({
@@ -120,7 +120,7 @@
 
   // Reads the version of the document in force; null if it can't be read.
   async #readVersion (): Promise<number | null> {
-    const { status, body } = await this.#testbed.ask(0, 'GET', '/v1/routing')
+    const { status, body } = await this.#testbed.callRegistry(0, 'GET', '/v1/routing')
     return status === 200 ? (JSON.parse(body) as { version: number }).version : null
   }
 
--- a/src/soak/soak-stage.ts
+++ b/src/soak/soak-testbed.ts
@@ -68,7 +68,7 @@
 /** A torn record: some bytes of a record whose write was cut off by a power loss. */
 const tornBytes = Buffer.from([0, 0, 1, 42, 7, 7, 7])
 
-export class SoakStage {
+export class SoakTestbed {
   readonly folder = mkdtempSync(join(tmpdir(), 'wrenlane-soak-'))
   readonly registries: TestbedBox[] = []
   readonly gateways: TestbedBox[] = []
@@ -134,14 +134,14 @@
     const { standin, port, service, zone, stage, sequence, born } = endpoint
     const body = JSON.stringify({ service, host: this.#composeAddress(2, 0), port, zone, slots: engineShape.batch, born, sequence, stage })
     for (let i = 0; i < this.registries.length; i++) {
-      const { status } = await this.ask((sequence + i) % this.registries.length, 'PUT', `/v1/endpoints/${standin.id}`, body)
+      const { status } = await this.callRegistry((sequence + i) % this.registries.length, 'PUT', `/v1/endpoints/${standin.id}`, body)
       if (status === 200) return true
     }
     return false
   }
 
   /** Calls a registry's operator port, as operators and endpoints do. */
-  ask (registry: number, method: string, path: string, body = ''): Promise<HttpResult> {
+  callRegistry (registry: number, method: string, path: string, body = ''): Promise<HttpResult> {
     const { host } = this.registries[registry]
     return callHttp({ host, port: operatorPort, method, path, headers: { 'content-type': 'application/json' }, timeout: operatorTimeoutMs }, body)
   }
@@ -200,7 +200,7 @@
     const proxy = new FaultProxy(host, () => standin.port)
     const endpoint: TestbedEndpoint = { standin, proxy, port: await proxy.listen(host), service, zone, stage: 'ready', sequence: 0, born: Date.now() }
     standin.crash = crash
-    standin.noteEnd = () => proxy.halt()
+    standin.noteCrash = () => proxy.halt()
     standin.noteRestart = () => { void this.#restart(endpoint, host) }
     return endpoint
   }
@@ -210,6 +210,6 @@
     await endpoint.proxy.listen(host, endpoint.port)
     endpoint.sequence = 0
     endpoint.born = Date.now()
-    if (await this.register(endpoint)) endpoint.standin.noteKnown()
+    if (await this.register(endpoint)) endpoint.standin.noteRegistered()
   }
 }
--- a/src/standin/engine-fault.ts
+++ b/src/standin/engine-fault.ts
@@ -1,5 +1,5 @@
 /** Faults that can be injected into a stand-in engine. */
-export type Fault =
+export type EngineFault =
   | { readonly type: 'none' }
   /** Multiplies the duration of every step. */
   | { readonly type: 'slow', readonly factor: number }
@@ -19,11 +19,11 @@
 const faultTypes = ['none', 'slow', 'reset', 'hang', 'refuse', 'crash', 'short', 'garble']
 
 /** Validates a parsed JSON value; null where it is not a fault. */
-export function parseFault (value: unknown): Fault | null {
+export function parseFault (value: unknown): EngineFault | null {
   if (typeof value !== 'object' || value === null) return null
   const { type, factor, afterTokens } = value as { type?: string, factor?: number, afterTokens?: number }
   if (type === undefined || !faultTypes.includes(type)) return null
   if (type === 'slow' && !(typeof factor === 'number' && factor > 0)) return null
   if ((type === 'crash' || type === 'short' || type === 'garble') && !Number.isInteger(afterTokens)) return null
-  return value as Fault
+  return value as EngineFault
 }
--- a/src/standin/standin-endpoint.ts
+++ b/src/standin/standin-endpoint.ts
@@ -45,7 +45,7 @@
 }
 
 /** Prefix of bodies that crash the endpoint that runs them, where it has a `CrashShape`. */
-export const crashMark = 'ends its endpoint'
+export const crashBodyPrefix = 'ends its endpoint'
 
 /** Names of the headers that the endpoint reads and writes. */
 export interface EndpointHeaders {
@@ -91,7 +91,7 @@
   readonly headers: IncomingMessage['headers']
   readonly body: string
   /** True once the connection was closed before the response was complete. */
-  isCalledOff: boolean
+  isCancelled: boolean
 }
 
 interface EventPacing {
@@ -118,13 +118,13 @@
   /** Null where no request crashes it. */
   crash: CrashShape | null = null
   /** Bodies of the requests that crashed it, in order. */
-  readonly ends: string[] = []
+  readonly crashBodies: string[] = []
   /** Time of each crash in `ends`, on this process's monotonic clock, ms. */
-  readonly endedAt: number[] = []
+  readonly crashedAt: number[] = []
   /** Time from `noteKnown` to the next run after each restart, ms. */
-  readonly backMs: number[] = []
+  readonly recoveryMs: number[] = []
   /** Called when it crashes. */
-  noteEnd: () => void = () => {}
+  noteCrash: () => void = () => {}
   /** Called when it listens again after a crash. */
   noteRestart: () => void = () => {}
   #headers: EndpointHeaders
@@ -165,19 +165,19 @@
   }
 
   /** Simulates a crash of the process: resets all connections and stops listening; restarts after `downMs`. */
-  end (body: string, downMs: number): void {
+  simulateCrash (body: string, downMs: number): void {
     if (this.#isDown || this.#isClosed) return
     this.#isDown = true
-    this.ends.push(body)
-    this.endedAt.push(performance.now())
-    this.noteEnd()
+    this.crashBodies.push(body)
+    this.crashedAt.push(performance.now())
+    this.noteCrash()
     this.#server.close()
     for (const socket of this.#sockets) resetSocket(socket)
     setTimeout(() => { if (!this.#isClosed) void this.#restart() }, downMs)
   }
 
   /** To be called when a registry has accepted the registration that follows a restart. */
-  noteKnown (): void { this.#registeredAt = performance.now() }
+  noteRegistered (): void { this.#registeredAt = performance.now() }
 
   /** True from a crash until it listens again. */
   get isDown (): boolean { return this.#isDown }
@@ -201,14 +201,14 @@
       arrival.backoffMs = this.backoff.seconds * 1000
       return this.#refuse(response, requestId, 503, { 'retry-after': String(this.backoff.seconds) })
     }
-    const run: EndpointRun = { requestId, method: request.method ?? '', path: request.url ?? '', headers: request.headers, body, isCalledOff: false }
+    const run: EndpointRun = { requestId, method: request.method ?? '', path: request.url ?? '', headers: request.headers, body, isCancelled: false }
     this.runs.push(run)
-    if (this.#registeredAt !== null) this.backMs.push(performance.now() - this.#registeredAt)
+    if (this.#registeredAt !== null) this.recoveryMs.push(performance.now() - this.#registeredAt)
     this.#registeredAt = null
-    response.on('close', () => { if (!response.writableFinished) run.isCalledOff = true })
+    response.on('close', () => { if (!response.writableFinished) run.isCancelled = true })
     const { crash } = this
-    const isCrash = crash !== null && body.startsWith(crashMark)
-    if (isCrash) setTimeout(() => this.end(body, crash.downMs), crash.afterMs)
+    const isCrash = crash !== null && body.startsWith(crashBodyPrefix)
+    if (isCrash) setTimeout(() => this.simulateCrash(body, crash.downMs), crash.afterMs)
     // The fault that is active when the run starts applies to it, even if it is cleared meanwhile.
     const { fault } = this
     await sleep(this.answerMs)
@@ -218,7 +218,7 @@
     if (fault.type === 'hang') return
     if (fault.type === 'error') return this.#sendAnswer(response, requestId, 500, 'failed')
     if (run.path.includes('/events')) return await this.#stream(run, request, response)
-    this.#sendAnswer(response, requestId, 200, composeWhole(run))
+    this.#sendAnswer(response, requestId, 200, composeBody(run))
   }
 
   #refuse (response: ServerResponse, requestId: string, status: number, extraHeaders: Record<string, string> = {}): void {
@@ -297,7 +297,7 @@
 }
 
 /** The body of a non-streamed answer: a function of the request, so that a test can tell which request it answers. */
-export function composeWhole (run: Pick<EndpointRun, 'requestId' | 'method' | 'path' | 'body'>): string {
+export function composeBody (run: Pick<EndpointRun, 'requestId' | 'method' | 'path' | 'body'>): string {
   return JSON.stringify({ answers: run.requestId, method: run.method, path: run.path, body: run.body })
 }
 
--- a/src/standin/standin-engine.ts
+++ b/src/standin/standin-engine.ts
@@ -12,7 +12,7 @@
 import { EngineLoop } from './engine-loop.js'
 import { EngineModel } from './engine-model.js'
 import { parseFault } from './engine-fault.js'
-import type { Fault } from './engine-fault.js'
+import type { EngineFault } from './engine-fault.js'
 import { listenOn, readBody, sendJson } from './http-tools.js'
 import { FencedOrderHandler } from './fenced-order-handler.js'
 import type { OrderBody } from './fenced-order-handler.js'
@@ -45,13 +45,13 @@
 
 export class StandinEngine {
   readonly settings: StandinEngineSettings
-  readonly ran = new Map<string, RunRecord>()
+  readonly runRecords = new Map<string, RunRecord>()
   port = 0
   #model: EngineModel
   #loop: EngineLoop
   #server = createServer((request, response) => { void this.#serve(request, response) })
   #streams = new Map<string, OpenStream>()
-  #fault: Fault = { type: 'none' }
+  #fault: EngineFault = { type: 'none' }
   #counter = 0
   #orders: FencedOrderHandler
   #reports: TimestampedReport[] = []
@@ -81,13 +81,13 @@
   }
 
   /** Injects a fault; `none` clears it. */
-  setFault (fault: Fault): void {
+  setFault (fault: EngineFault): void {
     this.#fault = fault
     this.#model.slowFactor = fault.type === 'slow' ? fault.factor : 1
   }
 
   /** Announces in load reports that the engine is leaving. */
-  leave (): void { this.#isLeaving = true }
+  announceLeaving (): void { this.#isLeaving = true }
 
   async #serve (request: IncomingMessage, response: ServerResponse): Promise<void> {
     try {
@@ -104,7 +104,7 @@
       case 'GET /v1/models': return sendJson(response, 200, { object: 'list', data: [...this.#orders.models].map(id => ({ id, object: 'model' })) })
       case 'GET /v1/load': return sendJson(response, 200, this.#findDelayedReport())
       case 'GET /v1/cache/events': return sendJson(response, 200, { evicted: this.#cacheEvents.splice(0) })
-      case 'GET /ran': return sendJson(response, 200, [...this.ran.values()])
+      case 'GET /ran': return sendJson(response, 200, [...this.runRecords.values()])
       case 'POST /v1/orders': return this.#handleOrder(await readBody(request), response)
       case 'POST /fault': return this.#handleFault(await readBody(request), response)
       case 'POST /v1/chat/completions': return await this.#handleChat(request, response)
@@ -142,7 +142,7 @@
     const promptTokens = estimatePrompt(body)
     const stream: OpenStream = { chat, response, words, firstWord: given, promptTokens, nextWord: given }
     this.#streams.set(id, stream)
-    this.ran.set(id, { id, given: 0, end: 'running' })
+    this.runRecords.set(id, { id, given: 0, end: 'running' })
     const priority = typeof chat.priority === 'number' ? chat.priority : 0
     this.#model.add({ id, priority, promptTokens, prefix: digestPrefix('', chat), tokens: Math.max(1, words.length - given) })
     response.on('close', () => this.#cancelStream(id))
@@ -157,7 +157,7 @@
   }
 
   #recordEnd (id: string, end: RunRecord['end']): void {
-    const record = this.ran.get(id)
+    const record = this.runRecords.get(id)
     if (record !== undefined) record.end = end
   }
 
@@ -167,7 +167,7 @@
     const word = stream.words[stream.nextWord]
     if (word === undefined) return
     stream.nextWord += 1
-    const record = this.ran.get(id)
+    const record = this.runRecords.get(id)
     if (record !== undefined) record.given += 1
     if (stream.chat.stream === true) stream.response.write(formatEventData(formatChunk(id, stream.chat.model, { content: word }, null)))
     this.#injectFault(id, stream)
--- a/src/standin/standin-platform.ts
+++ b/src/standin/standin-platform.ts
@@ -46,7 +46,7 @@
   }
 
   /** Returns the bodies of the accepted calls to a path. */
-  listTaken (path: string): string[] {
+  listAcceptedBodies (path: string): string[] {
     return this.calls.filter(call => call.isAccepted && call.path === path).map(({ body }) => body)
   }
 
@@ -69,7 +69,7 @@
  * a higher one, a token used by two holders, and a holder that returns within
  * `leaseMs` of its last call although another holder has called since.
  */
-export function findBreaches (calls: readonly Pick<PlatformCall, 'at' | 'holder' | 'fence'>[], leaseMs: number): string[] {
+export function findFencingViolations (calls: readonly Pick<PlatformCall, 'at' | 'holder' | 'fence'>[], leaseMs: number): string[] {
   const breaches: string[] = []
   const owners = new Map<number, string>()
   const turns: { readonly holder: string, last: number }[] = []
--- a/src/tasks/box-members.ts
+++ b/src/tasks/box-members.ts
@@ -93,7 +93,7 @@
     this.#host.log.info('member', { member: member.id, state: member.state, before, zone: member.zone })
     const isGone = member.state === 'gone'
     if (isGone) {
-      this.#host.links.hangUp(member.host, member.port)
+      this.#host.links.disconnect(member.host, member.port)
       this.#dialedAddresses.delete(`${member.host}:${member.port}`)
     }
     this.#host.noteChange(brandId<BoxId>(member.id), isGone)
--- a/src/tasks/config-follower.ts
+++ b/src/tasks/config-follower.ts
@@ -44,14 +44,14 @@
     }
     try {
       const cached = JSON.parse(text) as Cached
-      this.takeWhole(cached.document, cached.revision)
+      this.replaceDocument(cached.document, cached.revision)
     } catch {
       // An unreadable cache is ignored; keepers or peers supply the configuration.
     }
   }
 
   /** Applies accepted revisions. Returns false if earlier revisions are missing. */
-  takeRevisions (revisions: readonly Revision[]): boolean {
+  applyRevisions (revisions: readonly Revision[]): boolean {
     const newer = revisions.filter(item => item.revision > this.#revision)
     if (newer.length === 0) return true
     if (newer[0].revision !== this.#revision + 1) return false
@@ -64,7 +64,7 @@
   }
 
   /** Replaces the document if `revision` is newer than the current one. */
-  takeWhole (document: Document, revision: number): void {
+  replaceDocument (document: Document, revision: number): void {
     if (revision <= this.#revision) return
     this.#recent = []
     this.#set(document, revision)
--- a/src/tasks/entry-box.ts
+++ b/src/tasks/entry-box.ts
@@ -8,7 +8,7 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import type { Configuration, EntrySettings } from '../config/index.js'
 import { Placer, brandId } from '../core/index.js'
-import type { BoxId, EngineId, PlacerShard, Shard, ShardAnswer, ShardId, ShardWord, ZoneName } from '../core/index.js'
+import type { BoxId, EngineId, PlacerShard, Shard, ShardReply, ShardId, ShardMessage, ZoneName } from '../core/index.js'
 import { LinkPool, unpackLoad } from '../protocol/index.js'
 import type { BoxMessage, BoxStatus, Link } from '../protocol/index.js'
 import type { EventLog, Metrics } from '../runtime/index.js'
@@ -242,7 +242,7 @@
   #noteOpen (link: Link<BoxMessage>): void {
     this.#openLinks.add(link)
     if (this.#isKeeper(link.peer)) this.#configSync.sendWatch(link, true)
-    else this.#placer.reopen(brandId<BoxId>(link.peer))
+    else this.#placer.resendRequests(brandId<BoxId>(link.peer))
   }
 
   #isKeeper (name: string): boolean {
@@ -254,9 +254,9 @@
     switch (message.type) {
       case 'reply': return this.#keepers.receive(from, message.call, message.body)
       case 'revisions':
-        if (!this.#follower.takeRevisions(message.revisions)) this.#configSync.sendWatch(link, false)
+        if (!this.#follower.applyRevisions(message.revisions)) this.#configSync.sendWatch(link, false)
         return
-      case 'whole': return this.#follower.takeWhole(message.document, message.revision)
+      case 'whole': return this.#follower.replaceDocument(message.document, message.revision)
       case 'ask-config': return sendConfigUpdate(link, this.#follower, message.revision)
       case 'shard-word': return this.#receiveShardMessage(link, message.shard, message.word)
       case 'shard-answer': return this.#placer.receive(message.shard, message.answer)
@@ -312,18 +312,18 @@
     this.#members.dial(peers)
   }
 
-  #sendShardMessage (owner: BoxId, shard: ShardId, message: ShardWord): boolean {
+  #sendShardMessage (owner: BoxId, shard: ShardId, message: ShardMessage): boolean {
     if (owner === this.id) return this.#owner.receive(shard, message)
     return this.#openLinks.find(owner)?.send({ type: 'shard-word', shard, word: message }) === true
   }
 
-  #receiveShardMessage (link: Link<BoxMessage>, shard: ShardId, message: ShardWord): void {
+  #receiveShardMessage (link: Link<BoxMessage>, shard: ShardId, message: ShardMessage): void {
     if (this.#owner.receive(shard, message) || message.type !== 'submit') return
     const { request, attempt } = message.submission
     link.send({ type: 'not-owner', shard, request, attempt })
   }
 
-  #sendShardReply (box: BoxId, shard: ShardId, reply: ShardAnswer): void {
+  #sendShardReply (box: BoxId, shard: ShardId, reply: ShardReply): void {
     if (box === this.id) return this.#placer.receive(shard, reply)
     this.#openLinks.find(box)?.send({ type: 'shard-answer', shard, answer: reply })
   }
--- a/src/tasks/keeper-box.ts
+++ b/src/tasks/keeper-box.ts
@@ -7,7 +7,7 @@
 import { performance } from 'node:perf_hooks'
 import type { KeeperSettings } from '../config/index.js'
 import { checkDocument, formatMistake, parseIntent, planIntent } from '../config/index.js'
-import { KeeperLog, applyChanges, getReplicaHost } from '../coordination/index.js'
+import { KeeperLog, applyChanges, getKeeperName } from '../coordination/index.js'
 import type { CommandId, KeeperCommand, KeeperState, LogStore, Members, Replica, ReplicaId } from '../coordination/index.js'
 import { LinkPool } from '../protocol/index.js'
 import type { BoxMessage, BoxStatus, KeeperCall, KeeperReply, KeeperStatus, Link } from '../protocol/index.js'
@@ -169,7 +169,7 @@
   }
 
   #sendRaft (to: ReplicaId, message: Extract<BoxMessage, { type: 'raft' }>['message']): void {
-    const name = getReplicaHost(to)
+    const name = getKeeperName(to)
     const keeper = this.#settings.keepers.find(candidate => candidate.id === name)
     const from = this.#log?.id
     if (keeper === undefined || from === undefined) return
@@ -221,7 +221,7 @@
 
   #redirect (): KeeperReply {
     const leader = this.#log?.leader ?? null
-    const name = leader === null ? null : getReplicaHost(leader)
+    const name = leader === null ? null : getKeeperName(leader)
     return { type: 'redirect', leader: name === this.#settings.id ? null : name }
   }
 
@@ -264,7 +264,7 @@
     if (fresh === undefined) return { type: 'fault', text: `no message from keeper ${name} has been received` }
     const { keeperUnderRepair } = this.#repairs
     if (keeperUnderRepair !== null && keeperUnderRepair !== name) return { type: 'fault', text: `keeper ${keeperUnderRepair} is being repaired` }
-    const isRepaired = replica.members.voters.every(id => id === fresh || getReplicaHost(id) !== name) && replica.members.voters.includes(fresh)
+    const isRepaired = replica.members.voters.every(id => id === fresh || getKeeperName(id) !== name) && replica.members.voters.includes(fresh)
     if (keeperUnderRepair === null && isRepaired) return { type: 'fault', text: `keeper ${name} is already a member with its current disk` }
     const outcome = await this.#repairs.repair(replica, name, id, () => findFreshReplica() ?? fresh)
     switch (outcome.type) {
--- a/src/tasks/keeper-repair.ts
+++ b/src/tasks/keeper-repair.ts
@@ -4,7 +4,7 @@
  * membership.
  */
 import { performance } from 'node:perf_hooks'
-import { getReplicaHost } from '../coordination/index.js'
+import { getKeeperName } from '../coordination/index.js'
 import type { CommandId, Members, Replica, ReplicaId } from '../coordination/index.js'
 import { waitUntil } from '../runtime/index.js'
 import type { EventLog } from '../runtime/index.js'
@@ -80,7 +80,7 @@
 
 async function replaceReplica (replica: Replica, name: string, getFreshReplica: () => ReplicaId): Promise<StepOutcome> {
   const fresh = getFreshReplica()
-  const isOld = (id: ReplicaId): boolean => id !== fresh && getReplicaHost(id) === name
+  const isOld = (id: ReplicaId): boolean => id !== fresh && getKeeperName(id) === name
   if (!replica.members.voters.includes(fresh)) {
     const added = await changeMembers(replica, ({ voters, learners }) => ({ voters, learners: [...learners.filter(id => id !== fresh && !isOld(id)), fresh] }))
     if (added !== 'done') return added
@@ -110,7 +110,7 @@
 async function changeMembers (replica: Replica, change: (members: Members) => Members): Promise<StepOutcome> {
   const deadline = performance.now() + stepTimeoutMs
   while (performance.now() < deadline) {
-    await waitUntil(() => replica.node.isSettled || !replica.isLeader, stepTimeoutMs)
+    await waitUntil(() => replica.node.hasCommittedMembers || !replica.isLeader, stepTimeoutMs)
     if (!replica.isLeader) return { type: 'not-leader' }
     const outcome = await replica.changeMembers(change(replica.members))
     if (outcome.type === 'applied') return 'done'
--- a/src/tasks/limits.ts
+++ b/src/tasks/limits.ts
@@ -1,6 +1,6 @@
 /** Enforces this box's share of the workspaces' limits. */
 import { WorkspaceLimit, divideLimit } from '../core/index.js'
-import type { LimitAnswer, WorkspaceName } from '../core/index.js'
+import type { LimitDecision, WorkspaceName } from '../core/index.js'
 import type { Workspace } from '../config/index.js'
 
 /** Demand of the active workspaces on one box, requests per second; exchanged between boxes. */
@@ -27,14 +27,14 @@
     }
   }
 
-  admit (workspace: Workspace, tokens: number): LimitAnswer {
+  admit (workspace: Workspace, tokens: number): LimitDecision {
     const limit = this.#getOrCreate(workspace.name)
     limit.share = this.#findShare(workspace.name, limit)
-    return limit.enter(this.#now(), workspace, tokens)
+    return limit.admit(this.#now(), workspace, tokens)
   }
 
   release (workspace: WorkspaceName, tokens: number): void {
-    this.#limits.get(workspace)?.leave(tokens)
+    this.#limits.get(workspace)?.release(tokens)
   }
 
   /** The largest demands on this box in descending order, at most `maxReportedDemands`. Drops the state of idle workspaces. */
--- a/src/tasks/member-task.ts
+++ b/src/tasks/member-task.ts
@@ -4,7 +4,7 @@
 import type { Socket } from 'node:dgram'
 import { Membership, defaultMembershipTuning } from '../coordination/index.js'
 import type { Member, MemberAddress, MemberEffect, MemberEvent, MemberMessage, MemberState } from '../coordination/index.js'
-import { decodeForeign, encodeValue } from '../protocol/index.js'
+import { decodeUntrusted, encodeValue } from '../protocol/index.js'
 
 const macBytes = 16
 const tickIntervalMs = 50
@@ -35,7 +35,7 @@
   }
 
   get members (): Member[] { return this.#membership.members }
-  get knownMembers (): Member[] { return this.#membership.remembered }
+  get knownMembers (): Member[] { return this.#membership.knownMembers }
 
   /** Opens the UDP socket on the host and port of the control address. */
   start (): Promise<void> {
@@ -89,7 +89,7 @@
     if (bytes.length <= macBytes) return undefined
     const body = bytes.subarray(macBytes)
     if (!timingSafeEqual(this.#sign(body), bytes.subarray(0, macBytes))) return undefined
-    return decodeForeign(body) as MemberMessage | undefined
+    return decodeUntrusted(body) as MemberMessage | undefined
   }
 
   #sign (body: Uint8Array): Buffer {
--- a/src/tasks/owner-status.ts
+++ b/src/tasks/owner-status.ts
@@ -16,10 +16,10 @@
         id: engine.id,
         zone: shard.zone,
         pool: shard.pool,
-        state: engine.leaving ? 'leaving' : health.state,
-        slow: health.slow,
-        quick: engine.quick,
-        patient: engine.load - engine.quick,
+        state: engine.isLeaving ? 'leaving' : health.state,
+        slow: health.isSlow,
+        quick: engine.interactive,
+        patient: engine.load - engine.interactive,
         places: engine.spec.places,
         owner: box
       })
--- a/src/tasks/shard-directory.ts
+++ b/src/tasks/shard-directory.ts
@@ -1,6 +1,6 @@
 import type { Configuration, EngineEntry } from '../config/index.js'
 import { readSchedulerConfig } from '../config/index.js'
-import { assignOwners, chooseSubset, partEngines } from '../core/index.js'
+import { assignOwners, chooseSubset, partitionEngines } from '../core/index.js'
 import type { BoxId, EngineId, PlacerShard, SchedulerConfig, Shard, ShardBox, ShardId } from '../core/index.js'
 
 /** The shards and the box that owns each, computed from this box's view of the configuration and membership. */
@@ -39,7 +39,7 @@
   #partition ({ engines, pools }: Configuration): void {
     if (this.#partitionedFrom[0] === engines && this.#partitionedFrom[1] === pools) return
     this.#partitionedFrom = [engines, pools]
-    this.#shards = partEngines(engines.values(), pool => pools.get(pool)?.models ?? [], this.#enginesPerShard)
+    this.#shards = partitionEngines(engines.values(), pool => pools.get(pool)?.models ?? [], this.#enginesPerShard)
     this.#byEngine = new Map(this.#shards.flatMap(shard => shard.engines.map(engine => [engine, shard.id] as const)))
   }
 }
--- a/src/tasks/shard-owner.ts
+++ b/src/tasks/shard-owner.ts
@@ -4,14 +4,14 @@
  * back through the host.
  */
 import { Scheduler } from '../core/index.js'
-import type { BoxId, EngineId, Shard, ShardAnswer, ShardId, ShardLoad, ShardWord, SchedulerAction, SchedulerConfig, SchedulerEvent } from '../core/index.js'
+import type { BoxId, EngineId, Shard, ShardReply, ShardId, ShardLoad, ShardMessage, SchedulerAction, SchedulerConfig, SchedulerEvent } from '../core/index.js'
 import { Inbox } from '../runtime/index.js'
 
 /** Functions of the box that the owner depends on. */
 export interface ShardOwnerHost {
   now (): number
   random (): number
-  reply (box: BoxId, shard: ShardId, reply: ShardAnswer): void
+  reply (box: BoxId, shard: ShardId, reply: ShardReply): void
   noteViolation (rule: string, detail: string): void
   noteYield (request: string, engine: string, to: string): void
 }
@@ -69,7 +69,7 @@
   }
 
   /** Queues a message from a box. Returns false if the shard isn't owned, or if a submission finds the inbox full. */
-  receive (shard: ShardId, message: ShardWord): boolean {
+  receive (shard: ShardId, message: ShardMessage): boolean {
     if (!this.#owned.has(shard)) return false
     const event = this.#toEvent(message)
     if (event.type === 'submit') return this.#inbox.offer({ type: 'event', shard, event })
@@ -108,7 +108,7 @@
   }
 
   // Boxes send deadlines as remaining time because their clocks differ.
-  #toEvent (message: ShardWord): SchedulerEvent {
+  #toEvent (message: ShardMessage): SchedulerEvent {
     const at = this.#host.now()
     switch (message.type) {
       case 'submit': return { type: 'submit', at, submission: { ...message.submission, deadline: at + message.leftMs } }
--- a/test/admission.test.ts
+++ b/test/admission.test.ts
@@ -1,14 +1,14 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import type { Fleet, Work } from '../src/core/index.js'
+import type { Fleet, RequestProfile } from '../src/core/index.js'
 import { createFleet, createRecord, createWork, engineService } from './support/fleet-builder.js'
 
 // Retry delay of a refused request, ms; null if it is admitted.
-function findRetryAfterMs (fleet: Fleet, work: Work, at: number): number | null { return fleet.admit(work, at)?.returnMs ?? null }
+function findRetryAfterMs (fleet: Fleet, work: RequestProfile, at: number): number | null { return fleet.admit(work, at)?.returnMs ?? null }
 
 test('a request with too long a backlog is refused with a retry delay; a more urgent one is admitted', () => {
   const fleet = createFleet([createRecord('e1'), createRecord('e2')], engineService)
-  const long = createWork({ priority: 2, pauseMs: 600, targetMs: 2000, cost: { promptTokens: 30_000, mostTokens: 10, parts: [] } })
+  const long = createWork({ priority: 2, pauseMs: 600, targetMs: 2000, cost: { promptTokens: 30_000, maxTokens: 10, parts: [] } })
   assert.equal(findRetryAfterMs(fleet, long, 0), null)
   for (let i = 0; i < 5; i++) fleet.noteHeld(long, true)
   const returnMs = findRetryAfterMs(fleet, long, 0)
@@ -18,7 +18,7 @@
 
 test('a request that would miss its target because first events are late is refused', () => {
   const fleet = createFleet([createRecord('e1'), createRecord('e2')], engineService)
-  const work = createWork({ priority: 2, pauseMs: 600, targetMs: 600, cost: { promptTokens: 12_000, mostTokens: 10, parts: [] } })
+  const work = createWork({ priority: 2, pauseMs: 600, targetMs: 600, cost: { promptTokens: 12_000, maxTokens: 10, parts: [] } })
   fleet.noteHeld(work, true)
   assert.equal(findRetryAfterMs(fleet, work, 0), null)
   for (let i = 0; i < 40; i++) {
@@ -33,7 +33,7 @@
 
 test('a request too large to meet its target is admitted if the backlog is short', () => {
   const fleet = createFleet([createRecord('e1'), createRecord('e2')], engineService)
-  const huge = createWork({ priority: 2, pauseMs: 600, targetMs: 600, cost: { promptTokens: 60_000, mostTokens: 10, parts: [] } })
+  const huge = createWork({ priority: 2, pauseMs: 600, targetMs: 600, cost: { promptTokens: 60_000, maxTokens: 10, parts: [] } })
   assert.equal(findRetryAfterMs(fleet, huge, 0), null)
   fleet.noteHeld(huge, true)
   assert.notEqual(findRetryAfterMs(fleet, huge, 0), null)
@@ -44,8 +44,8 @@
 // although half of all tags were on time.
 test('late first events of one kind do not increase the lateness of another', () => {
   const fleet = createFleet([createRecord('e1'), createRecord('e2')], engineService)
-  const quote = createWork({ priority: 2, pauseMs: 600, targetMs: 2000, cost: { promptTokens: 8000, mostTokens: 10, parts: [] } })
-  const tag = createWork({ priority: 1, pauseMs: 500, targetMs: 400, cost: { promptTokens: 2000, mostTokens: 10, parts: [] } })
+  const quote = createWork({ priority: 2, pauseMs: 600, targetMs: 2000, cost: { promptTokens: 8000, maxTokens: 10, parts: [] } })
+  const tag = createWork({ priority: 1, pauseMs: 500, targetMs: 400, cost: { promptTokens: 2000, maxTokens: 10, parts: [] } })
   for (let i = 0; i < 60; i++) {
     const work = i % 2 === 0 ? quote : tag
     const choice = fleet.choose(work, [], 1000 * i, 0)
@@ -69,8 +69,8 @@
 for (const { name, tags, leastMs, mostMs } of urgentArrivalCases) {
   test(`the expected wait accounts for more urgent requests that arrive meanwhile: ${name}`, () => {
     const fleet = createFleet([createRecord('e1'), createRecord('e2')], engineService)
-    const quote = createWork({ priority: 2, pauseMs: 600, targetMs: 2000, cost: { promptTokens: 12_000, mostTokens: 10, parts: [] } })
-    const tag = createWork({ priority: 1, pauseMs: 500, targetMs: 400, cost: { promptTokens: 2000, mostTokens: 10, parts: [] } })
+    const quote = createWork({ priority: 2, pauseMs: 600, targetMs: 2000, cost: { promptTokens: 12_000, maxTokens: 10, parts: [] } })
+    const tag = createWork({ priority: 1, pauseMs: 500, targetMs: 400, cost: { promptTokens: 2000, maxTokens: 10, parts: [] } })
     for (let i = 0; i < tags; i++) fleet.noteArrival(tag, 900 * i / tags)
     fleet.noteHeld(quote, true)
     const waitMs = fleet.admit(quote, 900)?.waitMs ?? 0
@@ -80,6 +80,6 @@
 
 test('a request is admitted to a service without a usable engine; the endpoint search rejects it', () => {
   const fleet = createFleet([], engineService)
-  const quote = createWork({ priority: 2, pauseMs: 600, targetMs: 2000, cost: { promptTokens: 12_000, mostTokens: 10, parts: [] } })
+  const quote = createWork({ priority: 2, pauseMs: 600, targetMs: 2000, cost: { promptTokens: 12_000, maxTokens: 10, parts: [] } })
   assert.equal(findRetryAfterMs(fleet, quote, 0), null)
 })
--- a/test/callers.test.ts
+++ b/test/callers.test.ts
@@ -4,7 +4,7 @@
 import { after, before, test } from 'node:test'
 import OpenAI from 'openai'
 import { composeAnswer } from '../src/standin/index.js'
-import { Deployment, chat, host, apiKey, readStream, send, until } from './support/deployment.js'
+import { Deployment, sendChat, host, apiKey, readStream, send, waitFor } from './support/deployment.js'
 
 let deployment: Deployment
 
@@ -15,22 +15,22 @@
 const fullText = composeAnswer({ model: 'm', messages, max_tokens: 10 }).words.join('')
 
 test('a streamed response is complete and ends with [DONE]', async () => {
-  const response = await chat(deployment.url, { stream: true })
+  const response = await sendChat(deployment.url, { stream: true })
   assert.equal(response.status, 200)
   assert.deepEqual(readStream(response.body), { text: fullText, done: true, error: null })
   assert.match(String(response.headers['x-wrenlane-request-id']), /^entry-1-/)
 })
 
 test('a non-streamed response has token counts', async () => {
-  const response = await chat(deployment.url)
+  const response = await sendChat(deployment.url)
   const body = JSON.parse(response.body)
   assert.equal(body.choices[0].message.content, fullText)
   assert.equal(body.usage.completion_tokens, 10)
 })
 
 test('a stream has token counts only if they were requested', async () => {
-  const withUsage = await chat(deployment.url, { stream: true, stream_options: { include_usage: true } })
-  const withoutUsage = await chat(deployment.url, { stream: true })
+  const withUsage = await sendChat(deployment.url, { stream: true, stream_options: { include_usage: true } })
+  const withoutUsage = await sendChat(deployment.url, { stream: true })
   assert.match(withUsage.body, /"usage":\{/)
   assert.doesNotMatch(withoutUsage.body, /"usage":\{/)
 })
@@ -91,14 +91,14 @@
   const text = await sendRaw(`GET /healthz HTTP/1.1\r\nhost: x\r\nx-big: ${'a'.repeat(65_536)}\r\n\r\n`)
   assert.match(text, /^HTTP\/1.1 431 /)
   assert.match(text, /"code":"bad-request"/)
-  assert.equal((await chat(deployment.url)).status, 200)
+  assert.equal((await sendChat(deployment.url)).status, 200)
 })
 
 test('a body with a declared length of 100 MiB is refused at once, and other requests are served', async () => {
   const head = `POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer ${apiKey}\r\ncontent-length: ${100 * 2 ** 20}\r\n\r\n`
   const text = await sendRaw(head, [Buffer.alloc(2 ** 18, 32)])
   assert.match(text, /^HTTP\/1.1 413 /)
-  assert.equal((await chat(deployment.url)).status, 200)
+  assert.equal((await sendChat(deployment.url)).status, 200)
 })
 
 test('a chunked body is refused as soon as it exceeds the limit', async () => {
@@ -126,18 +126,18 @@
   socket.write(`POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer ${apiKey}\r\ncontent-length: ${body.length}\r\n\r\n${body}`)
   await new Promise(resolve => socket.once('data', resolve))
   socket.destroy()
-  await until(() => countEnds('cancelled') === before + 1, 'the engine has stopped')
-  await until(() => deployment.entries[0].inFlight === 0, 'the box has no request in flight')
+  await waitFor(() => countEnds('cancelled') === before + 1, 'the engine has stopped')
+  await waitFor(() => deployment.entries[0].inFlight === 0, 'the box has no request in flight')
 })
 
 function countEnds (end: string): number {
-  return deployment.engines.flatMap(engine => [...engine.ran.values()]).filter(record => record.end === end).length
+  return deployment.engines.flatMap(engine => [...engine.runRecords.values()]).filter(record => record.end === end).length
 }
 
 test('1,200 concurrent requests are all answered, each with its own response', async () => {
   const requests = Array.from({ length: 1200 }, async (_, i) => {
     const content = `question ${i}`
-    const response = await chat(deployment.url, { messages: [{ role: 'user', content }], max_tokens: 3 })
+    const response = await sendChat(deployment.url, { messages: [{ role: 'user', content }], max_tokens: 3 })
     if (response.status !== 200) return response.status
     const expected = composeAnswer({ model: 'm', messages: [{ role: 'user', content }], max_tokens: 3 }).words.join('')
     assert.equal(JSON.parse(response.body).choices[0].message.content, expected)
--- a/test/claims-path.test.ts
+++ b/test/claims-path.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict'
 import { after, afterEach, before, test } from 'node:test'
-import { Deployment, chat, host, send, until } from './support/deployment.js'
+import { Deployment, sendChat, host, send, waitFor } from './support/deployment.js'
 import type { HttpResponse } from './support/deployment.js'
 
 let deployment: Deployment
@@ -105,7 +105,7 @@
     if (response?.headers['x-wrenlane-outcome'] === 'not-run') assert.equal(runs, 0, `${key} was reported as not-run`)
     if (response?.status === 200) assert.equal(runs, 1)
   }
-  await until(() => deployment.keepers.filter(keeper => keeper.replica?.isLeader === true).length > 0, 'another leader')
+  await waitFor(() => deployment.keepers.filter(keeper => keeper.replica?.isLeader === true).length > 0, 'another leader')
   // Resending every call through the other box must not run any of them twice.
   const resent = await Promise.all(keys.map((key, i) => call(i + 1, key)))
   for (const [i, key] of keys.entries()) {
@@ -123,6 +123,6 @@
   assert.equal(JSON.parse(response.body).error.code, 'no-quorum')
   assert.equal(response.headers['x-wrenlane-outcome'], 'not-run')
   assert.equal(countRuns(key), 0)
-  assert.equal((await chat(deployment.url)).status, 200)
+  assert.equal((await sendChat(deployment.url)).status, 200)
   assert.equal((await send(deployment.url, '/v1/services/bookings/stock/7', '{}')).status, 200)
 })
--- a/test/configuration.test.ts
+++ b/test/configuration.test.ts
@@ -2,7 +2,7 @@
 import { after, before, test } from 'node:test'
 import type { KeeperReply } from '../src/protocol/index.js'
 import type { LedgerResult } from '../src/coordination/index.js'
-import { Deployment, chat, until } from './support/deployment.js'
+import { Deployment, sendChat, waitFor } from './support/deployment.js'
 
 let deployment: Deployment
 
@@ -18,14 +18,14 @@
 
 async function plan (operator: string, intent: string, number?: string): Promise<LedgerResult> {
   const client = deployment.createOperator(operator)
-  const reply = await client.call({ type: 'plan', id: client.identify(intent, number), intent })
+  const reply = await client.call({ type: 'plan', id: client.createCommandId(intent, number), intent })
   client.close()
   return expectResult(reply)
 }
 
 async function confirm (operator: string, number: number, command?: string): Promise<LedgerResult> {
   const client = deployment.createOperator(operator)
-  const id = client.identify(`confirm ${number}`, command)
+  const id = client.createCommandId(`confirm ${number}`, command)
   const reply = await client.call({ type: 'command', command: { part: 'config', command: { type: 'confirm', id, plan: number } } })
   client.close()
   return expectResult(reply)
@@ -37,7 +37,7 @@
 }
 
 const waitForRevision = (revision: number): Promise<void> =>
-  until(() => deployment.entries.every(entry => entry.configuration.revision >= revision), `revision ${revision} on every box`)
+  waitFor(() => deployment.entries.every(entry => entry.configuration.revision >= revision), `revision ${revision} on every box`)
 
 test('a plan takes effect only when it is confirmed, and then on every box', async () => {
   const before = deployment.entries[0].configuration.revision
@@ -80,7 +80,7 @@
 test('an invalid plan is rejected with all of its mistakes', async () => {
   const client = deployment.createOperator()
   const intent = '[classes.bad]\npriority = 99\nfirstTokenMs = "soon"\nwait = true\n'
-  const reply = await client.call({ type: 'plan', id: client.identify(intent), intent })
+  const reply = await client.call({ type: 'plan', id: client.createCommandId(intent), intent })
   client.close()
   assert.equal(reply.type, 'mistakes')
   assert.equal((reply as Extract<KeeperReply, { type: 'mistakes' }>).mistakes.length, 3)
@@ -92,14 +92,14 @@
   const leader = deployment.leader
   const index = deployment.keepers.indexOf(leader as NonNullable<typeof leader>)
   leader?.kill()
-  await until(() => deployment.leader !== undefined && deployment.leader !== leader, 'another leader')
+  await waitFor(() => deployment.leader !== undefined && deployment.leader !== leader, 'another leader')
   assert.deepEqual(await confirm('ana', number, 'l-2'), first)
   const next = expectPlanNumber(await plan('bea', composeIntent('after-leader')))
   const accepted = await confirm('bea', next)
   assert.equal(accepted.type, 'accepted')
   await deployment.startKeeper(index)
   const { revision } = accepted as Extract<LedgerResult, { type: 'accepted' }>
-  await until(() => deployment.keepers[index].state.config.revision === revision, 'the keeper caught up')
+  await waitFor(() => deployment.keepers[index].state.config.revision === revision, 'the keeper caught up')
   await waitForRevision(revision)
 })
 
@@ -108,6 +108,6 @@
   for (const keeper of deployment.keepers) keeper.kill()
   deployment.entries[2].kill()
   await deployment.startEntry(2)
-  await until(() => deployment.entries[2].configuration.revision === revision, 'the configuration of a peer')
-  assert.equal((await chat(`http://127.0.0.1:${deployment.entries[2].port}`)).status, 200)
+  await waitFor(() => deployment.entries[2].configuration.revision === revision, 'the configuration of a peer')
+  assert.equal((await sendChat(`http://127.0.0.1:${deployment.entries[2].port}`)).status, 200)
 })
--- a/test/crash-watch.test.ts
+++ b/test/crash-watch.test.ts
@@ -8,7 +8,7 @@
 import { test } from 'node:test'
 import fc from 'fast-check'
 import { CrashWatch, brandId } from '../src/core/index.js'
-import type { CrashNews, EndpointEnd, Fingerprint, Ruling } from '../src/core/index.js'
+import type { CrashUpdate, EndpointCrash, Fingerprint, SendDecision } from '../src/core/index.js'
 
 const request = brandId<Fingerprint>('request')
 const otherRequest = brandId<Fingerprint>('other')
@@ -16,17 +16,17 @@
 function listVersion1 (): ReadonlySet<string> { return new Set(['desk v1']) }
 
 /** Crashes at these times, s. `runs`: how long each request had been running, ms. */
-function composeCrashes (times: readonly number[], runs: Readonly<Record<string, number>>, name = 'e', software = 'v1'): EndpointEnd[] {
+function composeCrashes (times: readonly number[], runs: Readonly<Record<string, number>>, name = 'e', software = 'v1'): EndpointCrash[] {
   return times.map((at, i) => ({ endpoint: brandId(`${name}${i}`), born: 1000 + at, service: brandId('desk'), software, ageMs: 60_000 - at * 1000, runs: Object.entries(runs).map(([fingerprint, ms]) => [brandId(fingerprint), ms]) }))
 }
 
-function createWatch (crashes: readonly EndpointEnd[], at = 60_000): CrashWatch {
+function createWatch (crashes: readonly EndpointCrash[], at = 60_000): CrashWatch {
   const watch = new CrashWatch(() => endpoints)
   watch.merge({ ends: crashes, entries: [] }, at)
   return watch
 }
 
-const cases: readonly { name: string, crashes: readonly EndpointEnd[], ruling: Ruling['type'] }[] = [
+const cases: readonly { name: string, crashes: readonly EndpointCrash[], ruling: SendDecision['type'] }[] = [
   { name: 'three crashes during short runs', crashes: composeCrashes([10, 11, 12], { request: 60 }), ruling: 'refused' },
   { name: 'two crashes during short runs', crashes: composeCrashes([10, 11], { request: 60 }), ruling: 'suspect' },
   { name: 'three crashes during runs of three seconds', crashes: composeCrashes([10, 20, 30], { request: 3000 }), ruling: 'suspect' },
@@ -41,19 +41,19 @@
 ]
 
 for (const { name, crashes, ruling } of cases) {
-  test(`${name}: ${ruling}`, () => assert.equal(createWatch(crashes).rule(request, listVersion1, 60_000).type, ruling))
+  test(`${name}: ${ruling}`, () => assert.equal(createWatch(crashes).decide(request, listVersion1, 60_000).type, ruling))
 }
 
 test('two requests running during the same crashes are considered harmful only from the sixth crash', () => {
   const five = composeCrashes([10, 11, 12, 13, 14], { request: 60, other: 60 })
-  assert.equal(createWatch(five).rule(otherRequest, listVersion1, 60_000).type, 'suspect')
+  assert.equal(createWatch(five).decide(otherRequest, listVersion1, 60_000).type, 'suspect')
   const watch = createWatch([...five, ...composeCrashes([15], { request: 60 }, 'alone')])
-  assert.deepEqual([request, otherRequest].map(one => watch.rule(one, listVersion1, 60_000).type), ['refused', 'suspect'])
+  assert.deepEqual([request, otherRequest].map(one => watch.decide(one, listVersion1, 60_000).type), ['refused', 'suspect'])
 })
 
 const harmful = composeCrashes([10, 11, 12], { request: 60 })
 /** Events after a request was quarantined, and the resulting ruling. */
-const followUps: readonly { name: string, at: number, labels?: readonly string[], apply: (watch: CrashWatch, at: number) => unknown, ruling: Ruling['type'], again?: number }[] = [
+const followUps: readonly { name: string, at: number, labels?: readonly string[], apply: (watch: CrashWatch, at: number) => unknown, ruling: SendDecision['type'], again?: number }[] = [
   { name: 'there is software that it has not crashed', at: 61_000, labels: ['desk v1', 'desk v2'], apply: () => {}, ruling: 'trial' },
   { name: 'a trial crashed the new software too', at: 61_000, labels: ['desk v1', 'desk v2'], apply: (watch, at) => watch.merge({ ends: composeCrashes([60], { request: 60 }, 'new', 'v2'), entries: [] }, at), ruling: 'refused' },
   { name: 'the new software answered a trial', at: 61_000, labels: ['desk v1', 'desk v2'], apply: (watch, at) => watch.noteAnswered(request, 'desk v2', at), ruling: 'sound' },
@@ -69,7 +69,7 @@
   test(`in quarantine, then ${name}: ${ruling}`, () => {
     const watch = createWatch(harmful)
     apply(watch, at)
-    assert.equal(watch.rule(request, () => new Set(labels), at).type, ruling)
+    assert.equal(watch.decide(request, () => new Set(labels), at).type, ruling)
   })
 }
 
@@ -91,9 +91,9 @@
 
 const drawRun = fc.tuple(fc.constantFrom('a', 'b', 'c').map(name => brandId<Fingerprint>(name)), fc.option(fc.integer({ min: 1, max: 500 }), { nil: null }))
 const drawCrash = fc.record({ number: fc.integer({ min: 0, max: 6 }), runs: fc.array(drawRun, { maxLength: 3 }) })
-const drawReports: fc.Arbitrary<EndpointEnd[]> = fc.array(drawCrash, { maxLength: 12 }).map(list => list.map(({ number, runs }) => ({ endpoint: brandId(`e${number}`), born: 1, service: brandId('desk'), software: 'v1', ageMs: 0, runs })))
+const drawReports: fc.Arbitrary<EndpointCrash[]> = fc.array(drawCrash, { maxLength: 12 }).map(list => list.map(({ number, runs }) => ({ endpoint: brandId(`e${number}`), born: 1, service: brandId('desk'), software: 'v1', ageMs: 0, runs })))
 
-function sortUpdate ({ ends, entries }: CrashNews): unknown {
+function sortUpdate ({ ends, entries }: CrashUpdate): unknown {
   const crashes = ends.map(({ endpoint, runs }) => [endpoint, [...runs].sort()] as const).sort()
   return [crashes, entries.map(({ fingerprint, state }) => [fingerprint, state]).sort()]
 }
--- a/test/crashing-requests.test.ts
+++ b/test/crashing-requests.test.ts
@@ -9,8 +9,8 @@
 import { join } from 'node:path'
 import { after, before, test } from 'node:test'
 import { setTimeout as sleep } from 'node:timers/promises'
-import { crashMark } from '../src/standin/index.js'
-import { until } from './support/deployment.js'
+import { crashBodyPrefix } from '../src/standin/index.js'
+import { waitFor } from './support/deployment.js'
 import { RouteDeployment, composeDocument } from './support/route-deployment.js'
 import type { CallAnswer } from './support/route-deployment.js'
 
@@ -29,7 +29,7 @@
 after(() => deployment.stop())
 
 function countCrashes (body: string): number {
-  return deployment.endpoints.flatMap(endpoint => endpoint.ends).filter(ended => ended === body).length
+  return deployment.endpoints.flatMap(endpoint => endpoint.crashBodies).filter(ended => ended === body).length
 }
 
 async function awaitEndpoints (): Promise<void> { await sleep(2 * downMs) }
@@ -56,7 +56,7 @@
 test('a request that crashes endpoints crashes few of them, and is then refused as not run by every gateway', async () => {
   const ended: string[] = []
   for (const { name, path } of kinds) {
-    const body = `${crashMark}: ${name}`
+    const body = `${crashBodyPrefix}: ${name}`
     const answers = await repeat(path, body, 12)
     ended.push(`one that ${name}: ${countCrashes(body) <= maxCrashes ? 'few' : countCrashes(body)}`)
     for (const { status, headers, body: text } of answers.slice(-gateways)) {
@@ -68,7 +68,7 @@
 })
 
 test('a harmful request seen at one gateway crashes few more endpoints when it arrives at all gateways at once', async () => {
-  const body = `${crashMark}: at one, then at all`
+  const body = `${crashBodyPrefix}: at one, then at all`
   await deployment.ask('/again/y', { body })
   await sleep(40)
   for (let round = 0; round < 4; round++) {
@@ -80,7 +80,7 @@
 })
 
 test('a harmless request is not refused because of harmful ones beside it, though they share path and caller and its sends fail with theirs', async () => {
-  const body = `${crashMark}: with others beside it`
+  const body = `${crashBodyPrefix}: with others beside it`
   for (const endpoint of deployment.endpoints) endpoint.answerMs = 30
   const harmless = { isOver: false }
   const beside = Array.from({ length: gateways }, async (_, gateway) => {
@@ -119,35 +119,35 @@
 }
 
 test('a request in quarantine is refused at once by a restarted gateway, also after all registries have restarted from their disks', async () => {
-  const body = `${crashMark}: before the boxes were gone`
+  const body = `${crashBodyPrefix}: before the boxes were gone`
   await quarantine(body)
   const ended = countCrashes(body)
   deployment.gateways[0].kill()
   await deployment.startGateway(0)
-  await until(async () => (await deployment.ask('/public/up', { body: 'x', gateway: 0, keyed: false })).status === 200, 'the gateway serves')
+  await waitFor(async () => (await deployment.ask('/public/up', { body: 'x', gateway: 0, keyed: false })).status === 200, 'the gateway serves')
   assert.equal((await deployment.ask('/again/q', { body, gateway: 0 })).status, 503)
   for (const gateway of deployment.gateways) gateway.kill()
   for (const registry of deployment.registries) registry?.kill()
   for (let i = 0; i < 3; i++) await deployment.startRegistry(i, false)
   await deployment.startGateway(0)
-  await until(async () => (await deployment.ask('/public/up', { body: 'x', gateway: 0, keyed: false })).status === 200, 'the gateway serves')
+  await waitFor(async () => (await deployment.ask('/public/up', { body: 'x', gateway: 0, keyed: false })).status === 200, 'the gateway serves')
   assert.equal((await deployment.ask('/again/q', { body, gateway: 0 })).status, 503)
   for (let i = 1; i < gateways; i++) await deployment.startGateway(i)
-  await until(() => deployment.gateways.every(({ table }) => table !== null), 'all gateways have the document')
+  await waitFor(() => deployment.gateways.every(({ table }) => table !== null), 'all gateways have the document')
   assert.equal(countCrashes(body), ended)
 })
 
 test('a registry that restarts without its disk learns of the quarantine from the others', async () => {
-  const body = `${crashMark}: while a registry was gone`
+  const body = `${crashBodyPrefix}: while a registry was gone`
   deployment.registries[2]?.kill()
   const fingerprint = await quarantine(body)
   rmSync(join(deployment.folder, 'registry-2'), { recursive: true, force: true })
   await deployment.startRegistry(2, false)
-  await until(async () => (await deployment.operate('GET', '/v1/quarantine', '', 2)).body.includes(fingerprint), 'the registry knows')
+  await waitFor(async () => (await deployment.operate('GET', '/v1/quarantine', '', 2)).body.includes(fingerprint), 'the registry knows')
 })
 
 test('an operator can list a quarantine and lift it; the request is then tried, and refused again after another crash', async () => {
-  const body = `${crashMark}: until an operator lifts it`
+  const body = `${crashBodyPrefix}: until an operator lifts it`
   const fingerprint = await quarantine(body)
   const ended = countCrashes(body)
   const [entry] = (await listQuarantine()).filter(one => one.fingerprint === fingerprint)
@@ -156,7 +156,7 @@
   assert.ok(deployment.lines.some(line => line.includes('event=quarantine ') && line.includes(fingerprint)))
   assert.equal((await deployment.operate('DELETE', '/v1/quarantine/unknown')).status, 404)
   assert.equal((await deployment.operate('DELETE', `/v1/quarantine/${fingerprint}`)).status, 200)
-  await until(async () => (await deployment.ask('/again/q', { body })).status === 502, 'it is sent again')
+  await waitFor(async () => (await deployment.ask('/again/q', { body })).status === 502, 'it is sent again')
   await awaitEndpoints()
   await repeat('/again/q', body, 6)
   assert.ok(countCrashes(body) - ended <= maxCrashes, `${countCrashes(body) - ended} ended`)
@@ -172,7 +172,7 @@
   for (const endpoint of deployment.endpoints) endpoint.fault = { type: 'none' }
   await sleep(1100)
   for (const endpoint of deployment.endpoints) {
-    await deployment.ask('/again/l', { body: `${crashMark}: ${endpoint.id}`, gateway: 0 })
+    await deployment.ask('/again/l', { body: `${crashBodyPrefix}: ${endpoint.id}`, gateway: 0 })
   }
   await awaitEndpoints()
   const { ends } = deployment.gateways[0].listCrashes()
--- a/test/engines-apart.test.ts
+++ b/test/dedicated-engines.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { LoadBook, PauseRange, ReadingPause, DedicatedCountController, brandId, computeDedicatedCount, computeMinTolerantPause, isPauseTolerant } from '../src/core/index.js'
+import { LoadTable, PauseRange, ReadingPause, DedicatedCountController, brandId, computeDedicatedCount, computeMinTolerantPause, isPauseTolerant } from '../src/core/index.js'
 import type { ReadingDemand } from '../src/core/index.js'
 import { createFleet, createLoad, createRecord, createWork, desk, engineService, movingService, nameZone } from './support/fleet-builder.js'
 
@@ -40,7 +40,7 @@
 test('a pause-sensitive request uses a dedicated engine only if no other engine has a free slot', () => {
   const records = Array.from({ length: 5 }, (_, i) => createRecord(`e${i + 1}`))
   const fleet = createFleet(records, engineService)
-  const sensitive = createWork({ pauseMs: 50, cost: { promptTokens: 100, mostTokens: 10, parts: [] } })
+  const sensitive = createWork({ pauseMs: 50, cost: { promptTokens: 100, maxTokens: 10, parts: [] } })
   const chosen = new Set<string>()
   for (let i = 0; i < 40; i++) {
     const choice = fleet.choose(sensitive, [], i / 10, 0)
@@ -60,8 +60,8 @@
     const sensitiveEngines = new Set<string>()
     for (let i = 0; i < 60; i++) {
       const parts = [{ id: `shared-${i % 7}`, tokens: 300 }, { id: `own-${i}`, tokens: 700 }]
-      const tolerant = fleet.choose(createWork({ priority: 2, pauseMs: 600, cost: { promptTokens: 1000, mostTokens: 10, parts } }), [], i, i / 60)
-      const sensitive = fleet.choose(createWork({ pauseMs: 100, cost: { promptTokens: 200, mostTokens: 10, parts: [{ id: `q-${i}`, tokens: 200 }] } }), [], i, i / 60)
+      const tolerant = fleet.choose(createWork({ priority: 2, pauseMs: 600, cost: { promptTokens: 1000, maxTokens: 10, parts } }), [], i, i / 60)
+      const sensitive = fleet.choose(createWork({ pauseMs: 100, cost: { promptTokens: 200, maxTokens: 10, parts: [{ id: `q-${i}`, tokens: 200 }] } }), [], i, i / 60)
       if (typeof tolerant !== 'string') tolerantEngines.add(tolerant.view.id)
       if (typeof sensitive !== 'string') sensitiveEngines.add(sensitive.view.id)
     }
@@ -73,7 +73,7 @@
 })
 
 test('which requests are pause-tolerant is learned from the longest measured reading pauses', () => {
-  const tolerant = createWork({ pauseMs: 300, cost: { promptTokens: 100, mostTokens: 10, parts: [] } })
+  const tolerant = createWork({ pauseMs: 300, cost: { promptTokens: 100, maxTokens: 10, parts: [] } })
   const sensitive = createWork({ ...tolerant, pauseMs: 185 })
   const pause = new ReadingPause()
   assert.equal(pause.find(0), null)
@@ -85,9 +85,9 @@
 
 test('a box that has measured no reading pause uses the reported median', () => {
   const fleet = createFleet(Array.from({ length: 5 }, (_, i) => createRecord(`e${i + 1}`)), engineService)
-  const work = createWork({ pauseMs: 200, cost: { promptTokens: 100, mostTokens: 10, parts: [] } })
+  const work = createWork({ pauseMs: 200, cost: { promptTokens: 100, maxTokens: 10, parts: [] } })
   const report = (readingPauseMs: number): void => {
-    const table = new LoadBook()
+    const table = new LoadTable()
     for (const [i, seen] of [readingPauseMs, readingPauseMs, 9000].entries()) table.note(brandId(`box-${i}`), nameZone('zone-a'), createLoad(0, { loads: [], demands: [{ service: desk, patient: 1, brisk: 1, apart: 2, base: 1, readingPauseMs: seen, held: [] }] }), 0)
     fleet.noteOthers(table.sumOwn(0), 0)
   }
@@ -103,13 +103,13 @@
 
 test('a newly dedicated engine gets no long prompt while pause-sensitive streams run there', () => {
   const fleet = createFleet(Array.from({ length: 5 }, (_, i) => createRecord(`e${i + 1}`)), movingService)
-  const large = createWork({ pauseMs: 600, cost: { promptTokens: 20_000, mostTokens: 10, parts: [] } })
+  const large = createWork({ pauseMs: 600, cost: { promptTokens: 20_000, maxTokens: 10, parts: [] } })
   const pick = (): string => {
     const choice = fleet.choose(large, [], 1, 0)
     return typeof choice === 'string' ? choice : choice.view.id
   }
   const first = pick()
-  const sensitive = createWork({ pauseMs: 50, cost: { promptTokens: 100, mostTokens: 10, parts: [] } })
+  const sensitive = createWork({ pauseMs: 50, cost: { promptTokens: 100, maxTokens: 10, parts: [] } })
   fleet.findView(brandId(first))?.place(sensitive, { readTokens: 0, fetch: null }, 0)
   assert.notEqual(pick(), first)
 })
--- a/test/document-pull.test.ts
+++ b/test/document-pull.test.ts
@@ -11,7 +11,7 @@
   /** The request expected at this time, or null. */
   | { readonly at: number, readonly asks: readonly [holder: string, why: PullReason] | null }
 
-const timeouts = { firstMs: 1000, longestMs: 3000 }
+const timeouts = { initialMs: 1000, maxMs: 3000 }
 
 /** Holders whose name starts with `near` are in the requesting box's zone. */
 const cases: readonly { readonly name: string, readonly random?: number, readonly steps: readonly Step[] }[] = [
@@ -61,9 +61,9 @@
     const pull = new DocumentPull<string>(timeouts)
     const silent = new Set<string>()
     let held = 0
-    const getState = (holder: string): HolderState => ({ isHeard: !silent.has(holder), isNear: holder.startsWith('near') })
+    const getState = (holder: string): HolderState => ({ isResponsive: !silent.has(holder), isNear: holder.startsWith('near') })
     for (const step of steps) {
-      if ('advertised' in step) pull.noteNamed(step.advertised, step.version)
+      if ('advertised' in step) pull.noteAdvertised(step.advertised, step.version)
       else if ('ended' in step) pull.forget(step.ended)
       else if ('silent' in step) silent.add(step.silent)
       else if ('answered' in step) {
