--- a/test/document-spread.test.ts
+++ b/test/document-spread.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict'
 import { createHash } from 'node:crypto'
 import { test } from 'node:test'
-import { until } from './support/deployment.js'
+import { waitFor } from './support/deployment.js'
 import { RouteDeployment, composeDocument } from './support/route-deployment.js'
 import type { TestDocument } from './support/route-deployment.js'
 import { SlowLink } from './support/slow-link.js'
@@ -40,7 +40,7 @@
 
 const putAll = async (deployment: RouteDeployment, documents: readonly TestDocument[]): Promise<void> => {
   for (const document of documents) {
-    await until(async () => (await deployment.operate('PUT', '/v1/routing', JSON.stringify(document))).status === 200, `version ${document.version} taken`)
+    await waitFor(async () => (await deployment.operate('PUT', '/v1/routing', JSON.stringify(document))).status === 200, `version ${document.version} taken`)
   }
 }
 
@@ -50,10 +50,10 @@
   const bytesBefore = link.forwardedBytes
   await putAll(deployment, [composeLarge(14, 1400), composeLarge(15, 1399), composeLarge(16, 1400), composeLarge(17, 1398)])
   await deployment.operate('DELETE', `/v1/endpoints/${endpoint.id}`)
-  await until(() => deployment.gateways[0].fleet.findView(endpoint.id as never) === undefined, 'the endpoint removed')
+  await waitFor(() => deployment.gateways[0].fleet.findView(endpoint.id as never) === undefined, 'the endpoint removed')
   const documentBytes = JSON.stringify(composeLarge(17, 1398)).length
   const bytesUntilGone = link.forwardedBytes - bytesBefore
-  await until(() => deployment.gateways[0].table?.version === 17 && link.isIdle, 'the newest document active, and the link idle')
+  await waitFor(() => deployment.gateways[0].table?.version === 17 && link.isIdle, 'the newest document active, and the link idle')
   const bytesUntilActive = link.forwardedBytes - bytesBefore
   assert.ok(bytesUntilGone < documentBytes && bytesUntilActive < documentBytes, `${bytesUntilGone} and ${bytesUntilActive} bytes for documents of ${documentBytes}`)
 }))
--- a/test/duties.test.ts
+++ b/test/duties.test.ts
@@ -5,9 +5,9 @@
  */
 import assert from 'node:assert/strict'
 import { after, before, test } from 'node:test'
-import { StandinPlatform, findBreaches } from '../src/standin/index.js'
+import { StandinPlatform, findFencingViolations } from '../src/standin/index.js'
 import type { PlatformFault } from '../src/standin/index.js'
-import { until } from './support/deployment.js'
+import { waitFor } from './support/deployment.js'
 import { RouteDeployment, composeDocument } from './support/route-deployment.js'
 
 const leaseMs = 800
@@ -34,7 +34,7 @@
   platform.close()
 })
 
-function listReports (): Report[] { return platform.listTaken('/v1/usage').map(body => JSON.parse(body) as Report) }
+function listReports (): Report[] { return platform.listAcceptedBodies('/v1/usage').map(body => JSON.parse(body) as Report) }
 
 /** Reports of a window whose counts differ. */
 function findConflicts (): number[] {
@@ -80,9 +80,9 @@
     await askMany(10)
     asked += 10
     const before = platform.calls.length
-    await until(() => platform.calls.length > before + (fault === 'silent' ? 1 : 2), 'calls')
+    await waitFor(() => platform.calls.length > before + (fault === 'silent' ? 1 : 2), 'calls')
     platform.fault = 'none'
-    await until(() => countReported() >= asked, `${asked} requests reported`)
+    await waitFor(() => countReported() >= asked, `${asked} requests reported`)
     assert.equal(countReported(), asked)
     assert.deepEqual(findConflicts(), [])
   })
@@ -97,21 +97,21 @@
     deployment.registries[leader] = null
     await askMany(6)
     asked += 6
-    await until(() => countReported() >= asked, `${asked} requests reported after the ${stop}`)
+    await waitFor(() => countReported() >= asked, `${asked} requests reported after the ${stop}`)
     assert.equal(countReported(), asked)
     await deployment.startRegistry(leader, false)
-    await until(() => deployment.registries.some(one => one?.keeperLog.isLeader === true), 'a leader')
+    await waitFor(() => deployment.registries.some(one => one?.keeperLog.isLeader === true), 'a leader')
   }
   assert.deepEqual(findConflicts(), [])
   assert.ok(new Set(platform.calls.map(({ holder }) => holder)).size >= 2)
 })
 
 test('endpoints of both kinds are ordered in the zone, within its limits', async () => {
-  const orders = platform.listTaken('/v1/endpoint-orders').map(body => JSON.parse(body) as { zone: string, spot: boolean, count: number })
+  const orders = platform.listAcceptedBodies('/v1/endpoint-orders').map(body => JSON.parse(body) as { zone: string, spot: boolean, count: number })
   assert.ok(orders.some(({ spot }) => spot))
   for (const { zone, count } of orders) assert.ok(zone === 'zone-a' && count >= 0 && count <= 4, `${zone} ${count}`)
 })
 
 test('throughout the tests, only one registry called at a time', () => {
-  assert.deepEqual(findBreaches(platform.calls, leaseMs), [])
+  assert.deepEqual(findFencingViolations(platform.calls, leaseMs), [])
 })
--- a/test/endpoint-backoff.test.ts
+++ b/test/endpoint-backoff.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict'
 import { after, before, beforeEach, test } from 'node:test'
 import { setTimeout as sleep } from 'node:timers/promises'
-import { drainMs, mostInBackoff, toldMs } from '../src/soak/limit-bounds.js'
+import { drainMs, maxInBackoff, noticeReactionMs } from '../src/soak/limit-bounds.js'
 import type { StandinEndpoint } from '../src/standin/index.js'
 import { RouteDeployment, composeDocument } from './support/route-deployment.js'
 
@@ -48,7 +48,7 @@
   loaded.backoff = { share: 1, seconds: 2 }
   const statuses = await call(0, 5000)
   const arrivals = loaded.arrivals.slice(before).map(({ at }) => at)
-  const broken = arrivals.filter(askedAt => arrivals.filter(at => at > askedAt + toldMs && at < askedAt + 2000).length > mostInBackoff)
+  const broken = arrivals.filter(askedAt => arrivals.filter(at => at > askedAt + noticeReactionMs && at < askedAt + 2000).length > maxInBackoff)
   assert.ok(arrivals.length > 0 && broken.length === 0, `${broken.length} of ${arrivals.length} times`)
   const refused = statuses.filter(status => status !== 200).length
   assert.equal(refused, 0, 'refused requests are sent to other endpoints')
--- a/test/endpoint-choice.test.ts
+++ b/test/endpoint-choice.test.ts
@@ -1,12 +1,12 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { brandId, noTotals } from '../src/core/index.js'
-import type { EndpointGate, EndpointRecord, Fleet, ServiceName, Work } from '../src/core/index.js'
+import type { EndpointGate, EndpointRecord, Fleet, ServiceName, RequestProfile } from '../src/core/index.js'
 import { createFleet, createLoad, createRecord, createWork, engineService, nameZone } from './support/fleet-builder.js'
 
 test('only endpoints that are ready, reachable and untried are chosen', () => {
   const fleet = createFleet([createRecord('e1'), createRecord('e2', { stage: 'draining' }), createRecord('e3'), createRecord('e4', { service: brandId<ServiceName>('other') })])
-  fleet.findView(brandId('e3'))?.trust.noteUnreachable(0)
+  fleet.findView(brandId('e3'))?.health.noteUnreachable(0)
   const choice = fleet.choose(createWork(), [], 1, 0.5)
   assert.equal(typeof choice === 'string' ? choice : choice.view.id, 'e1')
   assert.equal(fleet.choose(createWork(), [brandId('e1')], 1, 0.5), 'none-usable')
@@ -15,9 +15,9 @@
 
 test('if the answers of all endpoints break, all remain usable; if all connections fail, none is', () => {
   const fleet = createFleet([createRecord('e1'), createRecord('e2'), createRecord('e3')])
-  for (const view of fleet.views) for (let i = 0; i < 4; i++) view.trust.noteBroken(i)
+  for (const view of fleet.views) for (let i = 0; i < 4; i++) view.health.noteBroken(i)
   assert.notEqual(typeof fleet.choose(createWork(), [], 10, 0), 'string')
-  for (const view of fleet.views) view.trust.noteUnreachable(20)
+  for (const view of fleet.views) view.health.noteUnreachable(20)
   assert.equal(fleet.choose(createWork(), [], 30, 0), 'none-usable')
 })
 
@@ -26,7 +26,7 @@
   const busy = fleet.findView(brandId('e2'))
   for (let i = 0; i < 4; i++) busy?.place(createWork(), { readTokens: 0, fetch: null }, 900)
   const choose = (at: number) => { const choice = fleet.choose(createWork(), [], at, 0); return typeof choice === 'string' ? choice : choice.view.id }
-  fleet.zones.noteHeard(brandId('zone-b'), 0)
+  fleet.zones.noteMessage(brandId('zone-b'), 0)
   assert.equal(choose(700), 'e1')
   assert.equal(choose(1000), 'e2')
 })
@@ -37,7 +37,7 @@
   for (let shared = 0; shared < 20; shared++) {
     const engines = boxes.map((fleet, i) => {
       const parts = [{ id: `shared-${shared}`, tokens: 4000 }, { id: `own-${i}`, tokens: 500 }]
-      const choice = fleet.choose(createWork({ pauseMs: 600, cost: { promptTokens: 4500, mostTokens: 10, parts } }), [], 0, 0.9 * i)
+      const choice = fleet.choose(createWork({ pauseMs: 600, cost: { promptTokens: 4500, maxTokens: 10, parts } }), [], 0, 0.9 * i)
       return typeof choice === 'string' ? choice : choice.view.id
     })
     assert.equal(engines[0], engines[1])
@@ -46,18 +46,18 @@
 
 test('a pause-tolerant request waits in the box while engines have a backlog; a pause-sensitive one is sent immediately', () => {
   const fleet = createFleet([createRecord('e1'), createRecord('e2')], engineService)
-  const long = createWork({ priority: 2, pauseMs: 600, targetMs: 2000, cost: { promptTokens: 30_000, mostTokens: 10, parts: [] } })
+  const long = createWork({ priority: 2, pauseMs: 600, targetMs: 2000, cost: { promptTokens: 30_000, maxTokens: 10, parts: [] } })
   const first = fleet.choose(long, [], 0, 0)
   assert.ok(typeof first !== 'string')
   first.view.place(long, first.plan, 0)
   assert.equal(fleet.choose(long, [], 1, 0), 'later')
-  assert.notEqual(fleet.choose(createWork({ pauseMs: 50, cost: { promptTokens: 100, mostTokens: 10, parts: [] } }), [], 1, 0), 'later')
+  assert.notEqual(fleet.choose(createWork({ pauseMs: 50, cost: { promptTokens: 100, maxTokens: 10, parts: [] } }), [], 1, 0), 'later')
 })
 
 // Guards against overfilled engines while no load reports arrive: with all registries down for two seconds, each of three gateways filled the
 // same two engines up to the whole backlog limit. First events of quotes took 1.5 to 2.6 s, and 13 tags queued behind them failed.
 test('a box without load reports of the others fills only its part of an engine\'s backlog limit', () => {
-  const work = createWork({ pauseMs: 600, cost: { promptTokens: 1000, mostTokens: 10, parts: [] } })
+  const work = createWork({ pauseMs: 600, cost: { promptTokens: 1000, maxTokens: 10, parts: [] } })
   const [sentWithReports, sentWithoutReports] = [true, false].map(hasReports => {
     const fleet = createFleet([createRecord('e1')], { ...engineService, engine: { slots: 64, memoryTokens: 600_000, tokensPerEvent: 5, transfer: null } })
     fleet.noteBoxes(4)
@@ -69,7 +69,7 @@
 })
 
 // Number of requests sent at one time until there is no room.
-function countSent (fleet: Fleet, work: Work, at: number): number {
+function countSent (fleet: Fleet, work: RequestProfile, at: number): number {
   for (let sent = 0; ; sent++) {
     const choice = fleet.choose(work, [], at, 0)
     if (typeof choice === 'string') return sent
--- a/test/endpoint-limits.test.ts
+++ b/test/endpoint-limits.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { countAllowed, mostInBackoff, toldMs, windowMs } from '../src/soak/limit-bounds.js'
+import { countAllowed, maxInBackoff, noticeReactionMs, windowMs } from '../src/soak/limit-bounds.js'
 import { LimitModel } from './support/limit-model.js'
 import type { KindShape, LimitShape } from './support/limit-model.js'
 
@@ -21,7 +21,7 @@
 for (const { name, limit, more } of singleLimits) {
   test(`a limit ${name}, is respected by all boxes together and used up`, () => {
     const model = new LimitModel({ ...shape, ...more, limitOf: endpoint => endpoint === 0 ? limit : null }).run()
-    const most = model.countMost(0, windowMs, 0, Infinity, toldMs)
+    const most = model.countMost(0, windowMs, 0, Infinity, noticeReactionMs)
     assert.ok(most <= countAllowed(limit), `${most} in ${windowMs} ms, allowed ${countAllowed(limit)}`)
     const used = model.count(0, 1000, 20_000) / (19 * limit)
     const minShare = more?.failoverAt === undefined ? minUsedShare : minUsedShare - 1.5 / 19
@@ -32,7 +32,7 @@
 
 test('an endpoint with a limit of one in five seconds gets requests often enough to notice its removal, and no more', () => {
   const model = new LimitModel({ ...shape, boxes: 194, kinds: manyKinds, limitOf: endpoint => endpoint === 0 ? 0.2 : null }).run()
-  const most = model.countMost(0, windowMs, 0, Infinity, toldMs)
+  const most = model.countMost(0, windowMs, 0, Infinity, noticeReactionMs)
   assert.ok(most <= countAllowed(0.2), `${most} in ${windowMs} ms`)
 })
 
@@ -50,8 +50,8 @@
 test('a limit that falls from 20 to 1 and rises to 5 is respected as soon as boxes know of the change', () => {
   const limitAt = (at: number): number => at < 7000 ? 20 : at < 14_000 ? 1 : 5
   const model = new LimitModel({ ...shape, limitOf: (endpoint, at) => endpoint === 0 ? limitAt(at) : null }).run()
-  assert.ok(model.countMost(0, windowMs, 0, 7000, toldMs) <= countAllowed(20))
-  assert.ok(model.countMost(0, windowMs, 7000 + windowMs, 14_000, 7000 + toldMs) <= countAllowed(1))
+  assert.ok(model.countMost(0, windowMs, 0, 7000, noticeReactionMs) <= countAllowed(20))
+  assert.ok(model.countMost(0, windowMs, 7000 + windowMs, 14_000, 7000 + noticeReactionMs) <= countAllowed(1))
   assert.ok(model.count(0, 14_000 + 2000, 20_000) >= minUsedShare * 4 * 5)
 })
 
@@ -59,7 +59,7 @@
   const limit = 8
   const isCut = (at: number): boolean => at >= 6000 && at < 18_000
   const model = new LimitModel({ ...shape, endpoints: 3, limitOf: endpoint => endpoint === 0 ? limit : null, isReached: (box, at) => box < 4 || !isCut(at) }).run()
-  const most = model.countMost(0, windowMs, 0, Infinity, toldMs)
+  const most = model.countMost(0, windowMs, 0, Infinity, noticeReactionMs)
   assert.ok(most <= countAllowed(limit), `${most} in ${windowMs} ms`)
   const during = model.arrivals.filter(({ at, endpoint }) => endpoint === 0 && at >= 9000 && at < 18_000)
   const beyond = during.filter(({ box }) => box >= 4).length
@@ -70,15 +70,15 @@
 
 test('a box that resumes after a freeze does not send a burst of accumulated tokens', () => {
   const model = new LimitModel({ ...shape, limitOf: endpoint => endpoint === 0 ? 4 : null, isFrozen: (box, at) => box < 4 && at > 5000 && at < 10_000 }).run()
-  assert.ok(model.countMost(0, 1000, 0, Infinity, toldMs) <= countAllowed(4) / 2, 'no burst')
-  assert.ok(model.countMost(0, windowMs, 0, Infinity, toldMs) <= countAllowed(4))
+  assert.ok(model.countMost(0, 1000, 0, Infinity, noticeReactionMs) <= countAllowed(4) / 2, 'no burst')
+  assert.ok(model.countMost(0, windowMs, 0, Infinity, noticeReactionMs) <= countAllowed(4))
 })
 
 for (const seed of [1, 2, 3]) {
   test(`when demand exceeds the limits of all endpoints, urgent requests are served and others get a Retry-After (seed ${seed})`, () => {
     const limit = 8
     const model = new LimitModel({ ...shape, seed, limitOf: () => limit }).run()
-    for (let i = 0; i < 12; i++) assert.ok(model.countMost(i, windowMs, 0, Infinity, toldMs) <= countAllowed(limit))
+    for (let i = 0; i < 12; i++) assert.ok(model.countMost(i, windowMs, 0, Infinity, noticeReactionMs) <= countAllowed(limit))
     const settled = model.outcomes.filter(({ arrivedAt }) => arrivedAt > 3000 && arrivedAt < 18_000)
     const rate = (priority: number): number => {
       const all = settled.filter(one => one.priority === priority && !one.isRetry)
@@ -111,8 +111,8 @@
     const model = new LimitModel({ ...shape, backoffOf: (endpoint, at) => endpoint === 0 && at < until ? { share: 1, ms } : null }).run()
     const arrivals = model.arrivals.filter(({ endpoint }) => endpoint === 0)
     for (const { at, box } of arrivals.filter(one => one.at < until - 100)) {
-      const meanwhile = arrivals.filter(one => one.box === box && one.at > at + toldMs && one.at < at + ms)
-      assert.ok(meanwhile.length <= mostInBackoff, `${meanwhile.length} from box ${box}`)
+      const meanwhile = arrivals.filter(one => one.box === box && one.at > at + noticeReactionMs && one.at < at + ms)
+      assert.ok(meanwhile.length <= maxInBackoff, `${meanwhile.length} from box ${box}`)
     }
     const others = Array.from({ length: 11 }, (_, i) => model.count(i + 1, until + ms, 20_000))
     assert.ok(model.count(0, until + ms, 20_000) >= 0.8 * others.reduce((sum, one) => sum + one, 0) / others.length)
--- a/test/endpoint-restarts.test.ts
+++ b/test/endpoint-restarts.test.ts
@@ -6,9 +6,9 @@
  */
 import assert from 'node:assert/strict'
 import { after, before, test } from 'node:test'
-import { PromptBook, brandId } from '../src/core/index.js'
+import { PromptIndex, brandId } from '../src/core/index.js'
 import type { EndpointId } from '../src/core/index.js'
-import { until } from './support/deployment.js'
+import { waitFor } from './support/deployment.js'
 import { RouteDeployment, composeDocument } from './support/route-deployment.js'
 import { createFleet, createRecord, createWork, desk } from './support/fleet-builder.js'
 
@@ -34,7 +34,7 @@
 test('requests at an earlier incarnation of an endpoint are sent elsewhere as soon as the new one registers', async () => {
   for (const endpoint of deployment.endpoints) endpoint.fault = { type: 'hang' }
   const asked = deployment.ask('/again/hangs', { requestId: 'hangs' })
-  await until(() => deployment.endpoints.some(({ runs }) => runs.length > 0), 'it runs')
+  await waitFor(() => deployment.endpoints.some(({ runs }) => runs.length > 0), 'it runs')
   const [first, second] = deployment.endpoints[0].runs.length > 0 ? deployment.endpoints : [...deployment.endpoints].reverse()
   second.fault = { type: 'none' }
   first.fault = { type: 'none' }
@@ -55,25 +55,25 @@
   const endpoint = await deployment.addEndpoint('desk')
   const { id } = endpoint
   await deployment.operate('DELETE', `/v1/endpoints/${id}`)
-  await until(() => findStage(id) === 'gone', 'it is gone')
+  await waitFor(() => findStage(id) === 'gone', 'it is gone')
   endpoint.noteRestart()
-  await until(() => findStage(id) === 'ready' && deployment.gateways[0].fleet.findView(id as EndpointId) !== undefined, 'its next life is known')
+  await waitFor(() => findStage(id) === 'ready' && deployment.gateways[0].fleet.findView(id as EndpointId) !== undefined, 'its next life is known')
 })
 
 test('a new incarnation starts without the state kept for the earlier one', () => {
   const fleet = createFleet([createRecord('e1', { born: 10, sequence: 50 })])
   const old = fleet.findView(brandId('e1'))
-  old?.trust.noteUnreachable(0)
+  old?.health.noteUnreachable(0)
   old?.place(createWork(), { readTokens: 0, fetch: null }, 0)
   fleet.applyRecords([createRecord('e1', { born: 20, sequence: 1 })])
   const view = fleet.findView(brandId('e1'))
   assert.notEqual(view, old)
-  assert.deepEqual([view?.running, view?.trust.look(1), old !== undefined && fleet.hasStartedAgain(old)], [0, 'good', true])
+  assert.deepEqual([view?.running, view?.health.findState(1), old !== undefined && fleet.isReplaced(old)], [0, 'good', true])
   assert.equal(fleet.listUsable(desk, 1).length, 1)
 })
 
 test('registries forget the prompts that an earlier incarnation held', () => {
-  const book = new PromptBook()
+  const book = new PromptIndex()
   book.note([[brandId('e1'), [['shared', 100]], true], [brandId('e2'), [['shared', 100]], true]])
   const { version } = book
   book.forget(brandId('e1'))
--- a/test/engine-speed.test.ts
+++ b/test/engine-speed.test.ts
@@ -47,7 +47,7 @@
     const fleet = createFleet([createRecord('e1')], engineService)
     const view = fleet.findView(brandId('e1'))
     assert.ok(view !== undefined)
-    const work = createWork({ pauseMs: 600, cost: { promptTokens: 10, mostTokens: 10, parts: [] } })
+    const work = createWork({ pauseMs: 600, cost: { promptTokens: 10, maxTokens: 10, parts: [] } })
     fleet.noteArrival(work, 0)
     prepare(fleet)
     for (let i = 0; i < 20; i++) fleet.noteGap(view, 20, from + i)
--- a/test/fault-proxy.test.ts
+++ b/test/fault-proxy.test.ts
@@ -5,7 +5,7 @@
 import { listen } from '../src/runtime/index.js'
 import { FaultProxy } from '../src/soak/index.js'
 import type { ProxyMode } from '../src/soak/index.js'
-import { host, until } from './support/deployment.js'
+import { host, waitFor } from './support/deployment.js'
 
 /** Opens a connection through a proxy to a server; `out` returns what the server has received. */
 async function openThrough (): Promise<{ proxy: FaultProxy, socket: Socket, out: () => string, close: () => void }> {
@@ -16,7 +16,7 @@
   const socket = connect(await proxy.listen(host), host)
   socket.on('error', () => {})
   socket.write('begin')
-  await until(() => got === 'begin', 'the connection')
+  await waitFor(() => got === 'begin', 'the connection')
   got = ''
   const close = (): void => {
     socket.destroy()
@@ -38,7 +38,7 @@
         socket.write(part)
         await new Promise(resolve => setTimeout(resolve, 5))
       }
-      await until(() => out().length === parts.join('').length, 'all of it')
+      await waitFor(() => out().length === parts.join('').length, 'all of it')
       assert.equal(out(), parts.join(''))
     } finally {
       close()
@@ -52,7 +52,7 @@
     proxy.setMode('throttle')
     const startedAt = performance.now()
     socket.write('x'.repeat(5000))
-    await until(() => out().length === 5000, 'all of it')
+    await waitFor(() => out().length === 5000, 'all of it')
     // 5000 bytes at 10 bytes/ms take 500 ms; timers may fire a little early.
     assert.ok(performance.now() - startedAt >= 490)
   } finally {
--- a/test/leases.test.ts
+++ b/test/leases.test.ts
@@ -5,22 +5,22 @@
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { LeaseBook, LeaseHolder, UsageLedger, planLeaseTiming } from '../src/coordination/index.js'
+import { LeaseTable, LeaseHolder, UsageLedger, planLeaseTiming } from '../src/coordination/index.js'
 import type { ClockReading, LeaseCommand } from '../src/coordination/index.js'
-import { boundMs, playLeaseHistory } from '../src/proof/index.js'
-import { findBreaches } from '../src/standin/index.js'
+import { boundMs, runLeaseHistory } from '../src/proof/index.js'
+import { findFencingViolations } from '../src/standin/index.js'
 
 const timing = planLeaseTiming(3000)
-const readBothClocks = (ms: number): ClockReading => ({ steady: ms, wall: ms })
+const readBothClocks = (ms: number): ClockReading => ({ monotonic: ms, wall: ms })
 
 /** A holder that requested the lease at 1,000 ms and received the grant at 1,400 ms. */
-function createGrantedHolder (book = new LeaseBook()): LeaseHolder {
+function createGrantedHolder (book = new LeaseTable()): LeaseHolder {
   const holder = new LeaseHolder('duty', 'a', timing, readBothClocks(0))
   const command = holder.decide(readBothClocks(1000), true)
   assert.equal(command?.type, 'claim')
   const result = book.apply(command as LeaseCommand)
   holder.observe(book.find('duty'), readBothClocks(1400))
-  holder.noteEnd(result)
+  holder.noteResult(result)
   return holder
 }
 
@@ -28,9 +28,9 @@
   { name: 'right after the reply', now: readBothClocks(1400), needMs: 700, mayAct: true },
   { name: 'validity counts from the request, not from the reply', now: readBothClocks(1000 + timing.holdMs - 699), needMs: 700, mayAct: false },
   { name: 'just before expiry', now: readBothClocks(1000 + timing.holdMs - 700), needMs: 700, mayAct: true },
-  { name: 'the monotonic clock stood still during a suspension', now: { steady: 1500, wall: 9000 }, needMs: 0, mayAct: false },
-  { name: 'the wall clock was set back', now: { steady: 9000, wall: 1100 }, needMs: 0, mayAct: false },
-  { name: 'the wall clock was set ahead', now: { steady: 1500, wall: 9000 }, needMs: 0, mayAct: false }
+  { name: 'the monotonic clock stood still during a suspension', now: { monotonic: 1500, wall: 9000 }, needMs: 0, mayAct: false },
+  { name: 'the wall clock was set back', now: { monotonic: 9000, wall: 1100 }, needMs: 0, mayAct: false },
+  { name: 'the wall clock was set ahead', now: { monotonic: 1500, wall: 9000 }, needMs: 0, mayAct: false }
 ]
 
 for (const { name, now, needMs, mayAct } of actCases) {
@@ -40,36 +40,36 @@
 }
 
 test('another box claims only after the mark was unchanged for long enough on its monotonic clock, and gets a higher fencing token', () => {
-  const book = new LeaseBook()
+  const book = new LeaseTable()
   createGrantedHolder(book)
   const other = new LeaseHolder('duty', 'b', timing, readBothClocks(0))
   other.observe(book.find('duty'), readBothClocks(1410))
-  assert.equal(other.decide({ steady: 1410 + timing.waitMs - 1, wall: 99_999 }, true), null)
+  assert.equal(other.decide({ monotonic: 1410 + timing.waitMs - 1, wall: 99_999 }, true), null)
   const claim = other.decide(readBothClocks(1410 + timing.waitMs), true)
   assert.equal(claim?.type, 'claim')
-  other.noteEnd(book.apply(claim as LeaseCommand))
+  other.noteResult(book.apply(claim as LeaseCommand))
   assert.equal(other.findFence(readBothClocks(1420 + timing.waitMs), 0), 2)
   assert.ok(timing.waitMs > timing.holdMs)
 })
 
 test('a claim that a renewal precedes is refused', () => {
-  const book = new LeaseBook()
+  const book = new LeaseTable()
   const first = createGrantedHolder(book)
   const seen = book.find('duty')?.mark ?? 0
   const renewal = first.decide(readBothClocks(1000 + timing.renewMs), true)
-  first.noteEnd(book.apply(renewal as LeaseCommand))
+  first.noteResult(book.apply(renewal as LeaseCommand))
   assert.equal(book.apply({ type: 'claim', duty: 'duty', holder: 'b', seen }).type, 'refused')
   assert.equal(book.find('duty')?.holder, 'a')
 })
 
 test('a released lease can be claimed at once by another box, but not by a recent former holder', () => {
-  const book = new LeaseBook()
+  const book = new LeaseTable()
   const first = createGrantedHolder(book)
   book.apply(first.release() as LeaseCommand)
   assert.equal(first.findFence(readBothClocks(1500), 0), null)
   const second = new LeaseHolder('duty', 'b', timing, readBothClocks(0))
   second.observe(book.find('duty'), readBothClocks(1500))
-  second.noteEnd(book.apply(second.decide(readBothClocks(1501), true) as LeaseCommand))
+  second.noteResult(book.apply(second.decide(readBothClocks(1501), true) as LeaseCommand))
   assert.equal(second.findFence(readBothClocks(1510), 0), 2)
   book.apply(second.release() as LeaseCommand)
   // The first box has restarted and knows only the state of the log.
@@ -80,7 +80,7 @@
 })
 
 test('a restarted box does not resume the lease it held before', () => {
-  const book = new LeaseBook()
+  const book = new LeaseTable()
   createGrantedHolder(book)
   const restarted = new LeaseHolder('duty', 'a', timing, readBothClocks(1500))
   restarted.observe(book.find('duty'), readBothClocks(1500))
@@ -90,9 +90,9 @@
 })
 
 test('fencing tokens keep increasing across snapshots', () => {
-  const book = new LeaseBook()
+  const book = new LeaseTable()
   createGrantedHolder(book)
-  const restored = new LeaseBook(book.save())
+  const restored = new LeaseTable(book.save())
   assert.deepEqual(restored.apply({ type: 'claim', duty: 'duty', holder: 'b', seen: restored.find('duty')?.mark ?? 0 }), { type: 'granted', fence: 2 })
 })
 
@@ -103,8 +103,8 @@
   let calls = 0
   let holders = 0
   for (let seed = 1; seed <= histories; seed++) {
-    const arrivals = playLeaseHistory({ seed, boxes: 3 + seed % 3, steps: 2000 })
-    assert.deepEqual(findBreaches(arrivals, boundMs), [], `seed ${seed}`)
+    const arrivals = runLeaseHistory({ seed, boxes: 3 + seed % 3, steps: 2000 })
+    assert.deepEqual(findFencingViolations(arrivals, boundMs), [], `seed ${seed}`)
     calls += arrivals.length
     holders += new Set(arrivals.map(({ fence }) => fence)).size
   }
@@ -114,7 +114,7 @@
 
 test('the random histories detect a lease whose validity counts from the reply', () => {
   let caught = 0
-  for (let seed = 1; seed <= 100; seed++) if (findBreaches(playLeaseHistory({ seed, boxes: 3, steps: 2000, countsFromAnswer: true }), boundMs).length > 0) caught += 1
+  for (let seed = 1; seed <= 100; seed++) if (findFencingViolations(runLeaseHistory({ seed, boxes: 3, steps: 2000, countsFromReply: true }), boundMs).length > 0) caught += 1
   assert.ok(caught > 0)
 })
 
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -85,8 +85,8 @@
   const limit = new WorkspaceLimit()
   const limits = { requestsPerSecond: 2, tokensPerMinute: 1e9, streams: 100 }
   let at = 0
-  while (limit.enter(at, limits, 1).type === 'in') at += 1
-  const over = limit.enter(at, limits, 1)
+  while (limit.admit(at, limits, 1).type === 'in') at += 1
+  const over = limit.admit(at, limits, 1)
   assert.equal(over.type, 'over')
-  assert.equal(limit.enter(at + (over as { retryAfterMs: number }).retryAfterMs + 0.001, limits, 1).type, 'in')
+  assert.equal(limit.admit(at + (over as { retryAfterMs: number }).retryAfterMs + 0.001, limits, 1).type, 'in')
 })
--- a/test/links.test.ts
+++ b/test/links.test.ts
@@ -4,7 +4,7 @@
 import { mock, test } from 'node:test'
 import { FrameSplitter, LinkPool, encodeValue, frameBytes } from '../src/protocol/index.js'
 import { HybridClock } from '../src/runtime/index.js'
-import { host, until } from './support/deployment.js'
+import { host, waitFor } from './support/deployment.js'
 
 interface Side {
   readonly pool: LinkPool<string>
@@ -35,9 +35,9 @@
   const [a, b] = [createSide('a'), createSide('b')]
   const port = await b.pool.listen(host, 0)
   a.pool.dial(host, port)
-  await until(() => a.pool.find(host, port) !== undefined, 'a link')
+  await waitFor(() => a.pool.find(host, port) !== undefined, 'a link')
   for (let i = 0; i < 500; i++) a.pool.find(host, port)?.send(`m${i}`)
-  await until(() => b.received.length === 500, '500 messages')
+  await waitFor(() => b.received.length === 500, '500 messages')
   assert.deepEqual(b.received, Array.from({ length: 500 }, (_, i) => `m${i}`))
   a.pool.close()
   b.pool.close()
@@ -75,9 +75,9 @@
   const [a, b] = [createSide('a', 'another long secret'), createSide('b')]
   const port = await b.pool.listen(host, 0)
   a.pool.dial(host, port)
-  await until(() => a.pool.find(host, port) !== undefined, 'a link')
+  await waitFor(() => a.pool.find(host, port) !== undefined, 'a link')
   a.pool.find(host, port)?.send('hello')
-  await until(() => b.faults.includes('bad-code'), 'the fault')
+  await waitFor(() => b.faults.includes('bad-code'), 'the fault')
   assert.deepEqual(b.received, [])
   a.pool.close()
   b.pool.close()
@@ -106,7 +106,7 @@
     noteFault: fault => assert.fail(fault)
   })
   pool.dial(host, port)
-  await until(() => received.length === 1, 'the large message')
+  await waitFor(() => received.length === 1, 'the large message')
   assert.equal(received[0].length, 5000)
   pool.close()
   server.close()
@@ -124,7 +124,7 @@
   const pool = new LinkPool<string>({
     id: 'a',
     secret: null,
-    pulse: { everyMs: 20, silentMs: 100 },
+    heartbeat: { intervalMs: 20, timeoutMs: 100 },
     clock: new HybridClock(Date.now),
     receive: () => {},
     noteOpen: () => {},
@@ -132,7 +132,7 @@
     noteFault: fault => { faults.push(fault) }
   })
   pool.dial(host, (server.address() as { port: number }).port)
-  await until(() => faults.includes('silent'), 'the silence noticed')
+  await waitFor(() => faults.includes('silent'), 'the silence noticed')
   pool.close()
   server.close()
 })
@@ -180,9 +180,9 @@
     const [a, b] = [createSide('a'), createSide('b')]
     const proxy = await startTamperingProxy(await b.pool.listen(host, 0), change)
     a.pool.dial(host, proxy.port)
-    await until(() => a.pool.find(host, proxy.port) !== undefined, 'a link')
+    await waitFor(() => a.pool.find(host, proxy.port) !== undefined, 'a link')
     a.pool.find(host, proxy.port)?.send('pay once')
-    await until(() => b.faults.includes(fault), 'the fault')
+    await waitFor(() => b.faults.includes(fault), 'the fault')
     assert.ok(b.received.filter(message => message === 'pay once').length <= 1)
     a.pool.close()
     b.pool.close()
--- a/test/load-hub.test.ts
+++ b/test/load-hub.test.ts
@@ -2,13 +2,13 @@
 import { createSocket } from 'node:dgram'
 import type { Socket } from 'node:dgram'
 import { after, before, test } from 'node:test'
-import { SumReader, brandId } from '../src/core/index.js'
+import { LoadUpdateDecoder, brandId } from '../src/core/index.js'
 import type { BoxId, BoxLoad, EndpointId, LoadTotals, ServiceName, ZoneName } from '../src/core/index.js'
-import { decodeTotalsWord, encodeLoadWord } from '../src/protocol/index.js'
+import { decodeTotalsReport, encodeGatewayReport } from '../src/protocol/index.js'
 import { LoadReporter } from '../src/gateway/index.js'
 import { LoadHub } from '../src/registry/index.js'
 import { EventLog } from '../src/runtime/index.js'
-import { until } from './support/deployment.js'
+import { waitFor } from './support/deployment.js'
 
 const hosts = ['127.45.0.1', '127.45.0.2']
 const port = 7001
@@ -22,13 +22,13 @@
   running = 1
   #id: BoxId
   #socket: Socket = createSocket('udp4')
-  #reader = new SumReader()
+  #reader = new LoadUpdateDecoder()
   #timer: NodeJS.Timeout
 
   constructor (i: number) {
     this.#id = brandId<BoxId>(`gateway-${i}`)
     this.#socket.on('message', bytes => {
-      const message = decodeTotalsWord(bytes)
+      const message = decodeTotalsReport(bytes)
       const totals = message === null ? null : this.#reader.take(message.news)
       if (totals !== null) this.received.push(totals)
     })
@@ -43,12 +43,12 @@
   #send (host: string): void {
     this.sent += 1
     const load: BoxLoad = { loads: [{ endpoint: brandId<EndpointId>('e1'), running: this.running, brisk: 0, memory: 0, waiting: [], largest: 0, backedOff: 0 }], demands: [], gaps: [], prompts: [] }
-    this.#socket.send(encodeLoadWord({ box: this.#id, zone: brandId<ZoneName>('zone-a'), start: 1, number: this.sent, load, notices: [] }), port, host)
+    this.#socket.send(encodeGatewayReport({ box: this.#id, zone: brandId<ZoneName>('zone-a'), start: 1, number: this.sent, load, notices: [] }), port, host)
   }
 }
 
 /** A gateway without endpoint notices. */
-const noNotices = { listNotices: () => [], takeNotices: () => {}, noteHub: () => {} }
+const noNotices = { listNotices: () => [], handleNotices: () => {}, noteHubChange: () => {} }
 
 const hubs: LoadHub[] = []
 const gateways: SimulatedGateway[] = []
@@ -66,7 +66,7 @@
     hubs.push(hub)
   }
   for (let i = 0; i < hosts.length; i++) gateways.push(new SimulatedGateway(i))
-  await until(() => gateways.every(one => one.received.length > 0), 'totals at all gateways')
+  await waitFor(() => gateways.every(one => one.received.length > 0), 'totals at all gateways')
 })
 
 after(() => {
@@ -77,14 +77,14 @@
 
 test('a load change at one gateway reaches the gateways of all hubs', async () => {
   gateways[0].running = 5
-  await until(() => gateways.every(one => countRunning(one.received.at(-1)) === 6), 'the change everywhere')
+  await waitFor(() => gateways.every(one => countRunning(one.received.at(-1)) === 6), 'the change everywhere')
 })
 
 test('while nothing changes, gateways get the totals only as heartbeats', async () => {
   const first = gateways[1]
   const { sent } = first
   const receivedBefore = first.received.length
-  await until(() => first.sent >= sent + 20, 'one second of reports')
+  await waitFor(() => first.sent >= sent + 20, 'one second of reports')
   const receivedCount = first.received.length - receivedBefore
   // The hub's heartbeat is at most as frequent as this gateway's own reports.
   assert.ok(receivedCount >= 1 && receivedCount <= first.sent - sent, `${receivedCount} times in ${first.sent - sent} reports`)
@@ -103,15 +103,15 @@
     now: () => performance.now(),
     listHubs: () => [{ host: hosts[hub], zone: brandId<ZoneName>('zone-a') }],
     composeLoad: () => ({ loads: [{ endpoint: movingEndpoint, running: 7, brisk: 0, memory: 0, waiting: [], largest: 0, backedOff: 0 }], demands: [], gaps: [], prompts: [] }),
-    takeOthers: () => {}
+    handleOthers: () => {}
   })
   await reporter.open('127.45.0.3')
   const countMoving = (totals: LoadTotals | undefined): number => totals?.loads.find(load => load.endpoint === movingEndpoint)?.running ?? 0
-  await until(() => gateways.every(one => countMoving(one.received.at(-1)) === 7), 'counted once at both')
+  await waitFor(() => gateways.every(one => countMoving(one.received.at(-1)) === 7), 'counted once at both')
   const receivedBefore = gateways.map(one => one.received.length)
   hub = 1
   const { sent } = gateways[0]
-  await until(() => gateways[0].sent >= sent + 40, 'two seconds of reports')
+  await waitFor(() => gateways[0].sent >= sent + 40, 'two seconds of reports')
   const doubleCounts = gateways.map((one, i) => one.received.slice(receivedBefore[i]).filter(totals => countMoving(totals) > 7).length)
   reporter.close()
   // Of 40 reports; without the fix, 1.5 s of them were counted twice.
@@ -133,14 +133,14 @@
     now: () => performance.now(),
     listHubs: () => [{ host, zone: brandId<ZoneName>('zone-a') }],
     composeLoad: () => ({ loads: [{ endpoint: movingEndpoint, running: 3, brisk: 0, memory: 0, waiting: [[1, 900]], largest: 900, backedOff: 0 }], demands: [], gaps: [], prompts: [] }),
-    takeOthers: others => { if (i === 1) totals.push(others) }
+    handleOthers: others => { if (i === 1) totals.push(others) }
   }))
   await other.open('127.45.0.5')
   await reporter.open('127.45.0.6')
   const describeLast = (): string => JSON.stringify(totals.at(-1)?.loads.map(load => [load.running, load.waiting]) ?? [])
-  await until(() => describeLast() === '[[3,[[1,900]]]]', 'the load of the other box received')
+  await waitFor(() => describeLast() === '[[3,[[1,900]]]]', 'the load of the other box received')
   hub.close()
-  await until(() => describeLast() === '[]', 'the load of the other box dropped')
+  await waitFor(() => describeLast() === '[]', 'the load of the other box dropped')
   const states = totals.map(one => JSON.stringify(one.loads.map(load => [load.running, load.waiting])))
   for (const one of [other, reporter]) one.close()
   assert.deepEqual([...new Set(states)].slice(-3), ['[[3,[[1,900]]]]', '[[3,[]]]', '[]'])
--- a/test/sum-news.test.ts
+++ b/test/load-update.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import fc from 'fast-check'
-import { SumReader, SumTeller, brandId, noTotals } from '../src/core/index.js'
+import { LoadUpdateDecoder, LoadUpdateEncoder, brandId, noTotals } from '../src/core/index.js'
 import type { EndpointId, EndpointLoad, LoadTotals } from '../src/core/index.js'
-import { encodeHubWord } from '../src/protocol/index.js'
+import { encodeHubReport } from '../src/protocol/index.js'
 
 const composeLoad = (id: string, running: number): EndpointLoad => ({ endpoint: brandId<EndpointId>(id), running, brisk: 0, memory: 900 * running, waiting: [], largest: 0, backedOff: 0 })
 const composeSum = (running: Readonly<Record<string, number>>): LoadTotals => ({ ...noTotals, loads: Object.entries(running).filter(([, count]) => count > 0).map(([id, count]) => composeLoad(id, count)) })
@@ -14,7 +14,7 @@
 // Updates between hubs are datagrams and may be lost; after two lost in a row, the next complete update restores the totals.
 test('totals reconstructed from partial updates are correct unless two updates in a row are lost', () => {
   fc.assert(fc.property(steps, all => {
-    const [encoder, reader] = [new SumTeller(), new SumReader()]
+    const [encoder, reader] = [new LoadUpdateEncoder(), new LoadUpdateDecoder()]
     const running: Record<string, number> = {}
     let wasLost = false
     reader.take(encoder.compose(composeSum(running), true))
@@ -29,7 +29,7 @@
 })
 
 test('a hub\'s totals are unknown until the first complete update', () => {
-  const [encoder, early, late] = [new SumTeller(), new SumReader(), new SumReader()]
+  const [encoder, early, late] = [new LoadUpdateEncoder(), new LoadUpdateDecoder(), new LoadUpdateDecoder()]
   early.take(encoder.compose(composeSum({ a: 1 }), true))
   const change = encoder.compose(composeSum({ a: 1, b: 2 }), false)
   assert.deepEqual([describe(early.take(change)), describe(late.take(change))], ['[["a",1],["b",2]]', 'null'])
@@ -38,10 +38,10 @@
 
 // Traffic between zones is billed, and most of it was updates between hubs.
 test('a partial update with one of sixty engines takes at most a tenth of the bytes of a complete one', () => {
-  const encoder = new SumTeller()
+  const encoder = new LoadUpdateEncoder()
   const running = Object.fromEntries(Array.from({ length: 60 }, (_, i) => [`i-00000000${i}`, 2]))
   const sum = { ...composeSum(running), gaps: Object.keys(running).map(id => [brandId<EndpointId>(id), 9.3] as const) }
-  const measure = (isWhole: boolean): number => encodeHubWord({ hub: brandId('registry-1'), start: 1, number: 9, news: encoder.compose(sum, isWhole), notices: [] }).length
+  const measure = (isWhole: boolean): number => encodeHubReport({ hub: brandId('registry-1'), start: 1, number: 9, news: encoder.compose(sum, isWhole), notices: [] }).length
   const whole = measure(true)
   measure(false)
   sum.loads = [composeLoad('i-000000000', 3), ...sum.loads.slice(1)]
@@ -50,7 +50,7 @@
 
 // Hundreds of gateways decode twenty updates a second; engine speeds and field names made up half of each.
 test('engine speeds persist over updates without them, and are empty before the first', () => {
-  const [encoder, reader] = [new SumTeller(), new SumReader()]
+  const [encoder, reader] = [new LoadUpdateEncoder(), new LoadUpdateDecoder()]
   const sum = { ...composeSum({ a: 1 }), gaps: [[brandId<EndpointId>('a'), 9.3] as const] }
   const whole = encoder.compose(sum, true)
   const gaps = [{ ...whole, gaps: null }, whole, { ...whole, gaps: null }].map(update => reader.take(update)?.gaps)
--- a/test/loads.test.ts
+++ b/test/loads.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import fc from 'fast-check'
-import { LoadBook, RecentMost, brandId, noTotals, subtractOwn } from '../src/core/index.js'
+import { LoadTable, SlidingMax, brandId, noTotals, subtractOwn } from '../src/core/index.js'
 import type { BoxLoad } from '../src/core/index.js'
 import { createFleet, createLoad, createRecord, createWork, desk, engineService, nameZone } from './support/fleet-builder.js'
 
@@ -15,7 +15,7 @@
 for (const { name, held, priority, count } of holderCases) {
   test(`counts the boxes that hold requests at least as urgent: ${name}`, () => {
     const fleet = createFleet([createRecord('e1')], engineService)
-    fleet.noteHeld(createWork({ priority, pauseMs: 600, cost: { promptTokens: 900, mostTokens: 10, parts: [] } }), true)
+    fleet.noteHeld(createWork({ priority, pauseMs: 600, cost: { promptTokens: 900, maxTokens: 10, parts: [] } }), true)
     fleet.noteOthers({ ...noTotals, demands: [{ service: desk, patient: 0, brisk: 0, apart: 1, base: 1, readingPauseMs: null, held, holders: held.length === 0 ? 0 : 3 }] }, 0)
     assert.equal(fleet.countHolders(desk, priority), count)
   })
@@ -30,25 +30,25 @@
 })
 
 test('a hub\'s totals include each box until its report expires, and the zones with recent reports', () => {
-  const table = new LoadBook()
+  const table = new LoadTable()
   table.note(brandId('a'), nameZone('zone-a'), createLoad(2), 0)
   table.note(brandId('b'), nameZone('zone-b'), createLoad(3), 1000)
   const totals = table.sumOwn(1100)
   assert.deepEqual(totals.loads, [{ endpoint: 'e1', running: 5, brisk: 2, memory: 50, waiting: [[1, 300]], largest: 300, backedOff: 0 }])
   assert.deepEqual(totals.zones, ['zone-b'])
-  assert.deepEqual(table.forgetSilent(1600), ['a'])
+  assert.deepEqual(table.dropExpired(1600), ['a'])
   assert.deepEqual(table.sumOwn(1600).loads[0].running, 3)
 })
 
 // Guards against counting the backlog of boxes that no longer report: after the registries' leader lost power, its gateways reported to another
 // hub, but their last reports to the old one counted for 1.5 s more. All boxes assumed 9,580 held tokens for 600 ms and refused 60 tags.
 // Likewise, the 18,214 unread tokens of a stopped gateway kept requests away from an engine with room for 1.4 s.
-const staleReportCases: readonly { readonly name: string, readonly report: (book: LoadBook, load: BoxLoad) => void }[] = [
+const staleReportCases: readonly { readonly name: string, readonly report: (book: LoadTable, load: BoxLoad) => void }[] = [
   { name: 'a box', report: (table, load) => table.note(brandId('a'), nameZone('zone-a'), load, 0) },
   {
     name: 'a hub',
     report: (table, load) => {
-      const otherTable = new LoadBook()
+      const otherTable = new LoadTable()
       otherTable.note(brandId('a'), nameZone('zone-a'), load, 0)
       table.noteSum(brandId('hub-b'), { ...otherTable.sumOwn(0), isWhole: true, gone: [] }, 0)
     }
@@ -57,7 +57,7 @@
 
 for (const { name, report } of staleReportCases) {
   test(`the backlog of ${name} is dropped after two missed reports; running requests count until the report expires`, () => {
-    const table = new LoadBook()
+    const table = new LoadTable()
     report(table, createLoad(2, { demands: [{ service: desk, patient: 20, brisk: 2, apart: 1, base: 1, readingPauseMs: null, held: [[2, 900]] }] }))
     const read = (at: number): unknown[] => {
       const { loads: [load], demands: [demand] } = table.sumAll(table.sumOwn(at), at)
@@ -69,14 +69,14 @@
 }
 
 test('the totals include those of other hubs until they expire', () => {
-  const [here, there] = [new LoadBook(), new LoadBook()]
+  const [here, there] = [new LoadTable(), new LoadTable()]
   here.note(brandId('a'), nameZone('zone-a'), createLoad(2), 0)
   there.note(brandId('b'), nameZone('zone-b'), createLoad(3), 0)
   here.noteSum(brandId('hub-b'), { ...there.sumOwn(0), isWhole: true, gone: [] }, 0)
   const all = here.sumAll(here.sumOwn(0), 0)
   assert.deepEqual([all.loads[0].running, all.zones], [5, ['zone-a', 'zone-b']])
   assert.deepEqual(here.sumAll(here.sumOwn(600), 600).zones, [])
-  assert.deepEqual(here.forgetSilent(1600), ['a', 'hub-b'])
+  assert.deepEqual(here.dropExpired(1600), ['a', 'hub-b'])
   assert.deepEqual(here.sumAll(here.sumOwn(1600), 1600).loads, [])
 })
 
@@ -88,7 +88,7 @@
       gaps: [[brandId('e1'), running]]
     }))
     const sumOf = (some: readonly BoxLoad[]) => {
-      const table = new LoadBook()
+      const table = new LoadTable()
       some.forEach((report, i) => table.note(brandId(`box-${i}`), nameZone('zone-a'), report, 0))
       return table.sumOwn(0)
     }
@@ -102,7 +102,7 @@
 })
 
 test('finds the maximum within the window, not older values', () => {
-  const max = new RecentMost(100)
+  const max = new SlidingMax(100)
   assert.equal(max.find(0, 7), 7)
   for (const [at, value] of [[0, 9], [50, 4], [60, 5]] as const) max.note(at, value)
   assert.deepEqual([max.find(90, 1), max.find(120, 1), max.find(161, 1)], [9, 5, 1])
--- a/test/log-size.test.ts
+++ b/test/log-size.test.ts
@@ -5,7 +5,7 @@
 import { test } from 'node:test'
 import { KeeperLog } from '../src/coordination/index.js'
 import type { Members, ReplicaId } from '../src/coordination/index.js'
-import { until } from './support/deployment.js'
+import { waitFor } from './support/deployment.js'
 
 const identity = { name: 'a', firstPart: 'first' }
 const members: Members = { voters: ['a#first' as ReplicaId], learners: [] }
@@ -24,7 +24,7 @@
     let log = await KeeperLog.open({ folder, ...identity }, host)
     try {
       await log.form(members)
-      await until(() => log.isLeader, 'a leader')
+      await waitFor(() => log.isLeader, 'a leader')
       for (let version = 1; version <= count; version++) {
         const end = await log.propose({ part: 'routing', command: { type: 'put', document: { version, text: 'x'.repeat(size) } } })
         assert.equal(end.type, 'applied')
@@ -33,7 +33,7 @@
       assert.ok(bytes < maxBytes, `${bytes} bytes`)
       await log.close()
       log = await KeeperLog.open({ folder, ...identity }, host)
-      await until(() => log.state.routing.newest?.version === count, 'the newest document after reopening')
+      await waitFor(() => log.state.routing.newest?.version === count, 'the newest document after reopening')
     } finally {
       await log.close()
       rmSync(folder, { recursive: true, force: true })
--- a/test/member-plan.test.ts
+++ b/test/member-plan.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { planMembers } from '../src/coordination/index.js'
-import type { KeeperSight, Members, ReplicaId } from '../src/coordination/index.js'
+import type { KeeperObservation, Members, ReplicaId } from '../src/coordination/index.js'
 
-const target = { voters: 3, perZone: 1, replaceMs: 2500, forgetMs: 60_000 }
+const target = { voters: 3, maxPerZone: 1, replaceVoterMs: 2500, dropLearnerMs: 60_000 }
 
-function createSight (id: string, zone: string, silentMs = 0, match = 100): KeeperSight {
+function createSight (id: string, zone: string, silentMs = 0, match = 100): KeeperObservation {
   return { replica: id as ReplicaId, zone, silentMs, match }
 }
 
@@ -16,7 +16,7 @@
 
 const [a, b, c, d] = [createSight('a#1', 'za'), createSight('b#1', 'zb'), createSight('c#1', 'zc'), createSight('d#1', 'zd')]
 
-const cases: readonly { name: string, members: Members, sights: readonly KeeperSight[], next: Members | null }[] = [
+const cases: readonly { name: string, members: Members, sights: readonly KeeperObservation[], next: Members | null }[] = [
   { name: 'no change while all voters are reachable', members: parseMembers('a#1 b#1 c#1', 'd#1'), sights: [a, b, c, d], next: null },
   { name: 'a new keeper is added as a learner', members: parseMembers('a#1 b#1 c#1'), sights: [a, b, c, d], next: parseMembers('a#1 b#1 c#1', 'd#1') },
   { name: 'a caught-up learner is promoted if a voter is missing', members: parseMembers('a#1 b#1', 'd#1'), sights: [a, b, d], next: parseMembers('a#1 b#1 d#1') },
@@ -34,6 +34,6 @@
 
 for (const { name, members: present, sights, next } of cases) {
   test(`members: ${name}`, () => {
-    assert.deepEqual(planMembers({ members: present, self: 'a#1' as ReplicaId, commit: 100, sights }, target), next)
+    assert.deepEqual(planMembers({ members: present, self: 'a#1' as ReplicaId, commit: 100, observations: sights }, target), next)
   })
 }
--- a/test/notice-book.test.ts
+++ b/test/notice-store.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import fc from 'fast-check'
-import { NoticeBook, NoticeTeller, NoticeUplink, brandId } from '../src/core/index.js'
+import { NoticeStore, NoticeBroadcaster, NoticeUplink, brandId } from '../src/core/index.js'
 import type { BoxId, EndpointId, EndpointNotice } from '../src/core/index.js'
 
 const box = brandId<BoxId>('box')
@@ -13,13 +13,13 @@
   isLeaving: fc.boolean()
 })
 
-function listNotices (store: NoticeBook): EndpointNotice[] {
+function listNotices (store: NoticeStore): EndpointNotice[] {
   return store.notices.sort((a, b) => a.endpoint < b.endpoint ? -1 : 1)
 }
 
 test('boxes that receive the same notices, in any order and any number of times, hold the same state', () => {
   fc.assert(fc.property(fc.array(drawNotice, { maxLength: 12 }), fc.array(fc.nat(), { maxLength: 24 }), (notices, order) => {
-    const [inOrder, shuffled] = [new NoticeBook(), new NoticeBook()]
+    const [inOrder, shuffled] = [new NoticeStore(), new NoticeStore()]
     for (const notice of notices) inOrder.merge([{ ...notice }], 0, box)
     const again = notices.length === 0 ? [] : order.map(i => notices[i % notices.length])
     shuffled.merge([...again, ...notices.slice().reverse()].map(notice => ({ ...notice })), 0, box)
@@ -47,7 +47,7 @@
 
 for (const { name, announced, expected } of cases) {
   test(`after a limit of 3, a response that announces ${name} ${expected === null ? 'changes nothing' : 'creates a new notice'}`, () => {
-    const store = new NoticeBook()
+    const store = new NoticeStore()
     const endpoint = brandId<EndpointId>('e1')
     store.merge([{ endpoint, born: 5, stamp: 7, perSecond: 3, isLeaving: false }], 0, box)
     const changed = store.note({ endpoint, born: announced.born ?? 5, limit: announced.limit, isLeaving: announced.isLeaving ?? false }, 1)
@@ -57,18 +57,18 @@
 }
 
 test('a gateway repeats a notice until the hub echoes it; the hub sends it in the following messages and then twice a second', () => {
-  const store = new NoticeBook()
-  const [uplink, broadcaster] = [new NoticeUplink(store), new NoticeTeller(store)]
+  const store = new NoticeStore()
+  const [uplink, broadcaster] = [new NoticeUplink(store), new NoticeBroadcaster(store)]
   const notice = store.note({ endpoint: brandId('e1'), born: 5, limit: 2, isLeaving: false }, 0) as EndpointNotice
   uplink.note(notice)
-  broadcaster.draw(0)
+  broadcaster.listNext(0)
   broadcaster.note(notice, 0)
   assert.deepEqual([uplink.list().length, uplink.list().length], [1, 1])
   uplink.confirm([{ ...notice, stamp: 0 }])
   assert.equal(uplink.list().length, 1)
   uplink.confirm([notice])
   assert.equal(uplink.list().length, 0)
-  assert.deepEqual([10, 200, 210, 400, 500, 510].map(at => broadcaster.draw(at).length), [1, 1, 0, 0, 1, 0])
+  assert.deepEqual([10, 200, 210, 400, 500, 510].map(at => broadcaster.listNext(at).length), [1, 1, 0, 0, 1, 0])
   uplink.reset()
   assert.equal(uplink.list().length, 1)
 })
--- a/test/planned-stop.test.ts
+++ b/test/planned-stop.test.ts
@@ -1,19 +1,19 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { composeAnswer } from '../src/standin/index.js'
-import { Deployment, chat, host, readStream, send, until } from './support/deployment.js'
+import { Deployment, sendChat, host, readStream, send, waitFor } from './support/deployment.js'
 
 test('a graceful shutdown with 200 streams in flight aborts none', async () => {
   const deployment = await Deployment.start({ port: 21_300, entries: 2, engines: 4, places: 59, entry: { balancerLagMs: 1500 }, engine: { batch: 60, baseMs: 10 } })
   try {
     const contents = Array.from({ length: 200 }, (_, i) => `question ${i}`)
-    const responses = contents.map(content => chat(deployment.url, { stream: true, max_tokens: 250, messages: [{ role: 'user', content }] }))
-    await until(() => deployment.entries[0].inFlight === 200, '200 requests in flight')
+    const responses = contents.map(content => sendChat(deployment.url, { stream: true, max_tokens: 250, messages: [{ role: 'user', content }] }))
+    await waitFor(() => deployment.entries[0].inFlight === 200, '200 requests in flight')
     const stopped = deployment.entries[0].stop()
     const ready = await send(deployment.url, '/readyz', null)
     assert.equal(ready.status, 503)
     // Requests that the load balancer still sends before it notices are served.
-    assert.equal((await chat(deployment.url)).status, 200)
+    assert.equal((await sendChat(deployment.url)).status, 200)
     const done = await Promise.all(responses)
     for (const [i, response] of done.entries()) {
       const text = composeAnswer({ model: 'm', messages: [{ role: 'user', content: contents[i] }], max_tokens: 250 }).words.join('')
@@ -22,7 +22,7 @@
     assert.equal(await stopped, 0)
     // The other box has taken over the shards and keeps serving.
     const otherUrl = `http://${host}:${deployment.entries[1].port}`
-    assert.equal((await chat(otherUrl)).status, 200)
+    assert.equal((await sendChat(otherUrl)).status, 200)
   } finally {
     await deployment.stop()
   }
@@ -31,20 +31,20 @@
 test('a drained engine gets no new requests and completes those in flight', async () => {
   const deployment = await Deployment.start({ port: 21_350, engines: 2, engine: { baseMs: 5 } })
   try {
-    const early = Array.from({ length: 6 }, () => chat(deployment.url, { stream: true, max_tokens: 30 }))
-    await until(() => deployment.engines.every(engine => engine.ran.size === 3), 'three requests on each engine')
+    const early = Array.from({ length: 6 }, () => sendChat(deployment.url, { stream: true, max_tokens: 30 }))
+    await waitFor(() => deployment.engines.every(engine => engine.runRecords.size === 3), 'three requests on each engine')
     const engine = deployment.engines[0]
     await deployment.configure(`[engines.engine-0]\npool = "small"\nzone = "zone-0"\nhost = "${host}"\nport = ${engine.port}\nleaving = true\n`)
-    await until(() => deployment.entries[0].composeStatus().engines.some(one => one.state === 'leaving'), 'the drain is in effect')
-    const before = engine.ran.size
-    const late = await Promise.all(Array.from({ length: 8 }, () => chat(deployment.url, { stream: true })))
-    assert.equal(engine.ran.size, before)
+    await waitFor(() => deployment.entries[0].composeStatus().engines.some(one => one.state === 'leaving'), 'the drain is in effect')
+    const before = engine.runRecords.size
+    const late = await Promise.all(Array.from({ length: 8 }, () => sendChat(deployment.url, { stream: true })))
+    assert.equal(engine.runRecords.size, before)
     for (const response of [...late, ...await Promise.all(early)]) assert.equal(readStream(response.body).done, true)
     // After the drain is cancelled, the engine gets requests again.
     await deployment.configure(`[engines.engine-0]\npool = "small"\nzone = "zone-0"\nhost = "${host}"\nport = ${engine.port}\n`)
-    await until(() => deployment.entries[0].composeStatus().engines.every(one => one.state === 'live'), 'the drain is cancelled')
-    await Promise.all(Array.from({ length: 8 }, () => chat(deployment.url)))
-    assert.ok(engine.ran.size > before)
+    await waitFor(() => deployment.entries[0].composeStatus().engines.every(one => one.state === 'live'), 'the drain is cancelled')
+    await Promise.all(Array.from({ length: 8 }, () => sendChat(deployment.url)))
+    assert.ok(engine.runRecords.size > before)
   } finally {
     await deployment.stop()
   }
@@ -53,11 +53,11 @@
 test('an engine that reports itself as leaving gets no new requests', async () => {
   const deployment = await Deployment.start({ port: 21_375, engines: 2, engine: { reportLagMs: 0 } })
   try {
-    deployment.engines[0].leave()
-    await until(() => deployment.entries[0].composeStatus().engines.some(one => one.state === 'leaving'), 'the engine is marked as leaving')
-    const before = deployment.engines[0].ran.size
-    await Promise.all(Array.from({ length: 8 }, () => chat(deployment.url)))
-    assert.equal(deployment.engines[0].ran.size, before)
+    deployment.engines[0].announceLeaving()
+    await waitFor(() => deployment.entries[0].composeStatus().engines.some(one => one.state === 'leaving'), 'the engine is marked as leaving')
+    const before = deployment.engines[0].runRecords.size
+    await Promise.all(Array.from({ length: 8 }, () => sendChat(deployment.url)))
+    assert.equal(deployment.engines[0].runRecords.size, before)
   } finally {
     await deployment.stop()
   }
--- a/test/prompt-fetch.test.ts
+++ b/test/prompt-fetch.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict'
 import { after, before, test } from 'node:test'
 import type { StandinEndpoint } from '../src/standin/index.js'
-import { until } from './support/deployment.js'
+import { waitFor } from './support/deployment.js'
 import { RouteDeployment, composeDocument } from './support/route-deployment.js'
 
 const headers = { 'x-wrenlane-tokens': '4500,20', 'x-wrenlane-prompt-parts': 'shared:4000,own:500' }
@@ -30,7 +30,7 @@
   assert.deepEqual([first.status, first.fetchFrom], [200, undefined])
   const holder = endpoints.find(({ id }) => id === first.endpoint)!
   const parts = [{ id: 'shared', tokens: 4000 }]
-  await until(() => deployment.gateways[1].fleet.findView(holder.id as never)?.kept.countHeld(parts) === 4000, 'the holder known to the other gateway')
+  await waitFor(() => deployment.gateways[1].fleet.findView(holder.id as never)?.cachedPrompts.countCachedTokens(parts) === 4000, 'the holder known to the other gateway')
   holder.fault = { type: 'full' }
   const second = await askFrom(1, 'second reader')
   holder.fault = { type: 'none' }
--- a/test/prompts.test.ts
+++ b/test/prompts.test.ts
@@ -1,19 +1,19 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { Fleet, PromptBook, PromptMemory, PromptRelay, brandId, noTotals } from '../src/core/index.js'
-import { PromptBatches, isSavedPrompt, listBatches } from '../src/registry/index.js'
+import { Fleet, PromptIndex, PromptCacheModel, PromptRelay, brandId, noTotals } from '../src/core/index.js'
+import { PromptBatchSender, isSavedPrompt, splitIntoBatches } from '../src/registry/index.js'
 import type { LoadTotals, RoutedService } from '../src/core/index.js'
 import { createFleet, createRecord, engineService, long, movingService, readShared } from './support/fleet-builder.js'
 
 test('a part counts as cached only if every part before it is, and the oldest are evicted', () => {
-  const memory = new PromptMemory(1000)
+  const memory = new PromptCacheModel(1000)
   const parts = [{ id: 'a', tokens: 300 }, { id: 'b', tokens: 300 }, { id: 'c', tokens: 200 }]
   memory.add(parts)
-  assert.equal(memory.countHeld(parts), 800)
-  assert.equal(memory.countHeld([{ id: 'x', tokens: 1 }, ...parts]), 0)
+  assert.equal(memory.countCachedTokens(parts), 800)
+  assert.equal(memory.countCachedTokens([{ id: 'x', tokens: 1 }, ...parts]), 0)
   memory.add([{ id: 'd', tokens: 600 }])
-  assert.equal(memory.countHeld(parts), 0)
-  assert.equal(memory.countHeld([{ id: 'd', tokens: 600 }]), 600)
+  assert.equal(memory.countCachedTokens(parts), 0)
+  assert.equal(memory.countCachedTokens([{ id: 'd', tokens: 600 }]), 600)
 })
 
 const fetchCases: readonly { name: string, service?: RoutedService, prompts?: LoadTotals['prompts'], disturb?: (fleet: Fleet) => void, tried?: string[], fetch: string | null, read: number | null }[] = [
@@ -21,7 +21,7 @@
   { name: 'the engine that has it cached reads the rest', tried: ['e2', 'e3'], fetch: null, read: 2000 },
   { name: 'another engine fetches it from there', tried: ['e1'], fetch: 'e1', read: 2000 },
   { name: 'without transfers, only the affinity engine is assumed to have it cached', service: engineService, tried: ['e1', 'e2'], fetch: null, read: null },
-  { name: 'nothing is fetched from a doubtful holder', disturb: fleet => fleet.findView(brandId('e1'))?.trust.noteBroken(0), tried: ['e1'], fetch: null, read: 8000 },
+  { name: 'nothing is fetched from a doubtful holder', disturb: fleet => fleet.findView(brandId('e1'))?.health.noteBroken(0), tried: ['e1'], fetch: null, read: 8000 },
   { name: 'nothing is fetched over a slow link', service: { ...movingService, engine: { ...movingService.engine!, transfer: { tokenBytes: 100_000, bytesPerMs: 1_000_000 } } }, tried: ['e1'], fetch: null, read: 8000 }
 ]
 
@@ -49,7 +49,7 @@
   assert.deepEqual(prompts, [[choice.view.id, [['shared', 6000]], true]])
   assert.deepEqual(here.composeLoad(400).prompts, [])
   there.noteOthers({ ...noTotals, prompts }, 260)
-  assert.equal(there.findView(choice.view.id)?.prompts.countHeld(long.cost!.parts), 6000)
+  assert.equal(there.findView(choice.view.id)?.prompts.countCachedTokens(long.cost!.parts), 6000)
 })
 
 const arrivalOrders: readonly { name: string, prepare: (fleet: Fleet) => void }[] = [
@@ -63,7 +63,7 @@
     const fleet = new Fleet(brandId('zone-a'))
     prepare(fleet)
     fleet.noteOthers({ ...noTotals, prompts: readShared }, 0)
-    assert.equal(fleet.findView(brandId('e1'))?.prompts.countHeld(long.cost!.parts), 6000)
+    assert.equal(fleet.findView(brandId('e1'))?.prompts.countCachedTokens(long.cost!.parts), 6000)
   })
 }
 
@@ -77,19 +77,19 @@
 test('a prompt report is relayed twice, however often it is received, and again once it is read again', () => {
   const relay = new PromptRelay()
   const [read, kept] = [false, true].map((isKept): LoadTotals['prompts'][number] => [brandId('e1'), [['shared', 6000]], isKept])
-  assert.deepEqual(relay.take([read], 0), [read])
-  assert.deepEqual(relay.draw(), [read])
-  assert.deepEqual(relay.take([read, kept], 40), [kept])
-  assert.deepEqual(relay.draw(), [read, kept])
-  assert.deepEqual(relay.draw(), [kept])
-  assert.deepEqual(relay.take([read, kept], 200), [])
-  assert.deepEqual(relay.draw(), [])
-  assert.deepEqual(relay.take([kept], 900), [kept])
-  assert.deepEqual(relay.draw(), [kept])
+  assert.deepEqual(relay.addReported([read], 0), [read])
+  assert.deepEqual(relay.takePending(), [read])
+  assert.deepEqual(relay.addReported([read, kept], 40), [kept])
+  assert.deepEqual(relay.takePending(), [read, kept])
+  assert.deepEqual(relay.takePending(), [kept])
+  assert.deepEqual(relay.addReported([read, kept], 200), [])
+  assert.deepEqual(relay.takePending(), [])
+  assert.deepEqual(relay.addReported([kept], 900), [kept])
+  assert.deepEqual(relay.takePending(), [kept])
 })
 
 test('the prompt index keeps the newest cached prompts, up to its size limit', () => {
-  const index = new PromptBook()
+  const index = new PromptIndex()
   const prompt = (i: number, isKept = true): LoadTotals['prompts'][number] => [brandId('e1'), [[`part-${i}`, 100]], isKept]
   index.note([prompt(1, false)])
   assert.deepEqual([index.prompts, index.version], [[], 0])
@@ -103,7 +103,7 @@
 // Guards against an index that is too small: with about 3,200 shared prompts on 55 engines, as on the largest deployment, an index of 800 made
 // newly started boxes have most of them read again beside engines that had them cached.
 test('the prompt index has room for three thousand shared parts on two engines each', () => {
-  const index = new PromptBook()
+  const index = new PromptIndex()
   const all = Array.from({ length: 6000 }, (_, i): LoadTotals['prompts'][number] => [brandId(`e${i % 55}`), [[`part-${i >> 1}`, 1000]], true])
   index.note(all)
   assert.deepEqual(new Set(index.prompts), new Set(all))
@@ -120,7 +120,7 @@
   test(`cached prompts are sent in batches that don't split an engine: ${name}`, () => {
     const prompts = Object.entries(held).flatMap(([id, count]) => Array.from({ length: count }, (_, i): LoadTotals['prompts'][number] => [brandId(id), [[`part-${i}`, 1]], true]))
     // In the order of arrival, not by engine.
-    const batches = listBatches(prompts.sort(([, a], [, b]) => a[0][0].localeCompare(b[0][0])))
+    const batches = splitIntoBatches(prompts.sort(([, a], [, b]) => a[0][0].localeCompare(b[0][0])))
     assert.deepEqual(batches.map(batch => batch.length), sizes)
     const owners = batches.map(batch => new Set(batch.map(([id]) => id)))
     assert.equal(owners.reduce((sum, ids) => sum + ids.size, 0), Object.keys(held).length)
@@ -132,7 +132,7 @@
   for (const order of [[0, 1, 2], [0, 2, 1], [1, 0, 2], [1, 2, 0], [2, 0, 1], [2, 1, 0]]) {
     const fleet = new Fleet(brandId('zone-a'))
     for (const i of order) steps[i](fleet)
-    assert.equal(fleet.findView(brandId('e1'))?.kept.countHeld(long.cost!.parts), 6000, order.join(''))
+    assert.equal(fleet.findView(brandId('e1'))?.cachedPrompts.countCachedTokens(long.cost!.parts), 6000, order.join(''))
   }
 })
 
@@ -147,7 +147,7 @@
 
 test('requests for prompts within a second get the same messages, later ones the current state', () => {
   const held: LoadTotals['prompts'][number][] = [[brandId('e1'), [['a', 1]], true]]
-  const batches = new PromptBatches(() => held)
+  const batches = new PromptBatchSender(() => held)
   const first = batches.compose(0)
   held.push([brandId('e1'), [['b', 1]], true])
   assert.equal(batches.compose(999)[0], first[0])
--- a/test/rate-limits.test.ts
+++ b/test/rate-limits.test.ts
@@ -4,9 +4,9 @@
 import { setTimeout as sleep } from 'node:timers/promises'
 import { formatNotices, readNotices } from '../src/bin/notice-report.js'
 import type { GatewayBox } from '../src/gateway/index.js'
-import { countAllowed, countMost, settleMs, toldMs, windowMs } from '../src/soak/limit-bounds.js'
+import { countAllowed, countMaxInWindow, settleMs, noticeReactionMs, windowMs } from '../src/soak/limit-bounds.js'
 import type { StandinEndpoint } from '../src/standin/index.js'
-import { until } from './support/deployment.js'
+import { waitFor } from './support/deployment.js'
 import { RouteDeployment, composeDocument } from './support/route-deployment.js'
 
 const gateways = 4
@@ -50,8 +50,8 @@
     const [notice] = await readNotices({ host: deployment.registryHost(1), port: 7002 })
     limited.limit = null
     const allowed = countAllowed(limit)
-    const arrivals = limited.arrivals.map(({ at }) => at).filter(at => at >= namedAt + toldMs)
-    const maxArrivals = countMost(arrivals, windowMs, namedAt + settleMs)
+    const arrivals = limited.arrivals.map(({ at }) => at).filter(at => at >= namedAt + noticeReactionMs)
+    const maxArrivals = countMaxInWindow(arrivals, windowMs, namedAt + settleMs)
     assert.ok(maxArrivals <= allowed, `${maxArrivals} in ${windowMs} ms, allowed ${allowed}`)
     assert.deepEqual([notice.endpoint, notice.service, notice.limit], [limited.id, 'desk', limit])
     assert.match(formatNotices([notice]), new RegExp(`${limited.id}  service desk  limit ${limit}/s  known for \\d+\\.\\d s, told by (gateway|registry)-\\d`))
@@ -62,12 +62,12 @@
 test('a new gateway knows of a limit when it begins to serve', async () => {
   limited.limit = 1
   const isKnown = (gateway: GatewayBox): boolean => gateway.fleet.findView(limited.id as never)?.gate.limit === 1
-  await until(async () => {
+  await waitFor(async () => {
     await call(100)
     return deployment.gateways.every(isKnown)
   }, 'the others know it')
   const gateway = await deployment.startGateway(gateways)
-  await until(() => gateway.isReady && gateway.fleet.findView(limited.id as never) !== undefined, 'the gateway serves')
+  await waitFor(() => gateway.isReady && gateway.fleet.findView(limited.id as never) !== undefined, 'the gateway serves')
   assert.ok(isKnown(gateway))
   limited.limit = null
 })
--- a/test/registry-follower.test.ts
+++ b/test/registry-follower.test.ts
@@ -6,7 +6,7 @@
 import { LinkPool, packDocument } from '../src/protocol/index.js'
 import type { Link, PackedDocument, RouteMessage } from '../src/protocol/index.js'
 import { EventLog } from '../src/runtime/index.js'
-import { until } from './support/deployment.js'
+import { waitFor } from './support/deployment.js'
 
 const host = '127.44.0.1'
 const linkPort = 7000
@@ -67,7 +67,7 @@
     await registry.#links.listen(host, linkPort)
     registry.#follower.start([`${host}:1`, ...others])
     try {
-      await until(() => registry.#link !== null, 'the follower presents itself')
+      await waitFor(() => registry.#link !== null, 'the follower presents itself')
       await scenario(registry)
     } finally {
       registry.#follower.close()
@@ -86,28 +86,28 @@
 
 test('versions announced while an answer is on its way are skipped, and the newest is requested as a delta to that answer', () => FakeRegistry.run(async registry => {
   registry.announce(3)
-  await until(() => registry.requests.length === 1, 'the first asked for')
+  await waitFor(() => registry.requests.length === 1, 'the first asked for')
   for (const version of [4, 5, 6]) registry.announce(version)
   registry.send(packDocument(compose(3), null))
-  await until(() => registry.requests.length === 2, 'the newest asked for')
+  await waitFor(() => registry.requests.length === 2, 'the newest asked for')
   registry.send(packDocument(compose(6), compose(3)))
-  await until(() => registry.applied.length === 2, 'both taken')
+  await waitFor(() => registry.applied.length === 2, 'both taken')
   assert.deepEqual([registry.requests, registry.applied], [[0, 3], [3, 6]])
 }))
 
 test('a delta that can\'t be applied leads to a request for the full document, one against an older version to a request for a new delta', () => FakeRegistry.run(async registry => {
   registry.announce(3)
-  await until(() => registry.requests.length === 1, 'the first asked for')
+  await waitFor(() => registry.requests.length === 1, 'the first asked for')
   registry.send(packDocument(compose(3), null))
-  await until(() => registry.applied.length === 1, 'the first taken')
+  await waitFor(() => registry.applied.length === 1, 'the first taken')
   registry.announce(4)
-  await until(() => registry.requests.length === 2, 'the change asked for')
+  await waitFor(() => registry.requests.length === 2, 'the change asked for')
   registry.send({ ...packDocument(compose(4), compose(3)), digest: Buffer.alloc(32) })
-  await until(() => registry.requests.length === 3, 'asked again')
+  await waitFor(() => registry.requests.length === 3, 'asked again')
   registry.send(packDocument(compose(4), compose(2)))
-  await until(() => registry.requests.length === 4, 'asked once more')
+  await waitFor(() => registry.requests.length === 4, 'asked once more')
   registry.send(packDocument(compose(4), compose(3)))
-  await until(() => registry.applied.length === 2, 'the second taken')
+  await waitFor(() => registry.applied.length === 2, 'the second taken')
   assert.deepEqual([registry.requests, registry.applied], [[0, 3, 0, 3], [3, 4]])
 }))
 
@@ -117,9 +117,9 @@
   return FakeRegistry.run(async registry => {
     registry.announce(3)
     registry.announce(4, true)
-    await until(() => registry.requests.length === 1, 'the sure one asked for')
+    await waitFor(() => registry.requests.length === 1, 'the sure one asked for')
     registry.send(packDocument(compose(4), null))
-    await until(() => registry.applied.length === 1, 'it is taken')
+    await waitFor(() => registry.applied.length === 1, 'it is taken')
     assert.deepEqual([registry.requests, registry.applied], [[0], [4]])
   }, ['127.44.0.9:1'], () => startedAt)
 })
@@ -153,11 +153,11 @@
   for (const [i, pool] of pools.entries()) await pool.listen(hosts[i], linkPort)
   follower.start(hosts.map(one => `${one}:1`))
   try {
-    await until(() => first !== null, 'the first call')
+    await waitFor(() => first !== null, 'the first call')
     await new Promise(resolve => setTimeout(resolve, 3 * 100))
     assert.equal(called.length, 1)
     ;(first as Link<RouteMessage> | null)?.send({ type: 'version', version: 3, isCurrent: true })
-    await until(() => called.length === 3, 'all called')
+    await waitFor(() => called.length === 3, 'all called')
   } finally {
     follower.close()
     for (const pool of pools) pool.close()
--- a/test/registry.test.ts
+++ b/test/registry.test.ts
@@ -3,7 +3,7 @@
 import { readFile } from 'node:fs/promises'
 import { join } from 'node:path'
 import { test } from 'node:test'
-import { until } from './support/deployment.js'
+import { waitFor } from './support/deployment.js'
 import { RouteDeployment, composeDocument } from './support/route-deployment.js'
 
 async function withDeployment (number: number, run: (deployment: RouteDeployment) => Promise<void>, options: { readonly registries?: number, readonly gateways?: number } = {}): Promise<void> {
@@ -21,7 +21,7 @@
 
 async function readNewest (deployment: RouteDeployment, registry?: number): Promise<number> {
   let version = 0
-  await until(async () => {
+  await waitFor(async () => {
     const answer = await deployment.operate('GET', '/v1/routing', '', registry)
     if (answer.status === 200) version = readVersion(answer.body)
     return answer.status === 200
@@ -30,7 +30,7 @@
 }
 
 test('the seeds form one log on the first start, and other registries join it', () => withDeployment(21, async deployment => {
-  await until(() => deployment.registries.every(one => (one?.keeperLog.replica?.members.learners.length ?? 0) === 1), 'the fourth added as a learner')
+  await waitFor(() => deployment.registries.every(one => (one?.keeperLog.replica?.members.learners.length ?? 0) === 1), 'the fourth added as a learner')
   for (const registry of deployment.registries) assert.equal(registry?.keeperLog.replica?.members.voters.length, 3)
 }, { registries: 4, gateways: 0 }))
 
@@ -38,7 +38,7 @@
   const put = (version: number, more: object = {}) => deployment.operate('PUT', '/v1/routing', JSON.stringify(composeDocument(version, more)), version % 3)
   const cases: readonly (readonly [version: number, status: number, newest: number])[] = [[5, 200, 5], [3, 200, 5], [9, 200, 9], [9, 200, 9], [8, 200, 9]]
   for (const [version, status, newest] of cases) {
-    await until(async () => (await put(version, { services: [{ name: 'desk' }, { name: `only-${version}` }] })).status === status, `version ${version} taken`)
+    await waitFor(async () => (await put(version, { services: [{ name: 'desk' }, { name: `only-${version}` }] })).status === status, `version ${version} taken`)
     assert.equal(await readNewest(deployment, 1), newest)
   }
   // Other content under the active version changes nothing.
@@ -49,8 +49,8 @@
   }
   // Concurrent puts, with repeats and out of order.
   await Promise.all([12, 11, 14, 13, 14, 10, 12].map(async (version, i) => await deployment.operate('PUT', '/v1/routing', JSON.stringify(composeDocument(version)), i % 3)))
-  await until(async () => await readNewest(deployment) === 14, 'the highest version active')
-  await until(() => deployment.gateways.every(gateway => gateway.table?.version === 14), 'active at the gateways')
+  await waitFor(async () => await readNewest(deployment) === 14, 'the highest version active')
+  await waitFor(() => deployment.gateways.every(gateway => gateway.table?.version === 14), 'active at the gateways')
 }))
 
 const invalid: readonly { name: string, text: string, status: number }[] = [
@@ -83,7 +83,7 @@
     for (let i = 0; i < 3; i++) await deployment.startRegistry(i, false)
     assert.equal(await readNewest(deployment), version)
     // The next crash waits until the replica with the emptied disk is a voter again.
-    await until(() => deployment.registries.some(one => one?.keeperLog.isLeader === true && one.keeperLog.replica?.members.voters.length === 3), 'three voters again')
+    await waitFor(() => deployment.registries.some(one => one?.keeperLog.isLeader === true && one.keeperLog.replica?.members.voters.length === 3), 'three voters again')
   }
 }))
 
@@ -93,12 +93,12 @@
   deployment.registries[2] = null
   const fresh = await deployment.startRegistry(3, false)
   const voters = () => deployment.registries.find(one => one?.keeperLog.isLeader === true)?.keeperLog.replica?.members.voters ?? []
-  await until(() => voters().includes(fresh.keeperLog.id) && voters().length === 3, 'the new one a voter')
+  await waitFor(() => voters().includes(fresh.keeperLog.id) && voters().length === 3, 'the new one a voter')
   assert.ok(!voters().some(id => id.startsWith(`${deployment.registryHost(2)}#`)))
   // The log now tolerates the next failure.
   deployment.registries[1]?.kill()
   deployment.registries[1] = null
-  await until(async () => (await deployment.operate('PUT', '/v1/routing', JSON.stringify(composeDocument(8)), 0)).status === 200, 'puts accepted again')
+  await waitFor(async () => (await deployment.operate('PUT', '/v1/routing', JSON.stringify(composeDocument(8)), 0)).status === 200, 'puts accepted again')
   assert.equal(await readNewest(deployment, 3), 8)
 }))
 
@@ -121,7 +121,7 @@
   await deployment.addEndpoint('desk')
   assert.equal(await deployment.isReady(0), 200)
   const late = await deployment.startGateway(1)
-  await until(async () => await deployment.isReady(1) === 200, 'the late gateway ready')
+  await waitFor(async () => await deployment.isReady(1) === 200, 'the late gateway ready')
   assert.equal(late.table?.version, 3)
   assert.equal((await deployment.ask('/once/x', { gateway: 1 })).status, 200)
 }))
@@ -135,7 +135,7 @@
   const registry = await deployment.startRegistry(0, false)
   assert.ok((registry.keeperLog.store.stored.snapshot?.index ?? 0) > 1)
   const gateway = await deployment.startGateway(0)
-  await until(() => (gateway.table?.version ?? 0) > 0, 'routes active')
+  await waitFor(() => (gateway.table?.version ?? 0) > 0, 'routes active')
 }))
 
 test('a planned stop of a gateway breaks no stream, and closes connections of new requests', () => withDeployment(28, async deployment => {
@@ -143,7 +143,7 @@
   const endpoint = await deployment.addEndpoint('desk')
   endpoint.eventMs = 20
   const running = Array.from({ length: 20 }, () => deployment.ask('/stream/events-40'))
-  await until(() => endpoint.runs.length === 20, 'all requests running')
+  await waitFor(() => endpoint.runs.length === 20, 'all requests running')
   const stopped = deployment.gateways[0].stop()
   assert.equal(await deployment.isReady(0), 503)
   const late = await deployment.ask('/once/x')
@@ -161,7 +161,7 @@
     await new Promise(resolve => setTimeout(resolve, i))
     const endpoint = await deployment.addEndpoint('desk')
     await started
-    await until(() => deployment.gateways[0].fleet.findView(endpoint.id as never) !== undefined, 'the endpoint known')
+    await waitFor(() => deployment.gateways[0].fleet.findView(endpoint.id as never) !== undefined, 'the endpoint known')
   }
 }, { registries: 1 }))
 
@@ -179,15 +179,15 @@
   const leaving = await deployment.addEndpoint('desk')
   await deployment.operate('DELETE', `/v1/endpoints/${leaving.id}`)
   const saved = join(deployment.folder, 'registry-0', 'directory', 'endpoints.json')
-  await until(async () => !(await readFile(saved, 'utf8').catch(() => leaving.id)).includes(leaving.id), 'the directory saved')
+  await waitFor(async () => !(await readFile(saved, 'utf8').catch(() => leaving.id)).includes(leaving.id), 'the directory saved')
   deployment.gateways[0].kill()
   deployment.registries[0]?.kill()
   const registry = await deployment.startRegistry(0, false)
   const gateway = await deployment.startGateway(0)
-  await until(() => gateway.fleet.findView(endpoint.id as never) !== undefined, 'the endpoint known')
+  await waitFor(() => gateway.fleet.findView(endpoint.id as never) !== undefined, 'the endpoint known')
   assert.equal(gateway.fleet.findView(leaving.id as never), undefined)
   assert.equal((await deployment.ask('/once/x')).status, 200)
-  await until(() => registry.records.every(record => record.stage === 'lost'), 'the silent endpoint lost')
+  await waitFor(() => registry.records.every(record => record.stage === 'lost'), 'the silent endpoint lost')
 }, { registries: 1 }))
 
 test('a registry starts with an empty directory where the saved one is unreadable', () => withDeployment(32, async deployment => {
@@ -210,12 +210,12 @@
   const headers = { 'x-wrenlane-tokens': '4500,20', 'x-wrenlane-prompt-parts': 'shared:4000,own:500' }
   assert.equal((await deployment.ask('/stream/events-3', { headers })).status, 200)
   const saved = join(deployment.folder, 'registry-0', 'directory', 'prompts.json')
-  await until(async () => await readFile(saved, 'utf8').then(text => text.includes('shared'), () => false), 'the prompts saved')
+  await waitFor(async () => await readFile(saved, 'utf8').then(text => text.includes('shared'), () => false), 'the prompts saved')
   deployment.gateways[0].kill()
   deployment.registries[0]?.kill()
   await deployment.startRegistry(0, false)
   const gateway = await deployment.startGateway(0)
-  await until(() => gateway.fleet.findView(endpoint.id as never)?.kept.countHeld(parts) === 4000, 'the cached prompt known')
+  await waitFor(() => gateway.fleet.findView(endpoint.id as never)?.cachedPrompts.countCachedTokens(parts) === 4000, 'the cached prompt known')
 }, { registries: 1 }))
 
 // Guards against gateways staying with a hub in another zone: a gateway whose link opened before the registry's disk did never
@@ -223,25 +223,25 @@
 test('gateways switch back to the hub of their own zone once its registry restarts, even if its disk opens late', () => withDeployment(34, async deployment => {
   const hub = deployment.registryHost(0)
   const countChosen = (): number => deployment.lines.filter(line => line.includes('event=hub-chosen') && line.includes(`hub=${hub} `)).length
-  await until(() => countChosen() === 1, 'the hub of its own zone chosen')
+  await waitFor(() => countChosen() === 1, 'the hub of its own zone chosen')
   deployment.registries[0]?.kill()
-  await until(() => deployment.lines.some(line => line.includes('event=hub-chosen') && line.includes(`before=${hub}`)), 'another hub chosen')
+  await waitFor(() => deployment.lines.some(line => line.includes('event=hub-chosen') && line.includes(`before=${hub}`)), 'another hub chosen')
   const folder = join(deployment.folder, 'registry-0')
   renameSync(folder, `${folder}.away`)
   writeFileSync(folder, '')
   const started = deployment.startRegistry(0, false)
-  await until(() => deployment.lines.some(line => line.includes('event=disk-not-opened')), 'the disk failing to open')
+  await waitFor(() => deployment.lines.some(line => line.includes('event=disk-not-opened')), 'the disk failing to open')
   rmSync(folder)
   renameSync(`${folder}.away`, folder)
   await started
-  await until(() => countChosen() === 2, 'the hub of its own zone chosen again')
+  await waitFor(() => countChosen() === 2, 'the hub of its own zone chosen again')
 }))
 
 // Seeds may be outdated by a restart. A restarted registry takes the other members from its log.
 test('restarted registries find each other without their seeds', () => withDeployment(36, async deployment => {
   await deployment.putDocument(composeDocument(4))
   const [seeds, others] = [[0, 1, 2], [3, 4]]
-  await until(() => deployment.registries.some(one => (one?.keeperLog.replica?.members.learners.length ?? 0) === 2), 'the others added as learners')
+  await waitFor(() => deployment.registries.some(one => (one?.keeperLog.replica?.members.learners.length ?? 0) === 2), 'the others added as learners')
   for (const i of [...seeds, ...others]) deployment.registries[i]?.kill()
   for (const i of [1, 2]) await deployment.startRegistry(i, false, ['127.36.9.9:7002'])
   assert.equal(await readNewest(deployment, 1), 4)
--- a/test/repair.test.ts
+++ b/test/repair.test.ts
@@ -5,7 +5,7 @@
 import type { OperatorClient } from '../src/bin/operator-client.js'
 import type { ReplicaId } from '../src/coordination/index.js'
 import type { KeeperBox } from '../src/tasks/index.js'
-import { Deployment, until } from './support/deployment.js'
+import { Deployment, waitFor } from './support/deployment.js'
 
 const composeIntent = (i: number): string => `[classes.c${i}]\npriority = 1\nfirstTokenMs = ${500 + i}\n`
 
@@ -20,8 +20,8 @@
   const operator = deployment.createOperator()
   try {
     const name = `keeper-${i + 1}`
-    await until(async () => {
-      const reply = await operator.call({ type: 'repair', replace: name, id: operator.identify(name) })
+    await waitFor(async () => {
+      const reply = await operator.call({ type: 'repair', replace: name, id: operator.createCommandId(name) })
       return reply.type === 'repaired'
     }, `${name} repaired`)
   } finally {
@@ -33,9 +33,9 @@
 async function eraseDiskAndKill (deployment: Deployment, operator: OperatorClient, i: number): Promise<void> {
   await eraseDisk(deployment, i)
   const replacement = deployment.keepers[i].store?.id as ReplicaId
-  await until(async () => {
+  await waitFor(async () => {
     const at = deployment.keepers.findIndex(keeper => keeper === deployment.leader)
-    const reply = at < 0 ? null : await operator.ask(deployment.keeperAddresses[at], { type: 'status' })
+    const reply = at < 0 ? null : await operator.callKeeper(deployment.keeperAddresses[at], { type: 'status' })
     return reply?.type === 'status' && reply.status.waiting.includes(replacement)
   }, 'the leader has seen the new replica')
   deployment.keepers[i].kill()
@@ -58,7 +58,7 @@
       for (let i = 0; i < 2; i++) {
         const { leader } = deployment
         await leader?.replica?.transfer()
-        await until(() => deployment.leader !== undefined && deployment.leader !== leader, 'another leader')
+        await waitFor(() => deployment.leader !== undefined && deployment.leader !== leader, 'another leader')
       }
       assert.equal(deployment.leader, first)
       await deployment.startKeeper(1)
@@ -77,9 +77,9 @@
     const operator = deployment.createOperator()
     try {
       await eraseDiskAndKill(deployment, operator, 1)
-      const body = { type: 'repair', replace: 'keeper-2', id: operator.identify('keeper-2') } as const
+      const body = { type: 'repair', replace: 'keeper-2', id: operator.createCommandId('keeper-2') } as const
       const call = operator.call(body)
-      await until(() => countLearners(deployment) > 0, 'the new replica is a learner')
+      await waitFor(() => countLearners(deployment) > 0, 'the new replica is a learner')
       await interrupt(deployment)
       const reply = await call
       assert.equal(reply.type, 'repaired', JSON.stringify(reply))
@@ -104,7 +104,7 @@
     const { document, revision } = (deployment.leader as KeeperBox).state.config
     const old = deployment.keepers[1].store?.id
     await eraseDisk(deployment, 1)
-    await until(() => deployment.leader !== undefined, 'a leader')
+    await waitFor(() => deployment.leader !== undefined, 'a leader')
     const replacement = deployment.keepers[1].store?.id
     assert.notEqual(replacement, old)
     assert.ok(!(deployment.leader as KeeperBox).replica?.members.voters.some(id => id === replacement))
@@ -113,16 +113,16 @@
     const members = (deployment.leader as KeeperBox).replica?.members.voters ?? []
     assert.equal(members.length, 3)
     assert.ok(members.some(id => id === replacement) && !members.some(id => id === old))
-    await until(() => deployment.keepers[1].state.config.revision === revision, 'all changes on the new disk')
+    await waitFor(() => deployment.keepers[1].state.config.revision === revision, 'all changes on the new disk')
 
     // A second disk is lost right after the repair.
     await eraseDisk(deployment, 2)
-    await until(() => deployment.leader !== undefined, 'a leader')
+    await waitFor(() => deployment.leader !== undefined, 'a leader')
     const next = await deployment.configure(composeIntent(99))
     assert.equal(next, revision + 1)
     await repair(deployment, 2)
     for (const keeper of deployment.keepers) {
-      await until(() => keeper.state.config.revision === next, 'all changes on every keeper')
+      await waitFor(() => keeper.state.config.revision === next, 'all changes on every keeper')
       for (const [name, item] of Object.entries(document.classes)) assert.deepEqual(keeper.state.config.document.classes[name], item)
     }
   } finally {
@@ -134,7 +134,7 @@
   const deployment = await Deployment.start({ port: 21_700, entries: 1, engines: 1 })
   try {
     const operator = deployment.createOperator()
-    const reply = await operator.call({ type: 'repair', replace: 'keeper-2', id: operator.identify('x') })
+    const reply = await operator.call({ type: 'repair', replace: 'keeper-2', id: operator.createCommandId('x') })
     operator.close()
     assert.equal(reply.type, 'fault')
     assert.equal(countVoters(deployment.leader as KeeperBox), 3)
@@ -151,8 +151,8 @@
     for (const keeper of deployment.keepers) keeper.kill()
     await new Promise(resolve => setTimeout(resolve, 50))
     for (let i = 0; i < 3; i++) await deployment.startKeeper(i)
-    await until(() => deployment.leader !== undefined, 'a leader')
-    await until(() => deployment.keepers.every(keeper => keeper.state.config.revision === revision), 'every change on every keeper')
+    await waitFor(() => deployment.leader !== undefined, 'a leader')
+    await waitFor(() => deployment.keepers.every(keeper => keeper.state.config.revision === revision), 'every change on every keeper')
     const restored = (deployment.leader as KeeperBox).state.config.document.classes
     assert.equal(Object.keys(restored).filter(name => /^c\d+$/.test(name)).length, 150)
   } finally {
--- a/test/routes-path.test.ts
+++ b/test/routes-path.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict'
 import { Agent } from 'node:http'
 import { after, before, test } from 'node:test'
-import { composeEvent, composeWhole } from '../src/standin/index.js'
+import { composeEvent, composeBody } from '../src/standin/index.js'
 import type { EndpointFault, StandinEndpoint } from '../src/standin/index.js'
-import { until } from './support/deployment.js'
+import { waitFor } from './support/deployment.js'
 import { RouteDeployment, composeDocument } from './support/route-deployment.js'
 import type { CallAnswer } from './support/route-deployment.js'
 
@@ -25,8 +25,8 @@
 
 // Sends requests until both endpoints are trusted again, each after an answer of its own.
 async function settle (): Promise<void> {
-  const isGood = (endpoint: StandinEndpoint): boolean => deployment.gateways[0].fleet.findView(endpoint.id as never)?.trust.look(performance.now()) === 'good'
-  await until(async () => (await deployment.ask('/again/x', { method: 'GET', body: '' })).status === 200 && isGood(first) && isGood(second), 'both endpoints trusted')
+  const isGood = (endpoint: StandinEndpoint): boolean => deployment.gateways[0].fleet.findView(endpoint.id as never)?.health.findState(performance.now()) === 'good'
+  await waitFor(async () => (await deployment.ask('/again/x', { method: 'GET', body: '' })).status === 200 && isGood(first) && isGood(second), 'both endpoints trusted')
 }
 
 function countRuns (requestId: string): number {
@@ -34,9 +34,9 @@
 }
 
 const served: readonly { name: string, path: string, method?: string, body?: string, expected: (requestId: string) => string }[] = [
-  { name: 'a whole answer', path: '/once/x?y=1', body: 'some text', expected: requestId => composeWhole({ requestId, method: 'POST', path: '/once/x?y=1', body: 'some text' }) },
-  { name: 'a large body', path: '/again/x', body: 'ä'.repeat(200_000), expected: requestId => composeWhole({ requestId, method: 'POST', path: '/again/x', body: 'ä'.repeat(200_000) }) },
-  { name: 'a GET without a body', path: '/again/x', method: 'GET', body: '', expected: requestId => composeWhole({ requestId, method: 'GET', path: '/again/x', body: '' }) },
+  { name: 'a whole answer', path: '/once/x?y=1', body: 'some text', expected: requestId => composeBody({ requestId, method: 'POST', path: '/once/x?y=1', body: 'some text' }) },
+  { name: 'a large body', path: '/again/x', body: 'ä'.repeat(200_000), expected: requestId => composeBody({ requestId, method: 'POST', path: '/again/x', body: 'ä'.repeat(200_000) }) },
+  { name: 'a GET without a body', path: '/again/x', method: 'GET', body: '', expected: requestId => composeBody({ requestId, method: 'GET', path: '/again/x', body: '' }) },
   { name: 'numbered events', path: '/stream/events-4', expected: () => composeStream('/stream/events-4', 1, 4) },
   { name: 'events after the last that the caller has', path: '/resume/events-9', expected: () => composeStream('/resume/events-9', 6, 9) }
 ]
@@ -83,7 +83,7 @@
   const lines = Object.entries(headers).map(([name, value]) => `${name}: ${value}\r\n`)
   socket.write(`POST /once/x HTTP/1.1\r\n${lines.join('')}`)
   // The rest of the request arrives together with the answer.
-  await until(() => answer.startsWith('HTTP/1.1 408'), 'the answer')
+  await waitFor(() => answer.startsWith('HTTP/1.1 408'), 'the answer')
   socket.write('content-length: 0\r\n\r\n')
   await deployment.ask('/once/x')
   await settle()
@@ -185,7 +185,7 @@
   for (let i = 0; i < 20; i++) {
     const requestId = `surplus ${i}`
     const answer = await deployment.ask('/once/x', { requestId, agent })
-    assert.equal(answer.body, composeWhole({ requestId, method: 'POST', path: '/once/x', body: 'a body' }))
+    assert.equal(answer.body, composeBody({ requestId, method: 'POST', path: '/once/x', body: 'a body' }))
   }
   agent.destroy()
   first.fault = { type: 'none' }
@@ -215,9 +215,9 @@
   const asked = request({ host: deployment.gatewayHost(0), port: 7003, method: 'POST', path: '/stream/events-500', headers: { host: 'camp.example', ...deployment.spoken.composeCall(requestId, 'test-key', 5000) } })
   asked.on('error', () => {})
   asked.end('x')
-  await until(() => countRuns(requestId) === 1, 'the run')
+  await waitFor(() => countRuns(requestId) === 1, 'the run')
   asked.destroy()
-  await until(() => [first, second].flatMap(endpoint => endpoint.runs).some(run => run.requestId === requestId && run.isCalledOff), 'the run called off')
+  await waitFor(() => [first, second].flatMap(endpoint => endpoint.runs).some(run => run.requestId === requestId && run.isCancelled), 'the run called off')
   first.eventMs = second.eventMs = 5
 })
 
@@ -229,23 +229,23 @@
   first.fault = second.fault = { type: 'none' }
   assert.equal(answer.status, 504)
   assert.ok(took >= 290, String(took))
-  await until(async () => (await deployment.ask('/again/x')).status === 200, 'served again')
+  await waitFor(async () => (await deployment.ask('/again/x')).status === 200, 'served again')
 })
 
 test('a draining endpoint gets no new work and finishes what it has', async () => {
   // An endpoint at which a request timed out is chosen last for a while: it gets work once the other is full.
   const long: Array<Promise<CallAnswer>> = []
-  await until(() => {
+  await waitFor(() => {
     if (first.runs.some(run => run.requestId.startsWith('draining'))) return true
     long.push(deployment.ask('/stream/events-60', { requestId: `draining ${long.length}` }))
     return false
   }, 'work at the first')
   await deployment.register(first, 'desk', 'draining')
-  await until(() => deployment.gateways[0].fleet.findView(first.id as never)?.record.stage === 'draining', 'the drain known')
+  await waitFor(() => deployment.gateways[0].fleet.findView(first.id as never)?.record.stage === 'draining', 'the drain known')
   const before = first.runs.length
   for (let i = 0; i < 10; i++) assert.equal((await deployment.ask('/again/x')).status, 200)
   assert.equal(first.runs.length, before)
   for (const answer of await Promise.all(long)) assert.ok(answer.isWhole)
   await deployment.register(first, 'desk', 'ready')
-  await until(() => deployment.gateways[0].fleet.findView(first.id as never)?.record.stage === 'ready', 'ready again')
+  await waitFor(() => deployment.gateways[0].fleet.findView(first.id as never)?.record.stage === 'ready', 'ready again')
 })
--- a/test/scheduler.test.ts
+++ b/test/scheduler.test.ts
@@ -250,7 +250,7 @@
       assert.deepEqual(report.violations, [], `seed ${seed}`)
       refused += report.refused
       yielded += report.yielded
-      deferrableFinished += report.patientFinished
+      deferrableFinished += report.deferrableFinished
     }
     assert.ok(refused > count && yielded > count && deferrableFinished > count, `${refused} refused, ${yielded} yielded, ${deferrableFinished} drafts finished`)
   })
--- a/test/size-planner.test.ts
+++ b/test/size-planner.test.ts
@@ -2,28 +2,28 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { SizePlanner, brandId } from '../src/core/index.js'
-import type { EndpointSizing, GroupWish, SizingSight, ZoneName, ZoneSight } from '../src/core/index.js'
+import type { EndpointSizing, GroupTarget, SizingInput, ZoneName, ZoneEndpoints } from '../src/core/index.js'
 
 const sizing: EndpointSizing = { least: 1, most: 8, bootMs: 4000, spotPrice: 0.22, zonePrices: new Map() }
 const names = ['zone-a', 'zone-b', 'zone-c', 'zone-d']
 
-function listZones (ordinary: number, spot: number, more: Record<string, Partial<ZoneSight>> = {}): ZoneSight[] {
-  return names.map(name => ({ zone: brandId<ZoneName>(name), ordinary, spot, ...more[name] }))
+function listZones (ordinary: number, spot: number, more: Record<string, Partial<ZoneEndpoints>> = {}): ZoneEndpoints[] {
+  return names.map(name => ({ zone: brandId<ZoneName>(name), onDemand: ordinary, spot, ...more[name] }))
 }
 
-function createInput (at: number, more: Partial<SizingSight> = {}): SizingSight {
-  return { at, sizing, slots: 12, zones: listZones(1, 7), running: 0, heldMs: 0, ...more }
+function createInput (at: number, more: Partial<SizingInput> = {}): SizingInput {
+  return { at, sizing, slots: 12, zones: listZones(1, 7), running: 0, backlogMs: 0, ...more }
 }
 
 /** Targets as "spot+on-demand" by zone. */
-function formatTargets (targets: readonly GroupWish[]): string[] {
+function formatTargets (targets: readonly GroupTarget[]): string[] {
   return names.map(name => {
     const findCount = (isSpot: boolean): number => targets.find(target => target.zone === name && target.isSpot === isSpot)?.count ?? -1
     return `${findCount(true)}+${findCount(false)}`
   })
 }
 
-const cases: readonly { name: string, inputs: readonly SizingSight[], expected: readonly string[] }[] = [
+const cases: readonly { name: string, inputs: readonly SizingInput[], expected: readonly string[] }[] = [
   {
     name: 'without observed load, the maximum within the bounds next to the existing on-demand endpoints',
     inputs: [createInput(0, { zones: listZones(4, 0) })],
@@ -56,7 +56,7 @@
   },
   {
     name: 'a backlog in the boxes requests the maximum',
-    inputs: [createInput(0, { running: 30 }), createInput(25_000, { running: 20, heldMs: 900 })],
+    inputs: [createInput(0, { running: 30 }), createInput(25_000, { running: 20, backlogMs: 900 })],
     expected: ['7+1', '7+1', '7+1', '7+1']
   },
   {
@@ -79,7 +79,7 @@
 for (const { name, inputs, expected } of cases) {
   test(name, () => {
     const planner = new SizePlanner(brandId('desk'))
-    let targets: GroupWish[] = []
+    let targets: GroupTarget[] = []
     for (const input of inputs) targets = planner.plan(input)
     assert.deepEqual(formatTargets(targets), expected)
     for (const { zone, count } of targets) assert.ok(count >= 0 && count <= sizing.most, `${zone} ${count}`)
--- a/test/support/deployment.ts
+++ b/test/support/deployment.ts
@@ -58,7 +58,7 @@
 }
 
 /** Polls until the condition is true. The time-out only fails a test that would hang otherwise. */
-export async function until (condition: () => boolean | Promise<boolean>, description: string): Promise<void> {
+export async function waitFor (condition: () => boolean | Promise<boolean>, description: string): Promise<void> {
   const deadline = Date.now() + waitTimeoutMs
   while (!await condition()) {
     if (Date.now() > deadline) throw new Error(`timed out waiting for: ${description}`)
@@ -87,7 +87,7 @@
     for (let i = 0; i < deployment.keeperAddresses.length; i++) await deployment.startKeeper(i)
     for (let i = 0; i < (options.entries ?? 1); i++) await deployment.startEntry(i)
     await deployment.configure(deployment.intent)
-    await until(() => deployment.entries.every(entry => entry.composeStatus().ready), 'entries ready')
+    await waitFor(() => deployment.entries.every(entry => entry.composeStatus().ready), 'entries ready')
     return deployment
   }
 
@@ -162,10 +162,10 @@
   async configure (intent: string): Promise<number> {
     const operator = this.createOperator()
     try {
-      const planned = await operator.call({ type: 'plan', id: operator.identify(intent), intent })
+      const planned = await operator.call({ type: 'plan', id: operator.createCommandId(intent), intent })
       if (planned.type !== 'result' || planned.result.type !== 'planned') throw new Error(JSON.stringify(planned))
       const { plan } = planned.result
-      const confirmed = await operator.call({ type: 'command', command: { part: 'config', command: { type: 'confirm', id: operator.identify(`confirm ${plan}`), plan } } })
+      const confirmed = await operator.call({ type: 'command', command: { part: 'config', command: { type: 'confirm', id: operator.createCommandId(`confirm ${plan}`), plan } } })
       if (confirmed.type !== 'result' || confirmed.result.type !== 'accepted') throw new Error(JSON.stringify(confirmed))
       return confirmed.result.revision
     } finally {
@@ -233,7 +233,7 @@
 }
 
 /** Sends a chat completion request; `fields` are added to its body. */
-export function chat (url: string, fields: Record<string, unknown> = {}, headers: Record<string, string> = {}): Promise<HttpResponse> {
+export function sendChat (url: string, fields: Record<string, unknown> = {}, headers: Record<string, string> = {}): Promise<HttpResponse> {
   const body = { model: 'm', messages: [{ role: 'user', content: 'where is the pitch?' }], max_tokens: 10, ...fields }
   return send(url, '/v1/chat/completions', JSON.stringify(body), { 'content-type': 'application/json', ...headers })
 }
--- a/test/support/fleet-builder.ts
+++ b/test/support/fleet-builder.ts
@@ -1,6 +1,6 @@
 /** Builders of endpoints, requests, fleets and loads for tests of the balancer. */
 import { Fleet, brandId } from '../../src/core/index.js'
-import type { BoxLoad, EndpointRecord, LoadTotals, RoutedService, ServiceName, Work, ZoneName } from '../../src/core/index.js'
+import type { BoxLoad, EndpointRecord, LoadTotals, RoutedService, ServiceName, RequestProfile, ZoneName } from '../../src/core/index.js'
 
 export const desk = brandId<ServiceName>('desk')
 
@@ -17,7 +17,7 @@
 export const movingService: RoutedService = { ...engineService, engine: { slots: 8, memoryTokens: 100_000, tokensPerEvent: 5, transfer: { tokenBytes: 100_000, bytesPerMs: 50_000_000 } } }
 
 /** A plain call of the most urgent kind; a kind's level is its priority. */
-export function createWork (more: Partial<Work> = {}): Work {
+export function createWork (more: Partial<RequestProfile> = {}): RequestProfile {
   return { service: desk, level: more.priority ?? 0, priority: 0, cost: null, pauseMs: null, targetMs: 500, ...more }
 }
 
@@ -35,5 +35,5 @@
 }
 
 /** A request with a prompt of 8,000 tokens, 6,000 of them shared, and the report that `e1` has these cached. */
-export const long = createWork({ pauseMs: 600, cost: { promptTokens: 8000, mostTokens: 10, parts: [{ id: 'shared', tokens: 6000 }, { id: 'own', tokens: 2000 }] } })
+export const long = createWork({ pauseMs: 600, cost: { promptTokens: 8000, maxTokens: 10, parts: [{ id: 'shared', tokens: 6000 }, { id: 'own', tokens: 2000 }] } })
 export const readShared: LoadTotals['prompts'] = [[brandId('e1'), [['shared', 6000]], true]]
--- a/test/support/limit-model.ts
+++ b/test/support/limit-model.ts
@@ -3,17 +3,17 @@
  * the endpoint search and limit tracking of gateways, and the registry that issues
  * permits. Requests arrive at random; a refused one is retried once, after Retry-After.
  */
-import { Fleet, NoticeBook, PermitIssuer, brandId } from '../../src/core/index.js'
+import { Fleet, NoticeStore, PermitIssuer, brandId } from '../../src/core/index.js'
 import type { EndpointRecord, EndpointView } from '../../src/core/index.js'
 import { EndpointSearch } from '../../src/gateway/endpoint-search.js'
 import type { Searcher } from '../../src/gateway/endpoint-search.js'
 import type { ExchangeHost } from '../../src/gateway/exchange-host.js'
-import { LimitDesk } from '../../src/gateway/limit-desk.js'
-import type { Order } from '../../src/gateway/order.js'
+import { EndpointLimits } from '../../src/gateway/endpoint-limits.js'
+import type { AdmittedRequest } from '../../src/gateway/admitted-request.js'
 import { EventQueue } from '../../src/measure/event-queue.js'
 import type { RouteMessage } from '../../src/protocol/index.js'
 import { EventLog, Metrics, createRandom } from '../../src/runtime/index.js'
-import { countMost } from '../../src/soak/limit-bounds.js'
+import { countMaxInWindow } from '../../src/soak/limit-bounds.js'
 import { createRecord, createWork, desk, engineService } from './fleet-builder.js'
 
 /** A kind of request. */
@@ -83,21 +83,21 @@
 interface ModelBox {
   readonly index: number
   readonly fleet: Fleet
-  readonly limits: LimitDesk
+  readonly limits: EndpointLimits
   readonly held: Set<ModelSearcher>
   readonly host: ExchangeHost<ModelSearcher>
 }
 
 class ModelSearcher implements Searcher {
-  readonly order: Order
-  readonly isBegun = false
+  readonly request: AdmittedRequest
+  readonly hasBegun = false
   isEnded = false
   readonly search: EndpointSearch<ModelSearcher>
   #send: (view: EndpointView) => void
   #refuse: (retryAfterMs: number | null) => void
 
-  constructor (host: ExchangeHost<ModelSearcher>, order: Order, send: (view: EndpointView) => void, refuse: (retryAfterMs: number | null) => void) {
-    this.order = order
+  constructor (host: ExchangeHost<ModelSearcher>, order: AdmittedRequest, send: (view: EndpointView) => void, refuse: (retryAfterMs: number | null) => void) {
+    this.request = order
     this.#send = send
     this.#refuse = refuse
     this.search = new EndpointSearch(host, this)
@@ -124,7 +124,7 @@
   #random: () => number
   #boxes: ModelBox[]
   #records: EndpointRecord[]
-  #notices = new NoticeBook()
+  #notices = new NoticeStore()
   #issuer = new PermitIssuer(this.#notices)
 
   constructor (shape: LimitShape) {
@@ -138,7 +138,7 @@
     const { kinds, lengthMs, failoverAt } = this.#shape
     for (const kind of kinds) this.#scheduleNext(kind)
     for (const box of this.#boxes) this.#poll(box)
-    if (failoverAt !== undefined) this.#queue.after(failoverAt, () => { this.#issuer = new PermitIssuer(this.#notices) })
+    if (failoverAt !== undefined) this.#queue.schedule(failoverAt, () => { this.#issuer = new PermitIssuer(this.#notices) })
     this.#queue.runUntil(lengthMs)
     return this
   }
@@ -146,7 +146,7 @@
   /** Maximum number of arrivals at an endpoint in any window of `windowMs` that ends between `from` and `until`. */
   countMost (endpoint: number, windowMs: number, from: number, until = Infinity, first = -Infinity): number {
     const times = this.arrivals.filter(one => one.endpoint === endpoint && one.at >= first).map(one => one.at)
-    return countMost(times, windowMs, from, until)
+    return countMaxInWindow(times, windowMs, from, until)
   }
 
   /** Number of arrivals at an endpoint between `from` and `until`. */
@@ -159,48 +159,48 @@
   #createBox (index: number): ModelBox {
     const now = (): number => this.#now
     const log = new EventLog(`box-${index}`, () => {})
-    const notices = new NoticeBook()
+    const notices = new NoticeStore()
     const fleet = new Fleet(this.#records[0].zone, () => true, id => notices.find(id))
     fleet.configure([{ ...engineService, engine: null }])
     fleet.applyRecords(this.#records)
     const held = new Set<ModelSearcher>()
-    const limits = new LimitDesk({
+    const limits = new EndpointLimits({
       log,
       metrics: new Metrics(null, `box-${index}`),
       fleet,
       now,
       countBoxes: () => this.#shape.boxes,
-      countHeld: (_service, priority) => [...held].filter(({ order }) => order.work.priority <= priority).length,
-      noteNews: () => this.#queue.after(noticeDelayMs / 2, () => this.#sendNotices(index)),
+      countHeld: (_service, priority) => [...held].filter(({ request: order }) => order.work.priority <= priority).length,
+      noteNoticeChange: () => this.#queue.schedule(noticeDelayMs / 2, () => this.#sendNotices(index)),
       askIssuer: message => this.#requestPermits(index, message),
       setIssuer: () => {}
     }, notices)
-    const guard = { rule: () => ({ type: 'free' }), composeNarrowing: () => null } as unknown as ExchangeHost<ModelSearcher>['guard']
+    const guard = { decide: () => ({ type: 'free' }), composeNarrowing: () => null } as unknown as ExchangeHost<ModelSearcher>['guard']
     const host = {
       fleet,
       limits,
       guard,
       now,
       draw: this.#random,
-      hold: (one: ModelSearcher) => held.add(one),
-      unhold: (one: ModelSearcher) => held.delete(one)
+      enqueue: (one: ModelSearcher) => held.add(one),
+      dequeue: (one: ModelSearcher) => held.delete(one)
     } as unknown as ExchangeHost<ModelSearcher>
     return { index, fleet, limits, held, host }
   }
 
   // Periodic work of a gateway: checks its pending calls and retries held requests, most urgent first.
   #poll (box: ModelBox): void {
-    this.#queue.after(pollMs, () => {
+    this.#queue.schedule(pollMs, () => {
       if (!this.#isFrozen(box.index)) {
         box.limits.check(this.#now - sweepIntervalMs / 2)
-        for (const one of [...box.held].sort((a, b) => a.order.work.priority - b.order.work.priority)) one.search.retry()
+        for (const one of [...box.held].sort((a, b) => a.request.work.priority - b.request.work.priority)) one.search.retry()
       }
       this.#poll(box)
     })
   }
 
   #scheduleNext (kind: KindShape): void {
-    this.#queue.after(-Math.log(1 - this.#random()) * 1000 / kind.perSecond, () => {
+    this.#queue.schedule(-Math.log(1 - this.#random()) * 1000 / kind.perSecond, () => {
       if (kind.until !== undefined && this.#now > kind.until) return
       this.#arrive(Math.floor(this.#random() * this.#shape.boxes), kind.priority, false)
       this.#scheduleNext(kind)
@@ -208,10 +208,10 @@
   }
 
   #arrive (index: number, priority: number, isRetry: boolean): void {
-    if (this.#isFrozen(index)) return void this.#queue.after(pollMs, () => this.#arrive(index, priority, isRetry))
+    if (this.#isFrozen(index)) return void this.#queue.schedule(pollMs, () => this.#arrive(index, priority, isRetry))
     const box = this.#boxes[index]
     const arrivedAt = this.#now
-    const order = { work: createWork({ priority, targetMs }), service: desk, arrivedAt, holdUntil: arrivedAt + 5 * targetMs } as unknown as Order
+    const order = { work: createWork({ priority, targetMs }), service: desk, arrivedAt, deadlineAt: arrivedAt + 5 * targetMs } as unknown as AdmittedRequest
     box.limits.noteArrival(order.work, arrivedAt)
     const addOutcome = (waitMs: number | null, retryAfterMs: number | null): void => { this.outcomes.push({ arrivedAt, priority, box: index, waitMs, retryAfterMs, isRetry }) }
     const searcher = new ModelSearcher(box.host, order, view => {
@@ -220,7 +220,7 @@
     }, retryAfterMs => {
       addOutcome(null, retryAfterMs)
       // Retries may arrive at any box.
-      if (retryAfterMs !== null && !isRetry) this.#queue.after(retryAfterMs, () => this.#arrive(Math.floor(this.#random() * this.#shape.boxes), priority, true))
+      if (retryAfterMs !== null && !isRetry) this.#queue.schedule(retryAfterMs, () => this.#arrive(Math.floor(this.#random() * this.#shape.boxes), priority, true))
     })
     searcher.search.start()
   }
@@ -231,7 +231,7 @@
     this.arrivals.push({ at: this.#now, box: box.index, endpoint, priority })
     const backoff = this.#shape.backoffOf?.(endpoint, this.#now) ?? null
     const isTurnedAway = backoff !== null && this.#random() < backoff.share
-    this.#queue.after(answerMs, () => {
+    this.#queue.schedule(answerMs, () => {
       view.remove(placed, this.#now)
       const limit = this.#shape.limitOf(endpoint, this.#now)
       box.limits.noteAnswer(view, { limit, isLeaving: false, backoffMs: isTurnedAway && backoff !== null ? backoff.ms : null, faulty: [] }, !isTurnedAway)
@@ -243,9 +243,9 @@
 
   // Notices go from a box to its hub, and from there to all reachable boxes.
   #sendNotices (index: number): void {
-    if (!this.#isReached(index)) return void this.#queue.after(noticeDelayMs, () => this.#sendNotices(index))
-    this.#notices.merge(this.#boxes[index].limits.listUntold(), this.#now, brandId(`box-${index}`))
-    this.#queue.after(noticeDelayMs / 2, () => {
+    if (!this.#isReached(index)) return void this.#queue.schedule(noticeDelayMs, () => this.#sendNotices(index))
+    this.#notices.merge(this.#boxes[index].limits.listUnconfirmed(), this.#now, brandId(`box-${index}`))
+    this.#queue.schedule(noticeDelayMs / 2, () => {
       for (const box of this.#boxes) if (this.#isReached(box.index)) box.limits.mergeNotices(this.#notices.notices, brandId('hub'))
     })
   }
@@ -254,15 +254,15 @@
     if (message.type !== 'ask-permits') return false
     if (!this.#isReached(index)) return true
     this.messages += 1
-    this.#queue.after(linkMs, () => {
+    this.#queue.schedule(linkMs, () => {
       const { failoverAt } = this.#shape
       if (failoverAt !== undefined && this.#now >= failoverAt && this.#now < failoverAt + electionMs) return
       this.#notices.merge([message.notice], this.#now, brandId(`box-${index}`))
       this.#issuer.setShare(this.#computeShare())
-      const grants = this.#issuer.give(message.notice.endpoint, message.wants, this.#now)
-      const closed = this.#issuer.listClosedFor(message.notice.endpoint, grants, this.#now)
+      const grants = this.#issuer.grant(message.notice.endpoint, message.wants, this.#now)
+      const closed = this.#issuer.listExhausted(message.notice.endpoint, grants, this.#now)
       this.messages += 1
-      this.#queue.after(linkMs, () => {
+      this.#queue.schedule(linkMs, () => {
         if (this.#isReached(index)) this.#boxes[index].limits.takePermits({ type: 'permits', call: message.call, grants, closed })
       })
     })
--- a/test/support/pool-model.ts
+++ b/test/support/pool-model.ts
@@ -3,8 +3,8 @@
  * decisions, load reports that reach other boxes with a delay, and engines that
  * prefill prompts in order of arrival. No sockets, no clock.
  */
-import { Fleet, LoadBook, brandId, subtractOwn } from '../../src/core/index.js'
-import type { BoxLoad, EndpointRecord, EndpointView, Placed, RoutedService, ServiceName, Work, ZoneName } from '../../src/core/index.js'
+import { Fleet, LoadTable, brandId, subtractOwn } from '../../src/core/index.js'
+import type { BoxLoad, EndpointRecord, EndpointView, PlacedRequest, RoutedService, ServiceName, RequestProfile, ZoneName } from '../../src/core/index.js'
 import { createRandom } from '../../src/runtime/index.js'
 
 /** A kind of request; `promptTokens` is the mean prompt size. */
@@ -59,7 +59,7 @@
 interface Reading {
   readonly request: ModelRequest
   readonly view: EndpointView
-  readonly placed: Placed
+  readonly placed: PlacedRequest
   readonly firstAt: number
   readonly endsAt: number
 }
@@ -153,7 +153,7 @@
     const engine = this.#engines.get(view.id) as ModelEngine
     engine.freeAt = Math.max(at, engine.freeAt) + request.tokens / this.#shape.tokensPerMs
     const placed = view.place(work, plan, at)
-    fleet.noteBegun(work, at)
+    fleet.noteStarted(work, at)
     this.#reading.push({ request, view, placed, firstAt: engine.freeAt, endsAt: engine.freeAt + streamMs })
     return true
   }
@@ -177,7 +177,7 @@
     const [sent] = this.#sentLoads
     if (at - sent.at < loadDelayMs) return
     this.#sentLoads.shift()
-    const book = new LoadBook()
+    const book = new LoadTable()
     sent.loads.forEach((load, i) => book.note(brandId(`box-${i}`), brandId('zone-a'), load, at))
     const totals = book.sumOwn(at)
     this.#boxes.forEach(({ fleet }, i) => fleet.noteOthers(subtractOwn(totals, sent.loads[i]), at))
@@ -192,7 +192,7 @@
   return { name: service, mostConnections: 100, sizing: null, engine: { slots: 64, memoryTokens: 600_000, tokensPerEvent: 5, transfer: null } }
 }
 
-function composeWork ({ kind, tokens, at }: ModelRequest): Work {
+function composeWork ({ kind, tokens, at }: ModelRequest): RequestProfile {
   const { level, targetMs, pauseMs } = kind
-  return { service, level, priority: level, pauseMs, targetMs, cost: { promptTokens: tokens, mostTokens: 100, parts: [{ id: `${kind.name}-${at}-${tokens}`, tokens }] } }
+  return { service, level, priority: level, pauseMs, targetMs, cost: { promptTokens: tokens, maxTokens: 100, parts: [{ id: `${kind.name}-${at}-${tokens}`, tokens }] } }
 }
--- a/test/support/route-deployment.ts
+++ b/test/support/route-deployment.ts
@@ -16,7 +16,7 @@
 import { EventLog, Metrics } from '../../src/runtime/index.js'
 import { StandinEndpoint } from '../../src/standin/index.js'
 import type { EndpointHeaders } from '../../src/standin/index.js'
-import { until } from './deployment.js'
+import { waitFor } from './deployment.js'
 
 /** A dialect with the parts that stand-ins and clients need to use it. */
 export interface SpokenDialect {
@@ -88,7 +88,7 @@
     const deployment = new RouteDeployment(shape)
     for (let i = 0; i < (shape.registries ?? 3); i++) await deployment.startRegistry(i, true)
     for (let i = 0; i < (shape.gateways ?? 1); i++) await deployment.startGateway(i)
-    await until(() => deployment.registries.some(one => one?.keeperLog.isLeader === true), 'a leader')
+    await waitFor(() => deployment.registries.some(one => one?.keeperLog.isLeader === true), 'a leader')
     return deployment
   }
 
@@ -168,7 +168,7 @@
       void this.register(endpoint, service, 'ready', zone)
     }
     await this.register(endpoint, service, 'ready', zone)
-    await until(() => this.gateways.every(gateway => gateway.fleet.findView(endpoint.id as never) !== undefined), `${endpoint.id} known to all gateways`)
+    await waitFor(() => this.gateways.every(gateway => gateway.fleet.findView(endpoint.id as never) !== undefined), `${endpoint.id} known to all gateways`)
     return endpoint
   }
 
@@ -187,8 +187,8 @@
 
   /** Stores a routing document and waits until it is active on all gateways. */
   async putDocument (document: object & { readonly version: number }): Promise<void> {
-    await until(async () => (await this.operate('PUT', this.spoken.paths.document, JSON.stringify(document))).status === 200, 'the document taken')
-    await until(() => this.gateways.every(gateway => (gateway.table?.version ?? 0) >= document.version), 'the document in force')
+    await waitFor(async () => (await this.operate('PUT', this.spoken.paths.document, JSON.stringify(document))).status === 200, 'the document taken')
+    await waitFor(() => this.gateways.every(gateway => (gateway.table?.version ?? 0) >= document.version), 'the document in force')
   }
 
   /** Sends a caller's request to a gateway. */
--- a/test/text-patch.test.ts
+++ b/test/text-patch.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import fc from 'fast-check'
-import { applySteps, compareTexts } from '../src/coordination/index.js'
+import { applyPatch, computePatch } from '../src/coordination/index.js'
 import { packDocument, unpackDocument } from '../src/protocol/index.js'
 
 const object = fc.record({ name: fc.string(), prefix: fc.string(), inner: fc.option(fc.record({ service: fc.string() })) })
@@ -10,7 +10,7 @@
 
 test('applying the computed steps to the older text yields exactly the newer text', () => {
   fc.assert(fc.property(anyText, anyText, (older, newer) => {
-    assert.equal(applySteps(older, compareTexts(older, newer)), newer)
+    assert.equal(applyPatch(older, computePatch(older, newer)), newer)
   }))
 })
 
@@ -38,7 +38,7 @@
 
 for (const { name, newer, maxAdded } of changes) {
   test(`the size of a patch depends on the change: ${name}`, () => {
-    const steps = compareTexts(composeDocument(composeRoutes(0, 1000)), composeDocument(newer))
+    const steps = computePatch(composeDocument(composeRoutes(0, 1000)), composeDocument(newer))
     const added = steps.reduce((sum, step) => sum + (step.type === 'add' ? step.text.length : 0), 0)
     assert.ok(added <= maxAdded, `${added} characters`)
     assert.ok(steps.length < 12, `${steps.length} steps`)
--- a/test/unread-prompts.test.ts
+++ b/test/unread-prompts.test.ts
@@ -3,7 +3,7 @@
 import { brandId } from '../src/core/index.js'
 import { createFleet, createRecord, createWork, engineService } from './support/fleet-builder.js'
 
-const prompt = createWork({ pauseMs: 600, cost: { promptTokens: 2000, mostTokens: 10, parts: [] } })
+const prompt = createWork({ pauseMs: 600, cost: { promptTokens: 2000, maxTokens: 10, parts: [] } })
 
 // Guards against treating a busy engine as idle because a prompt whose first event is overdue counts as read.
 const cases: readonly { readonly name: string, readonly elapsedRatio: number, readonly hasFirstEvent: boolean, readonly expectedTokens: number }[] = [
--- a/test/usage.test.ts
+++ b/test/usage.test.ts
@@ -4,13 +4,13 @@
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { UsageBook } from '../src/coordination/index.js'
-import type { UsageTelling } from '../src/coordination/index.js'
+import { UsageAggregator } from '../src/coordination/index.js'
+import type { UsageUpdate } from '../src/coordination/index.js'
 import { DayClock } from '../src/runtime/index.js'
 
-const createUpdate = (source: string, window: number, requests: number, through = 0): UsageTelling => ({ source, through, windows: [[window, [['camp', requests]]]] })
+const createUpdate = (source: string, window: number, requests: number, through = 0): UsageUpdate => ({ source, through, windows: [[window, [['camp', requests]]]] })
 
-const sums: readonly { name: string, updates: readonly UsageTelling[], sum: number }[] = [
+const sums: readonly { name: string, updates: readonly UsageUpdate[], sum: number }[] = [
   { name: 'two boxes', updates: [createUpdate('a', 7, 3), createUpdate('b', 7, 4)], sum: 7 },
   { name: 'a duplicate update', updates: [createUpdate('a', 7, 3), createUpdate('a', 7, 3)], sum: 3 },
   { name: 'an older update after a newer one', updates: [createUpdate('a', 7, 5), createUpdate('a', 7, 3)], sum: 5 },
@@ -21,30 +21,30 @@
 for (const { name, updates, sum } of sums) {
   test(`each request counts once: ${name}`, () => {
     // The leader receives all updates through another registry, both incrementally and in full.
-    const leader = new UsageBook()
-    const relay = new UsageBook()
+    const leader = new UsageAggregator()
+    const relay = new UsageAggregator()
     for (const update of updates) {
       relay.note(update, 0)
-      for (const relayed of relay.takeNews(false)) leader.note(relayed, 0)
+      for (const relayed of relay.takeUpdates(false)) leader.note(relayed, 0)
     }
-    for (const relayed of relay.takeNews(true)) leader.note(relayed, 0)
+    for (const relayed of relay.takeUpdates(true)) leader.note(relayed, 0)
     assert.deepEqual(leader.sum(7), [['camp', sum]])
     assert.deepEqual(relay.sum(7), [['camp', sum]])
   })
 }
 
 test('changes are relayed once, complete sources no longer count as behind, and settled windows are dropped', () => {
-  const book = new UsageBook()
+  const book = new UsageAggregator()
   book.note(createUpdate('a', 7, 3, 8000), 100)
   book.note(createUpdate('b', 7, 3, 9000), 100)
-  assert.equal(book.takeNews(false).length, 2)
-  assert.deepEqual(book.takeNews(false), [])
+  assert.equal(book.takeUpdates(false).length, 2)
+  assert.deepEqual(book.takeUpdates(false), [])
   assert.equal(book.countBehind(8500, 0), 1)
   assert.equal(book.countBehind(8500, 101), 0)
   book.note({ source: 'a', through: 9000, windows: [] }, 200)
-  assert.deepEqual(book.takeNews(false), [{ source: 'a', through: 9000, windows: [] }])
+  assert.deepEqual(book.takeUpdates(false), [{ source: 'a', through: 9000, windows: [] }])
   assert.equal(book.countBehind(8500, 0), 0)
-  book.forget(8, 300)
+  book.prune(8, 300)
   assert.deepEqual(book.sum(7), [])
 })
 
