--- a/src/coordination/log/member-plan.ts
+++ b/src/coordination/log/member-plan.ts
@@ -71,7 +71,7 @@
   /** Replaces a keeper's old replica by the one on its new disk, as a learner. */
   replaceNewDisk (): Members | null {
     for (const old of [...this.#voters, ...this.#learners]) {
-      const replacement = this.#state.observations.find(sight => sight.replica !== old && getKeeperName(sight.replica) === getKeeperName(old) && sight.silentMs < reachableMs)
+      const replacement = this.#state.observations.find(observation => observation.replica !== old && getKeeperName(observation.replica) === getKeeperName(old) && observation.silentMs < reachableMs)
       if (replacement === undefined || this.#getSilentMs(old) < replacement.silentMs) continue
       const voters = this.#voters.filter(id => id !== old)
       if (!this.#hasQuorum(voters)) continue
@@ -83,9 +83,9 @@
 
   admit (): Members | null {
     const known = new Set([...this.#voters, ...this.#learners])
-    const newcomers = this.#state.observations.filter(sight => !known.has(sight.replica) && sight.silentMs < reachableMs)
+    const newcomers = this.#state.observations.filter(observation => !known.has(observation.replica) && observation.silentMs < reachableMs)
     if (newcomers.length === 0) return null
-    return { voters: this.#voters, learners: [...this.#learners, ...newcomers.map(sight => sight.replica)] }
+    return { voters: this.#voters, learners: [...this.#learners, ...newcomers.map(observation => observation.replica)] }
   }
 
   promote (): Members | null {
--- a/src/coordination/log/replica.ts
+++ b/src/coordination/log/replica.ts
@@ -59,7 +59,7 @@
 
 interface AppendedProposal {
   readonly term: number
-  readonly resolve: (end: ProposalOutcome) => void
+  readonly resolve: (outcome: ProposalOutcome) => void
 }
 
 type ReplicaInput =
@@ -84,7 +84,7 @@
   #isSyncing = false
   #isStopped = false
   #sendsAfterSync: SendEffect[] = []
-  #proposals = new Map<number, (end: ProposalOutcome) => void>()
+  #proposals = new Map<number, (outcome: ProposalOutcome) => void>()
   #appended = new Map<number, AppendedProposal>()
   #reads = new Map<number, (ok: boolean) => void>()
   #readsByIndex: { index: number, resolve: (ok: boolean) => void }[] = []
--- a/src/core/balance/admission.ts
+++ b/src/core/balance/admission.ts
@@ -12,7 +12,7 @@
   readonly ownTokens: number
   /** At engines, sent by other boxes, as last reported. */
   readonly otherTokens: number
-  /** Held in boxes, including this one. */
+  /** Queued in boxes, including this one. */
   readonly heldTokens: number
   /** At engines, of less urgent kinds. */
   readonly lessTokens: number
@@ -64,7 +64,7 @@
 const minWaitShare = 0.5
 /** Lower bound on the share of the reading rate that more urgent kinds are assumed to leave. */
 const minRemainingShare = 0.2
-/** Longest wait of a request that is never held and whose kind is limited, as a fraction of the longest with which it is in time. */
+/** Longest wait of a request that is never queued and whose kind is limited, as a fraction of the longest with which it is in time. */
 const maxImmediateWaitShare = 0.85
 /** Bounds on retry delays, ms. Below the minimum, the backlog has not changed; bursts last a few seconds. */
 const minRetryAfterMs = 300
@@ -87,7 +87,7 @@
   return { backlog, lateness, waitMs, ownMs: ownReadingMs, allowedMs, sinceLessUrgentMs: sinceLessMs, share: 1, returnMs: retryAfterMs }
 }
 
-/** Inputs of an admission decision on a request that is never held. */
+/** Inputs of an admission decision on a request that is never queued. */
 export interface ImmediateAdmissionInput {
   readonly backlog: Backlog
   readonly lateness: number
@@ -102,7 +102,7 @@
 }
 
 /**
- * Decides whether to admit a request that is never held, when engines are congested for it. All requests of a kind that fits
+ * Decides whether to admit a request that is never queued, when engines are congested for it. All requests of a kind that fits
  * beside the others are admitted; of any other kind, the given share, and none whose expected wait exceeds the limit.
  */
 export function decideImmediateAdmission ({ backlog, lateness, engineWaitMs, readingMs, targetMs, share, credits, level }: ImmediateAdmissionInput): Admission {
@@ -126,7 +126,7 @@
   return Math.min(maxRetryAfterMs, Math.max(minRetryAfterMs, waitMs, excessRatio * rateWindowMs))
 }
 
-/** True if requests of a kind wait so long that most of them are late; less urgent requests are then held. */
+/** True if requests of a kind wait so long that most of them are late; less urgent requests are then queued. */
 export function isOverloaded (backlog: Backlog, lateness: number, targetMs: number): boolean {
   return estimateWaitMs(backlog, lateness) > targetMs * minWaitShare
 }
@@ -142,7 +142,7 @@
 
 /**
  * Measures the backlog ahead of a request of `priority` at some engines. `lowest`: the least urgent priority of
- * its kind; `heldTokens`: tokens of requests ahead of it that are held in boxes.
+ * its kind; `heldTokens`: tokens of requests ahead of it that are queued in boxes.
  */
 export function measureBacklog (engines: readonly EndpointView[], heldTokens: number, priority: number, lowest: number, at: number): Backlog {
   let ownTokens = 0
--- a/src/core/balance/agreed-dedicated-count.ts
+++ b/src/core/balance/agreed-dedicated-count.ts
@@ -22,10 +22,10 @@
   return { count: Math.min(count, maxCount), base: Math.min(base, count, maxCount) }
 }
 
-/** Tokens held in the boxes, of requests that are not less urgent than `priority`. */
+/** Tokens queued in the boxes, of requests that are not less urgent than `priority`. */
 export function countHeldTokens (state: ServiceState, others: ServiceTotal | null, priority: number): number {
   let tokens = 0
-  for (const [theirs, held] of [...state.held, ...others?.held ?? []]) if (theirs <= priority) tokens += held
+  for (const [theirs, queued] of [...state.held, ...others?.held ?? []]) if (theirs <= priority) tokens += queued
   return tokens
 }
 
--- a/src/core/balance/box-load.ts
+++ b/src/core/balance/box-load.ts
@@ -45,7 +45,7 @@
   readonly base: number
   /** The pause of streams at an engine that reads continuously, ms; the median over several boxes; null if none was measured. */
   readonly readingPauseMs: number | null
-  /** Tokens of requests that are held in the boxes. */
+  /** Tokens of requests that are queued in the boxes. */
   readonly held: WaitingTokens
   /** Arrival rate of each kind; not sent by boxes of earlier versions. */
   readonly rates?: KindRates
@@ -63,7 +63,7 @@
 
 /** The demand for a service over several boxes. */
 export interface ServiceTotal extends ServiceDemand {
-  /** Number of boxes that hold requests of the service. */
+  /** Number of boxes that queue requests of the service. */
   readonly holders: number
 }
 
--- a/src/core/balance/describe-service.ts
+++ b/src/core/balance/describe-service.ts
@@ -10,7 +10,7 @@
   readonly counts: DedicatedCount
   readonly readingPauseMs: number
   readonly minTolerantPauseMs: number
-  /** Tokens held in the boxes. */
+  /** Tokens queued in the boxes. */
   readonly heldTokens: number
 }
 
--- a/src/core/balance/fleet.ts
+++ b/src/core/balance/fleet.ts
@@ -219,7 +219,7 @@
     else held.delete(work.priority)
   }
 
-  /** Number of boxes, including this one, that hold requests of the service at least as urgent as `priority`. */
+  /** Number of boxes, including this one, that queue requests of the service at least as urgent as `priority`. */
   countHolders (service: ServiceName, priority: number): number {
     const own = (this.#services.get(service)?.held.size ?? 0) > 0 ? 1 : 0
     return own + this.#others.countHolders(service, priority)
--- a/src/core/balance/other-boxes.ts
+++ b/src/core/balance/other-boxes.ts
@@ -41,7 +41,7 @@
   /** Number of boxes, including this one, that may send to the same engines without their load being known here; 1 while all report. */
   countUnreportedBoxes (at: number): number { return this.isComplete(at) ? 1 : this.#boxes }
 
-  /** Number of other boxes that hold requests of the service at least as urgent as `priority`. */
+  /** Number of other boxes that queue requests of the service at least as urgent as `priority`. */
   countHolders (service: ServiceName, priority: number): number {
     const others = this.#totals.get(service)
     if (others === undefined || others.held.every(([theirs]) => theirs > priority)) return 0
--- a/src/core/balance/prompt-cache-model.ts
+++ b/src/core/balance/prompt-cache-model.ts
@@ -6,7 +6,7 @@
  */
 export class PromptCacheModel {
   #capacity: number
-  #held = new Map<string, number>()
+  #cached = new Map<string, number>()
   #tokens = 0
 
   /** `capacity`: assumed size of the cache, tokens. */
@@ -18,7 +18,7 @@
   countCachedTokens (parts: readonly PromptPart[]): number {
     let tokens = 0
     for (const part of parts) {
-      if (!this.#held.has(part.id)) break
+      if (!this.#cached.has(part.id)) break
       tokens += part.tokens
     }
     return tokens
@@ -27,15 +27,15 @@
   /** Records that a prompt was sent to the engine. */
   add (parts: readonly PromptPart[]): void {
     for (const { id, tokens } of parts) {
-      const known = this.#held.get(id)
+      const known = this.#cached.get(id)
       if (known !== undefined) this.#tokens -= known
-      this.#held.delete(id)
-      this.#held.set(id, tokens)
+      this.#cached.delete(id)
+      this.#cached.set(id, tokens)
       this.#tokens += tokens
     }
-    for (const [id, tokens] of this.#held) {
+    for (const [id, tokens] of this.#cached) {
       if (this.#tokens <= this.#capacity) return
-      this.#held.delete(id)
+      this.#cached.delete(id)
       this.#tokens -= tokens
     }
   }
--- a/src/core/balance/service-admission.ts
+++ b/src/core/balance/service-admission.ts
@@ -1,6 +1,6 @@
 /**
  * Admission of requests to a service's engines, and the check that holds back less urgent requests while more
- * urgent ones are late. Pause-tolerant requests are held in the box until an engine has room; all others are sent
+ * urgent ones are late. Pause-tolerant requests are queued in the box until an engine has room; all others are sent
  * immediately or refused, whichever engine they go to.
  */
 import { decideAdmission, decideImmediateAdmission, isOverloaded, limitAdmission, measureBacklog } from './admission.js'
@@ -124,7 +124,7 @@
   return divideCapacity(capacity * plannedCapacityShare, listTotalRates(context, at), congestedLevel)
 }
 
-// Level of the most urgent kind, of those that are never held, for which engines are congested; Infinity if there is none.
+// Level of the most urgent kind, of those that are never queued, for which engines are congested; Infinity if there is none.
 function findCongestedLevel (context: AdmissionContext, at: number): number {
   const { state, engine, minTolerantPauseMs, snapshot: { dedicationOrder, counts } } = context
   const engineWaitMs = findShortestWait(listSensitiveEngines(dedicationOrder, counts.count, engine), engine.slots, at)
@@ -137,7 +137,7 @@
 }
 
 /**
- * Engines for requests that are never held. Includes dedicated ones only if the others have no free slot, or are congested
+ * Engines for requests that are never queued. Includes dedicated ones only if the others have no free slot, or are congested
  * while kinds are limited: streams pause longer beside prompt reading, but idle dedicated engines would waste capacity.
  */
 export function listImmediateEngines (context: AdmissionContext, targetMs: number, at: number): readonly EndpointView[] {
--- a/src/core/balance/service-state.ts
+++ b/src/core/balance/service-state.ts
@@ -1,4 +1,4 @@
-/** The state of one service on a box: dedicated engines, demand, measurements of its engines, and held requests. */
+/** The state of one service on a box: dedicated engines, demand, measurements of its engines, and queued requests. */
 import type { RoutedService } from '../routes/index.js'
 import { AdmissionCredits } from './admission-credits.js'
 import { CongestionTracker } from './congestion-tracker.js'
@@ -19,7 +19,7 @@
   /** Arriving prompt tokens of pause-tolerant requests, and of pause-sensitive ones. */
   readonly tolerantDemand: RateMeter
   readonly sensitiveDemand: RateMeter
-  /** Tokens of requests held in this box, by priority. */
+  /** Tokens of requests queued in this box, by priority. */
   readonly held: Map<number, number>
   readonly credits: AdmissionCredits
   readonly congestion: CongestionTracker
--- a/src/core/limits/permit-issuer.ts
+++ b/src/core/limits/permit-issuer.ts
@@ -63,12 +63,12 @@
   reset (): void { this.#allocations.clear() }
 
   /** Grants permits within the limit, the most urgent first; everything if the endpoint has no limit. */
-  grant (endpoint: EndpointId, wants: PermitDemand, at: number): PermitGrant[] {
+  grant (endpoint: EndpointId, demand: PermitDemand, at: number): PermitGrant[] {
     const limit = this.#notices.find(endpoint)?.perSecond ?? null
-    if (limit === null) return wants.map(([priority, count]) => [priority, count, 0])
+    if (limit === null) return demand.map(([priority, count]) => [priority, count, 0])
     const allocation = this.#getAllocation(endpoint, limit, at)
-    for (const [priority] of wants) allocation.askedAt.set(priority, at)
-    return [...wants].sort(([a], [b]) => a - b).map(([priority, count]) => grantOne(allocation, priority, count, at))
+    for (const [priority] of demand) allocation.askedAt.set(priority, at)
+    return [...demand].sort(([a], [b]) => a - b).map(([priority, count]) => grantOne(allocation, priority, count, at))
   }
 
   /** Other endpoints without permits, for a box that was denied one. Empty if nothing was denied. */
--- a/src/core/placer.ts
+++ b/src/core/placer.ts
@@ -93,16 +93,16 @@
   }
 
   /** Handles the reply of a shard's owner. */
-  receive (shard: ShardId, answer: ShardReply): void {
-    const tracked = this.#requests.get(answer.request)
-    const isCurrent = tracked !== undefined && tracked.submission.attempt === answer.attempt && tracked.shard === shard && tracked.resolve !== null
-    if (!isCurrent) return this.#returnGrant(shard, answer)
-    switch (answer.type) {
+  receive (shard: ShardId, reply: ShardReply): void {
+    const tracked = this.#requests.get(reply.request)
+    const isCurrent = tracked !== undefined && tracked.submission.attempt === reply.attempt && tracked.shard === shard && tracked.resolve !== null
+    if (!isCurrent) return this.#returnGrant(shard, reply)
+    switch (reply.type) {
       case 'grant':
-        tracked.engine = answer.engine
-        return this.#resolve(tracked, { type: 'granted', engine: answer.engine, priority: answer.priority })
+        tracked.engine = reply.engine
+        return this.#resolve(tracked, { type: 'granted', engine: reply.engine, priority: reply.priority })
       case 'refuse':
-        tracked.plan.noteRefusal(answer.reason, answer.retryAfterMs)
+        tracked.plan.noteRefusal(reply.reason, reply.retryAfterMs)
         return this.#ask(tracked)
     }
   }
@@ -180,11 +180,11 @@
   }
 
   // Releases a grant that no request is waiting for; otherwise the place would leak.
-  #returnGrant (shard: ShardId, answer: ShardReply): void {
-    if (answer.type !== 'grant') return
+  #returnGrant (shard: ShardId, reply: ShardReply): void {
+    if (reply.type !== 'grant') return
     const owner = this.#shards.find(one => one.id === shard)?.owner
     if (owner === undefined) return
-    this.#host.send(owner, shard, { type: 'end', request: answer.request, attempt: answer.attempt, how: 'cancelled', tokens: 0 })
+    this.#host.send(owner, shard, { type: 'end', request: reply.request, attempt: reply.attempt, how: 'cancelled', tokens: 0 })
   }
 
   #leaveOwner (tracked: TrackedRequest): void {
--- a/src/core/sizing/size-planner.ts
+++ b/src/core/sizing/size-planner.ts
@@ -100,8 +100,8 @@
     return [this.#composeTarget(zone, true, spotTarget, input), this.#composeTarget(zone, false, onDemand, input)]
   }
 
-  #composeTarget ({ zone }: ZoneEndpoints, isSpot: boolean, count: number, { running, backlogMs: heldMs }: SizingInput): GroupTarget {
-    const why = `load=${running}:peak=${this.#load.max}:held=${Math.round(heldMs)}`
+  #composeTarget ({ zone }: ZoneEndpoints, isSpot: boolean, count: number, { running, backlogMs }: SizingInput): GroupTarget {
+    const why = `load=${running}:peak=${this.#load.max}:held=${Math.round(backlogMs)}`
     return { service: this.service, zone, isSpot, count, why }
   }
 }
