--- a/src/coordination/spread/document-pull.ts
+++ b/src/coordination/spread/document-pull.ts
@@ -95,9 +95,9 @@
   }
 
   #computeTimeoutMs (why: PullReason): number {
-    const { initialMs: firstMs, maxMs: longestMs } = this.#timeouts
-    if (why !== 'overdue' || this.#pending === null) return firstMs
-    return Math.min(longestMs, this.#pending.timeoutMs * 2)
+    const { initialMs, maxMs } = this.#timeouts
+    if (why !== 'overdue' || this.#pending === null) return initialMs
+    return Math.min(maxMs, this.#pending.timeoutMs * 2)
   }
 }
 
--- a/src/coordination/usage/usage-aggregator.ts
+++ b/src/coordination/usage/usage-aggregator.ts
@@ -20,7 +20,7 @@
   /** Time of its last update, on this box's monotonic clock, ms. */
   updatedAt: number
   readonly windows: Map<UsageWindow, Map<string, number>>
-  /** Windows changed since the last `takeNews`. `hasChanges` is also true if only `through` changed. */
+  /** Windows changed since the last `takeUpdates`. `hasChanges` is also true if only `through` changed. */
   changedWindows: Set<UsageWindow>
   hasChanges: boolean
 }
--- a/src/core/balance/admission.ts
+++ b/src/core/balance/admission.ts
@@ -107,11 +107,11 @@
  */
 export function decideImmediateAdmission ({ backlog, lateness, engineWaitMs, readingMs, targetMs, share, credits, level }: ImmediateAdmissionInput): Admission {
   const waitMs = engineWaitMs * Math.max(1, lateness)
-  const ownMs = readingMs * Math.max(1, lateness)
-  const allowedMs = Math.max(targetMs - ownMs, targetMs * minWaitShare) * maxImmediateWaitShare
+  const ownReadingMs = readingMs * Math.max(1, lateness)
+  const allowedMs = Math.max(targetMs - ownReadingMs, targetMs * minWaitShare) * maxImmediateWaitShare
   const admittedShare = share >= 1 || waitMs <= allowedMs ? share : 0
-  const returnMs = admittedShare >= 1 || credits.tryConsume(level, admittedShare) ? null : computeRetryAfterMs(share, waitMs + ownMs)
-  return { backlog, lateness, waitMs, ownMs, allowedMs, sinceLessUrgentMs: Infinity, share: admittedShare, returnMs }
+  const retryAfterMs = admittedShare >= 1 || credits.tryConsume(level, admittedShare) ? null : computeRetryAfterMs(share, waitMs + ownReadingMs)
+  return { backlog, lateness, waitMs, ownMs: ownReadingMs, allowedMs, sinceLessUrgentMs: Infinity, share: admittedShare, returnMs: retryAfterMs }
 }
 
 /** Restricts admission to a share of a kind's requests, counted over those that would otherwise be admitted. */
--- a/src/core/balance/congestion-tracker.ts
+++ b/src/core/balance/congestion-tracker.ts
@@ -1,7 +1,7 @@
 import { rateWindowMs } from './kind-tracker.js'
 
 /** A kind counts as congested for this long after it was last seen so, ms; prevents oscillation when limits are lifted. */
-const holdMs = 1000
+const retentionMs = 1000
 /** Longest gap between observations of congestion within one period, ms: over a longer one, engines may have been idle. */
 const maxGapMs = 100
 
@@ -16,7 +16,7 @@
 
   /**
    * Records the level of the most urgent kind for which engines are congested now, or Infinity if there is none.
-   * Returns the most urgent level recorded within the hold time, or Infinity.
+   * Returns the most urgent level recorded within the retention time, or Infinity.
    */
   update (level: number, at: number): number {
     if (level !== Infinity) {
@@ -24,6 +24,6 @@
       this.#lastAt = at
       this.#lastSeenAt.set(level, at)
     }
-    return [...this.#lastSeenAt].reduce((least, [known, seenAt]) => at - seenAt <= holdMs ? Math.min(least, known) : least, Infinity)
+    return [...this.#lastSeenAt].reduce((least, [known, seenAt]) => at - seenAt <= retentionMs ? Math.min(least, known) : least, Infinity)
   }
 }
--- a/src/core/balance/fleet.ts
+++ b/src/core/balance/fleet.ts
@@ -211,12 +211,12 @@
   noteStarted (work: RequestProfile, at: number): void { this.#services.get(work.service)?.kinds.noteStarted(work.level, at) }
 
   /** Notes that a request starts or stops waiting in this box. */
-  noteHeld (work: RequestProfile, isHeld: boolean): void {
-    const held = this.#services.get(work.service)?.held
-    if (held === undefined || work.cost === null) return
-    const tokens = (held.get(work.priority) ?? 0) + (isHeld ? 1 : -1) * countExpectedTokens(work.cost)
-    if (tokens > 0) held.set(work.priority, tokens)
-    else held.delete(work.priority)
+  noteHeld (work: RequestProfile, isQueued: boolean): void {
+    const queuedTokens = this.#services.get(work.service)?.held
+    if (queuedTokens === undefined || work.cost === null) return
+    const tokens = (queuedTokens.get(work.priority) ?? 0) + (isQueued ? 1 : -1) * countExpectedTokens(work.cost)
+    if (tokens > 0) queuedTokens.set(work.priority, tokens)
+    else queuedTokens.delete(work.priority)
   }
 
   /** Number of boxes, including this one, that queue requests of the service at least as urgent as `priority`. */
--- a/src/core/crashes/crash-history.ts
+++ b/src/core/crashes/crash-history.ts
@@ -32,7 +32,7 @@
 
   /** Merges reports; returns what they add. */
   merge (received: readonly EndpointCrash[], at: number): EndpointCrash[] {
-    const changes = received.map(end => this.#mergeOne(end, at)).filter(end => end !== null)
+    const changes = received.map(crash => this.#mergeOne(crash, at)).filter(crash => crash !== null)
     this.#evictOld(at)
     return changes
   }
@@ -41,7 +41,7 @@
   withdraw (fingerprint: Fingerprint, at: number): EndpointCrash[] {
     const changed = this.listCrashesOf(fingerprint)
     for (const { runs } of changed) runs.set(fingerprint, null)
-    return changed.map(end => composeCrash(end, [[fingerprint, null]], at))
+    return changed.map(crash => composeCrash(crash, [[fingerprint, null]], at))
   }
 
   /** Crashes during which a request was running that has not been answered since. */
@@ -52,13 +52,13 @@
   /** All recorded crashes, for a box that has none. */
   list (at: number): EndpointCrash[] {
     this.#evictOld(at)
-    return this.#crashes.map(end => composeCrash(end, [...end.runs], at))
+    return this.#crashes.map(crash => composeCrash(crash, [...crash.runs], at))
   }
 
   #mergeOne (received: EndpointCrash, at: number): EndpointCrash | null {
     const crashedAt = at - Math.max(0, received.ageMs)
     if (at - crashedAt > crashRetentionMs) return null
-    const known = this.#crashes.find(end => isSameCrash(end, received, crashedAt))
+    const known = this.#crashes.find(crash => isSameCrash(crash, received, crashedAt))
     const crash = known ?? { endpoint: received.endpoint, born: received.born, service: received.service, software: received.software, at: crashedAt, runs: new Map<Fingerprint, number | null>() }
     if (known === undefined) this.#crashes.push(crash)
     const addedRuns = received.runs.filter(run => addRun(crash.runs, run))
@@ -66,8 +66,8 @@
   }
 
   #evictOld (at: number): void {
-    const kept = this.#crashes.filter(end => at - end.at <= crashRetentionMs)
-    this.#crashes = kept.length <= maxCrashes ? kept : kept.sort((a, b) => a.at - b.at).slice(-maxCrashes)
+    const retained = this.#crashes.filter(crash => at - crash.at <= crashRetentionMs)
+    this.#crashes = retained.length <= maxCrashes ? retained : retained.sort((a, b) => a.at - b.at).slice(-maxCrashes)
   }
 }
 
--- a/src/core/crashes/evidence.ts
+++ b/src/core/crashes/evidence.ts
@@ -41,7 +41,7 @@
   const suspected = crashes.filter(({ runs }) => hasUnansweredRun(runs, fingerprint))
   if (suspected.length < minCrashes) return { ends: suspected.length, weight: 0, isHarmful: false }
   const endpoints = Math.max(1, countEndpoints())
-  const weight = suspected.reduce((sum, end) => sum + weighCrash(end, fingerprint, crashes, endpoints), 0)
+  const weight = suspected.reduce((sum, crash) => sum + weighCrash(crash, fingerprint, crashes, endpoints), 0)
   const isHarmful = weight >= (suspected.length < manyCrashes ? minWeight : minWeightOfMany) && !hasOtherCause(fingerprint, suspected, crashes)
   return { ends: suspected.length, weight, isHarmful }
 }
--- a/src/core/limits/retry-after-planner.ts
+++ b/src/core/limits/retry-after-planner.ts
@@ -33,15 +33,15 @@
   }
 
   /** Expected wait of a request behind `ahead` others, ms. */
-  estimateWait ({ availableInMs: openMs, perSecond }: ServiceAvailability, ahead: number): number {
-    return openMs + ahead * 1000 / perSecond
+  estimateWait ({ availableInMs, perSecond }: ServiceAvailability, ahead: number): number {
+    return availableInMs + ahead * 1000 / perSecond
   }
 
   /** Retry delay of a refused caller, ms. Successive callers are spaced out at the rate at which they can be served. */
-  plan (service: ServiceName, priority: number, { availableInMs: openMs, perSecond }: ServiceAvailability, at: number): number {
+  plan (service: ServiceName, priority: number, { availableInMs, perSecond }: ServiceAvailability, at: number): number {
     const schedule = this.#getSchedule(service, priority)
     const latest = at + maxRetryAfterMs
-    const retryAt = Math.min(latest, Math.max(schedule.nextRetryAt, at + openMs))
+    const retryAt = Math.min(latest, Math.max(schedule.nextRetryAt, at + availableInMs))
     const remaining = Math.max(perSecond - this.#sumUrgentArrivals(service, priority, at), perSecond * minRemainingShare)
     schedule.nextRetryAt = retryAt + 1000 / remaining
     return Math.min(maxRetryAfterMs, retryAt - at)
