--- a/src/bin/soak.ts
+++ b/src/bin/soak.ts
@@ -89,7 +89,7 @@
   process.once('SIGTERM', stopAndExit).once('SIGINT', stopAndExit)
   const { violations, calls, served, faults, ranked, crashes, logs } = await history.run()
   process.off('SIGTERM', stopAndExit).off('SIGINT', stopAndExit)
-  process.stdout.write(`seed=${seed} calls=${calls} served=${served} faults=${faults} ${ranked.map(({ kind, asked, served, inTime }) => `${kind}=${inTime}/${served}/${asked} `).join('')}${crashes === null ? '' : `ended=${crashes.crashCounts.join('/')} harmless=${crashes.served}/${crashes.sent} back=${crashes.backMs.map(Math.round).join('/')} `}violations=${violations.length}\n`)
+  process.stdout.write(`seed=${seed} calls=${calls} served=${served} faults=${faults} ${ranked.map(({ kind, sent: asked, served, inTime }) => `${kind}=${inTime}/${served}/${asked} `).join('')}${crashes === null ? '' : `ended=${crashes.crashCounts.join('/')} harmless=${crashes.served}/${crashes.sent} back=${crashes.recoveryMs.map(Math.round).join('/')} `}violations=${violations.length}\n`)
   if (violations.length > 0) saveLogs(seed, logs)
   return { violations }
 }
--- a/src/coordination/leases/lease-holder.ts
+++ b/src/coordination/leases/lease-holder.ts
@@ -78,7 +78,7 @@
   #chooseCommand (monotonicMs: number, elapsedMs: number, mayClaim: boolean): LeaseCommand | null {
     const { duty, self } = this
     const grant = this.#grant
-    if (grant !== null && elapsedMs - grant.requestedAt < this.#timing.holdMs) {
+    if (grant !== null && elapsedMs - grant.requestedAt < this.#timing.validMs) {
       return elapsedMs - grant.requestedAt < this.#timing.renewMs ? null : { type: 'renew', duty, holder: self, fence: grant.fence }
     }
     this.#grant = null
@@ -118,7 +118,7 @@
   findFence (now: ClockReading, needMs: number): number | null {
     const grant = this.#grant
     const elapsedMs = this.#clock.read(now)
-    if (grant === null || elapsedMs - grant.requestedAt + needMs > this.#timing.holdMs) return null
+    if (grant === null || elapsedMs - grant.requestedAt + needMs > this.#timing.validMs) return null
     return grant.fence
   }
 
--- a/src/coordination/leases/lease-timing.ts
+++ b/src/coordination/leases/lease-timing.ts
@@ -1,7 +1,7 @@
 /** Durations of the lease protocol, ms. */
 export interface LeaseTiming {
   /** How long the holder may act, counted from the request of the last renewal. */
-  readonly holdMs: number
+  readonly validMs: number
   /** Interval between renewals. */
   readonly renewMs: number
   /** Maximum duration of one call of the holder. */
@@ -14,7 +14,7 @@
 
 /** Fraction of the bound during which a holder may act; the rest allows for calls that arrive late and for the takeover. */
 const holdFraction = 0.8
-/** Fraction of `holdMs` for one call, so that one more call fits between two renewals. An answer takes a few ms, but up to fifty times as long from a slow platform. */
+/** Fraction of `validMs` for one call, so that one more call fits between two renewals. An answer takes a few ms, but up to fifty times as long from a slow platform. */
 const callFraction = 0.3
 /** Renewals per lease duration, so that one may be lost and another one late. */
 const renewalsPerLease = 5
@@ -26,5 +26,5 @@
 /** Derives the durations from the bound within which a former holder may not act again, ms. */
 export function planLeaseTiming (boundMs: number): LeaseTiming {
   const validMs = boundMs * holdFraction
-  return { holdMs: validMs, renewMs: validMs / renewalsPerLease, callMs: validMs * callFraction, waitMs: validMs * (1 + maxClockDrift) + deliveryMarginMs, cooldownMs: boundMs * (1 + maxClockDrift) + deliveryMarginMs }
+  return { validMs, renewMs: validMs / renewalsPerLease, callMs: validMs * callFraction, waitMs: validMs * (1 + maxClockDrift) + deliveryMarginMs, cooldownMs: boundMs * (1 + maxClockDrift) + deliveryMarginMs }
 }
--- a/src/core/balance/admission.ts
+++ b/src/core/balance/admission.ts
@@ -13,9 +13,9 @@
   /** At engines, sent by other boxes, as last reported. */
   readonly otherTokens: number
   /** Queued in boxes, including this one. */
-  readonly heldTokens: number
+  readonly queuedTokens: number
   /** At engines, of less urgent kinds. */
-  readonly lessTokens: number
+  readonly lessUrgentTokens: number
   /** Number of engines that read the backlog, and their total rate in tokens/ms. */
   readonly engines: number
   readonly rate: number
@@ -29,7 +29,7 @@
   /** Expected wait until an engine starts the request. */
   readonly waitMs: number
   /** Time from then until the first event. */
-  readonly ownMs: number
+  readonly ownReadingMs: number
   /** Longest wait with which the request is admitted. */
   readonly allowedMs: number
   /** Time since a less urgent request was last sent to or waiting at an engine; Infinity if none was. */
@@ -37,7 +37,7 @@
   /** Fraction of its kind's requests that is admitted; 1 if the kind is not limited. */
   readonly share: number
   /** Time after which the request should be retried; null if it is admitted. */
-  readonly returnMs: number | null
+  readonly retryAfterMs: number | null
 }
 
 /** Inputs of an admission decision. */
@@ -84,7 +84,7 @@
   const inTimeMs = Math.max(targetMs - ownReadingMs, targetMs * minWaitShare)
   const allowedMs = sinceLessMs < lessUrgentWindowMs ? Math.max(inTimeMs, Math.min(maxLessUrgentTargetMs, targetMs * maxTargetMultiple)) : inTimeMs
   const retryAfterMs = waitMs <= allowedMs ? null : Math.min(maxRetryAfterMs, Math.max(minRetryAfterMs, waitMs + ownReadingMs))
-  return { backlog, lateness, waitMs, ownMs: ownReadingMs, allowedMs, sinceLessUrgentMs: sinceLessMs, share: 1, returnMs: retryAfterMs }
+  return { backlog, lateness, waitMs, ownReadingMs, allowedMs, sinceLessUrgentMs: sinceLessMs, share: 1, retryAfterMs }
 }
 
 /** Inputs of an admission decision on a request that is never queued. */
@@ -111,13 +111,13 @@
   const allowedMs = Math.max(targetMs - ownReadingMs, targetMs * minWaitShare) * maxImmediateWaitShare
   const admittedShare = share >= 1 || waitMs <= allowedMs ? share : 0
   const retryAfterMs = admittedShare >= 1 || credits.tryConsume(level, admittedShare) ? null : computeRetryAfterMs(share, waitMs + ownReadingMs)
-  return { backlog, lateness, waitMs, ownMs: ownReadingMs, allowedMs, sinceLessUrgentMs: Infinity, share: admittedShare, returnMs: retryAfterMs }
+  return { backlog, lateness, waitMs, ownReadingMs, allowedMs, sinceLessUrgentMs: Infinity, share: admittedShare, retryAfterMs }
 }
 
 /** Restricts admission to a share of a kind's requests, counted over those that would otherwise be admitted. */
 export function limitAdmission (admission: Admission, share: number, credits: AdmissionCredits, level: number): Admission {
-  if (admission.returnMs !== null || share >= 1) return admission
-  return { ...admission, share, returnMs: credits.tryConsume(level, share) ? null : computeRetryAfterMs(share, admission.waitMs + admission.ownMs) }
+  if (admission.retryAfterMs !== null || share >= 1) return admission
+  return { ...admission, share, retryAfterMs: credits.tryConsume(level, share) ? null : computeRetryAfterMs(share, admission.waitMs + admission.ownReadingMs) }
 }
 
 // At least the time that the engines need to read the excess that arrives within one rate window, within the bounds on retry delays.
@@ -136,15 +136,15 @@
   return rate === 0 ? 1 : Math.max(minRemainingShare, 1 - urgentRate / rate)
 }
 
-function estimateWaitMs ({ ownTokens, otherTokens, heldTokens, rate }: Backlog, lateness: number): number {
-  return rate === 0 ? 0 : (ownTokens + otherTokens + heldTokens) / rate * Math.max(1, lateness)
+function estimateWaitMs ({ ownTokens, otherTokens, queuedTokens, rate }: Backlog, lateness: number): number {
+  return rate === 0 ? 0 : (ownTokens + otherTokens + queuedTokens) / rate * Math.max(1, lateness)
 }
 
 /**
  * Measures the backlog ahead of a request of `priority` at some engines. `lowest`: the least urgent priority of
- * its kind; `heldTokens`: tokens of requests ahead of it that are queued in boxes.
+ * its kind; `queuedTokens`: tokens of requests ahead of it that are queued in boxes.
  */
-export function measureBacklog (engines: readonly EndpointView[], heldTokens: number, priority: number, lowest: number, at: number): Backlog {
+export function measureBacklog (engines: readonly EndpointView[], queuedTokens: number, priority: number, lowest: number, at: number): Backlog {
   let ownTokens = 0
   let otherTokens = 0
   let lessUrgentTokens = 0
@@ -156,5 +156,5 @@
     lessUrgentTokens += lowest === priority ? before.lessUrgent : view.countBacklog(lowest, at).lessUrgent
     rate += 1 / view.readMsPerToken
   }
-  return { ownTokens, otherTokens, heldTokens, lessTokens: lessUrgentTokens, engines: engines.length, rate }
+  return { ownTokens, otherTokens, queuedTokens, lessUrgentTokens, engines: engines.length, rate }
 }
--- a/src/core/balance/service-admission.ts
+++ b/src/core/balance/service-admission.ts
@@ -46,7 +46,7 @@
   const { state, snapshot: { dedicationOrder, counts } } = context
   const dedicated = dedicationOrder.slice(0, Math.max(1, counts.count))
   const backlog = measureBacklogFor(context, work, at)
-  if (backlog.lessTokens > 0) state.kinds.noteStarted(work.level + 1, at)
+  if (backlog.lessUrgentTokens > 0) state.kinds.noteStarted(work.level + 1, at)
   const admission = decideAdmission({
     backlog,
     lateness: state.lateness.find(work.level),
--- a/src/gateway/exchange-report.ts
+++ b/src/gateway/exchange-report.ts
@@ -42,10 +42,10 @@
 function isBroken ({ end }: Attempt): boolean { return end.startsWith('broken') || end.startsWith('lost') }
 
 // The expected wait, the prompt's own prefill time, the allowed time, and the figures they are computed from.
-function formatAdmission ({ waitMs, ownMs, allowedMs, lateness, sinceLessUrgentMs: sinceLessMs, share, backlog }: Admission): string {
-  const { ownTokens, otherTokens, heldTokens, lessTokens, engines, rate } = backlog
-  const times = `wait=${Math.round(waitMs)}:reading=${Math.round(ownMs)}:allowed=${Math.round(allowedMs)}:late=${lateness.toFixed(2)}:less=${Math.round(lessTokens)}/${Number.isFinite(sinceLessMs) ? Math.round(sinceLessMs) : '-'}`
-  return `${times}:own=${Math.round(ownTokens)}:others=${Math.round(otherTokens)}:held=${Math.round(heldTokens)}:engines=${engines}:rate=${rate.toFixed(1)}:share=${share.toFixed(2)}`
+function formatAdmission ({ waitMs, ownReadingMs, allowedMs, lateness, sinceLessUrgentMs, share, backlog }: Admission): string {
+  const { ownTokens, otherTokens, queuedTokens, lessUrgentTokens, engines, rate } = backlog
+  const times = `wait=${Math.round(waitMs)}:reading=${Math.round(ownReadingMs)}:allowed=${Math.round(allowedMs)}:late=${lateness.toFixed(2)}:less=${Math.round(lessUrgentTokens)}/${Number.isFinite(sinceLessUrgentMs) ? Math.round(sinceLessUrgentMs) : '-'}`
+  return `${times}:own=${Math.round(ownTokens)}:others=${Math.round(otherTokens)}:held=${Math.round(queuedTokens)}:engines=${engines}:rate=${rate.toFixed(1)}:share=${share.toFixed(2)}`
 }
 
 // The endpoint, the time of the send in ms after arrival, the figures behind the choice, and the outcome.
--- a/src/gateway/exchange.ts
+++ b/src/gateway/exchange.ts
@@ -57,8 +57,8 @@
 
   start (): void {
     this.#admission = this.#host.fleet.admit(this.request.work, this.#host.now())
-    const returnMs = this.#admission?.returnMs ?? null
-    if (returnMs !== null) return this.#refuse({ kind: 'overloaded', text: 'too much waits before this request', retryAfterMs: returnMs })
+    const retryAfterMs = this.#admission?.retryAfterMs ?? null
+    if (retryAfterMs !== null) return this.#refuse({ kind: 'overloaded', text: 'too much waits before this request', retryAfterMs })
     this.#search.start()
   }
 
--- a/src/proof/lease-history.ts
+++ b/src/proof/lease-history.ts
@@ -213,5 +213,5 @@
 }
 
 function createLateFenceCheck (answeredAt: ClockReading, timing: LeaseTiming, fence: number): (now: ClockReading, needMs: number) => number | null {
-  return (now, needMs) => now.monotonic - answeredAt.monotonic + needMs > timing.holdMs ? null : fence
+  return (now, needMs) => now.monotonic - answeredAt.monotonic + needMs > timing.validMs ? null : fence
 }
--- a/src/soak/crash-callers.ts
+++ b/src/soak/crash-callers.ts
@@ -30,7 +30,7 @@
   /** Number of endpoint crashes caused by each harmful request. */
   readonly crashCounts: readonly number[]
   /** For each restarted endpoint, the time from its first registration to its first request, ms; ascending. */
-  readonly backMs: readonly number[]
+  readonly recoveryMs: readonly number[]
   /** Number of harmless requests sent, and how many of them were served. */
   readonly sent: number
   readonly served: number
@@ -72,7 +72,7 @@
 
   get summary (): CrashSummary {
     const recoveryMs = this.#options.testbed.endpoints.flatMap(({ standin }) => standin.recoveryMs).sort((a, b) => a - b)
-    return { backMs: recoveryMs, crashCounts: this.#bodies.map(body => this.#listCrashTimes(body).length), sent: this.#asked, served: this.#served }
+    return { recoveryMs, crashCounts: this.#bodies.map(body => this.#listCrashTimes(body).length), sent: this.#asked, served: this.#served }
   }
 
   start (): void {
--- a/src/soak/precedence-checker.ts
+++ b/src/soak/precedence-checker.ts
@@ -21,7 +21,7 @@
 /** Result of the requests of one kind. */
 export interface RankedSummary {
   readonly kind: string
-  readonly asked: number
+  readonly sent: number
   /** Number of requests whose answer began with status 200. */
   readonly served: number
   /** Number of served requests whose answer began within the kind's target. */
@@ -59,7 +59,7 @@
     return [...new Set(this.#calls.map(call => call.kind))].map(kind => {
       const calls = this.#calls.filter(call => call.kind === kind)
       const inTime = calls.filter(({ firstByteAt, sentAt }) => firstByteAt !== null && firstByteAt - sentAt <= kind.targetMs)
-      return { kind: kind.name, asked: calls.length, served: calls.filter(call => call.firstByteAt !== null).length, inTime: inTime.length }
+      return { kind: kind.name, sent: calls.length, served: calls.filter(call => call.firstByteAt !== null).length, inTime: inTime.length }
     }).sort((a, b) => a.kind.localeCompare(b.kind))
   }
 
--- a/test/admission.test.ts
+++ b/test/admission.test.ts
@@ -4,7 +4,7 @@
 import { createFleet, createRecord, createWork, engineService } from './support/fleet-builder.js'
 
 // Retry delay of a refused request, ms; null if it is admitted.
-function findRetryAfterMs (fleet: Fleet, work: RequestProfile, at: number): number | null { return fleet.admit(work, at)?.returnMs ?? null }
+function findRetryAfterMs (fleet: Fleet, work: RequestProfile, at: number): number | null { return fleet.admit(work, at)?.retryAfterMs ?? null }
 
 test('a request with too long a backlog is refused with a retry delay; a more urgent one is admitted', () => {
   const fleet = createFleet([createRecord('e1'), createRecord('e2')], engineService)
--- a/test/leases.test.ts
+++ b/test/leases.test.ts
@@ -26,8 +26,8 @@
 
 const actCases: readonly { name: string, now: ClockReading, needMs: number, mayAct: boolean }[] = [
   { name: 'right after the reply', now: readBothClocks(1400), needMs: 700, mayAct: true },
-  { name: 'validity counts from the request, not from the reply', now: readBothClocks(1000 + timing.holdMs - 699), needMs: 700, mayAct: false },
-  { name: 'just before expiry', now: readBothClocks(1000 + timing.holdMs - 700), needMs: 700, mayAct: true },
+  { name: 'validity counts from the request, not from the reply', now: readBothClocks(1000 + timing.validMs - 699), needMs: 700, mayAct: false },
+  { name: 'just before expiry', now: readBothClocks(1000 + timing.validMs - 700), needMs: 700, mayAct: true },
   { name: 'the monotonic clock stood still during a suspension', now: { monotonic: 1500, wall: 9000 }, needMs: 0, mayAct: false },
   { name: 'the wall clock was set back', now: { monotonic: 9000, wall: 1100 }, needMs: 0, mayAct: false },
   { name: 'the wall clock was set ahead', now: { monotonic: 1500, wall: 9000 }, needMs: 0, mayAct: false }
@@ -49,7 +49,7 @@
   assert.equal(claim?.type, 'claim')
   other.noteResult(book.apply(claim as LeaseCommand))
   assert.equal(other.findFence(readBothClocks(1420 + timing.waitMs), 0), 2)
-  assert.ok(timing.waitMs > timing.holdMs)
+  assert.ok(timing.waitMs > timing.validMs)
 })
 
 test('a claim that a renewal precedes is refused', () => {
--- a/test/support/pool-model.ts
+++ b/test/support/pool-model.ts
@@ -120,7 +120,7 @@
     const box = this.#boxes[Math.floor(this.#random() * this.#boxes.length)]
     const work = composeWork(request)
     box.fleet.noteArrival(work, at)
-    if ((box.fleet.admit(work, at)?.returnMs ?? null) !== null) request.deniedAt = at
+    if ((box.fleet.admit(work, at)?.retryAfterMs ?? null) !== null) request.deniedAt = at
     else if (!this.#send(box, request, at)) this.#hold(box, request)
   }
 
