--- a/src/gateway/caller-server.ts
+++ b/src/gateway/caller-server.ts
@@ -58,8 +58,8 @@
 const connectionCheckMs = 1000
 /** After a refusal, the rest of the request body is discarded for this long, ms, so that the caller can read the answer. */
 const refusedBodyMs = 500
-/** Upper bound on the time for which a request is held if the caller gives no deadline, ms; no route should have a longer time-out. */
-const maxHoldMs = 3_600_000
+/** Upper bound on the time until the deadline of a request if the caller gives none, ms; no route should have a longer time-out. */
+const maxTimeoutMs = 3_600_000
 
 export class CallerServer {
   #host: CallerServerHost
@@ -163,7 +163,7 @@
     const service = pickService(route, this.#host.draw())
     const priority = rankRequest(route, workspace, table.ranksPerRoute)
     const work: RequestProfile = { service, level: route.priority, priority, cost: headers.cost, pauseMs: route.pauseMs, targetMs: route.targetMs }
-    const holdMs = Math.min(route.timeoutMs, headers.deadlineMs ?? maxHoldMs)
+    const timeoutMs = Math.min(route.timeoutMs, headers.deadlineMs ?? maxTimeoutMs)
     return {
       headers: headers.requestId === '' ? { ...headers, requestId: this.#host.makeRequestId() } : headers,
       route,
@@ -177,7 +177,7 @@
       rawHeaders: request.rawHeaders,
       body,
       arrivedAt,
-      deadlineAt: arrivedAt + holdMs
+      deadlineAt: arrivedAt + timeoutMs
     }
   }
 
--- a/src/gateway/crash-guard.ts
+++ b/src/gateway/crash-guard.ts
@@ -20,7 +20,7 @@
   readonly prober: EndpointProber
   now (): number
   /** Sends to all connected registries. */
-  broadcast (news: CrashUpdate): void
+  broadcast (update: CrashUpdate): void
 }
 
 /** How a send ended: with a complete answer, a lost connection, an invalid answer, or no answer in time. */
@@ -69,7 +69,7 @@
   constructor (host: GuardHost) {
     this.#host = host
     this.#watch = new CrashWatch(service => host.fleet.listUsable(service, host.now()).length)
-    this.#pendingReports = new Batcher(crashUpdateDelayMs, news => host.broadcast(mergeCrashUpdates(news)))
+    this.#pendingReports = new Batcher(crashUpdateDelayMs, updates => host.broadcast(mergeCrashUpdates(updates)))
   }
 
   /** Decides whether a request may be sent now, and where. */
@@ -78,22 +78,22 @@
     const fingerprint = identifyRequest(request)
     const at = this.#host.now()
     const listLabels = (): ReadonlySet<string> => new Set(this.#host.fleet.listUsable(request.service, at).map(({ record }) => labelSoftware(record)))
-    const ruling = this.#watch.decide(fingerprint, listLabels, at)
-    if (ruling.type !== 'trial') return ruling
+    const decision = this.#watch.decide(fingerprint, listLabels, at)
+    if (decision.type !== 'trial') return decision
     const running = this.#trials.get(fingerprint)
     if (running !== undefined && running !== request) return { type: 'refused', retryAfterMs: trialRetryMs, ends: this.#watch.find(fingerprint)?.ends ?? 0 }
     this.#trials.set(fingerprint, request)
-    return ruling
+    return decision
   }
 
-  /** The endpoints that a ruling allows for a request; null for all. */
-  composeNarrowing (request: AdmittedRequest, ruling: SendDecision): EndpointFilter | null {
-    switch (ruling.type) {
+  /** The endpoints that a decision allows for a request; null for all. */
+  composeFilter (request: AdmittedRequest, decision: SendDecision): EndpointFilter | null {
+    switch (decision.type) {
       case 'free':
       case 'refused': return null
-      case 'suspect': return { key: identifyRequest(request), avoided: ruling.ended, mayUse: () => true }
-      case 'sound': return { key: null, avoided: new Set(), mayUse: record => ruling.labels.includes(labelSoftware(record)) }
-      case 'trial': return { key: identifyRequest(request), avoided: ruling.ended, mayUse: record => ruling.labels.length === 0 || ruling.labels.includes(labelSoftware(record)) }
+      case 'suspect': return { key: identifyRequest(request), avoided: decision.ended, mayUse: () => true }
+      case 'sound': return { key: null, avoided: new Set(), mayUse: record => decision.labels.includes(labelSoftware(record)) }
+      case 'trial': return { key: identifyRequest(request), avoided: decision.ended, mayUse: record => decision.labels.length === 0 || decision.labels.includes(labelSoftware(record)) }
     }
   }
 
@@ -131,7 +131,7 @@
   }
 
   /** Merges what a registry reports. It is not forwarded: registries inform one another, and there are many gateways. */
-  merge (news: CrashUpdate): void { this.#logEntries(this.#watch.merge(news, this.#host.now())) }
+  merge (update: CrashUpdate): void { this.#logEntries(this.#watch.merge(update, this.#host.now())) }
 
   /** Everything known here, for a registry that may know nothing. */
   list (): CrashUpdate { return this.#watch.list(this.#host.now()) }
@@ -156,7 +156,7 @@
     this.#report(this.#watch.noteAnswered(fingerprint, labelSoftware(view.record), this.#host.now()))
   }
 
-  // Returns null for endpoints that are draining or gone: their end is expected and proves nothing.
+  // Returns null for endpoints that are draining or gone: their termination is expected and proves nothing.
   #recordBroken (request: AdmittedRequest, view: EndpointView, ms: number): BrokenIncarnation | null {
     const isLeaving = view.record.stage !== 'ready' || this.#host.fleet.findView(view.id) === undefined
     if (isLeaving) return null
@@ -195,9 +195,9 @@
     }
   }
 
-  #report (news: CrashUpdate): void {
-    this.#logEntries(news)
-    if (news.ends.length > 0 || news.entries.length > 0) this.#pendingReports.add(news)
+  #report (update: CrashUpdate): void {
+    this.#logEntries(update)
+    if (update.ends.length > 0 || update.entries.length > 0) this.#pendingReports.add(update)
   }
 
   // Counts confirmed crashes, and endpoints that are still being probed.
--- a/src/gateway/endpoint-limits.ts
+++ b/src/gateway/endpoint-limits.ts
@@ -19,7 +19,7 @@
   /** Number of boxes that share a limit, including this one; 0 if unknown. */
   countBoxes (): number
   /** Number of requests of the service queued in this box at this priority or a more urgent one. */
-  countHeld (service: ServiceName, priority: number): number
+  countQueued (service: ServiceName, priority: number): number
   /** There is something new to report to the hub. */
   noteNoticeChange (): void
   /** Sends to the registry that issues permits, or to one that may know it; false if none is reachable. */
@@ -34,22 +34,22 @@
 
 export class EndpointLimits {
   #host: EndpointLimitsHost
-  #book: NoticeStore
+  #notices: NoticeStore
   #noticeTracker: NoticeTracker
   #permitClient: PermitClient
   #returns = new RetryAfterPlanner()
 
-  /** `book`: the notices of the endpoints, shared with the fleet. */
-  constructor (host: EndpointLimitsHost, book: NoticeStore) {
+  /** `notices`: the notices of the endpoints, shared with the fleet. */
+  constructor (host: EndpointLimitsHost, notices: NoticeStore) {
     this.#host = host
-    this.#book = book
-    this.#noticeTracker = new NoticeTracker(host, book)
+    this.#notices = notices
+    this.#noticeTracker = new NoticeTracker(host, notices)
     this.#permitClient = new PermitClient({
       log: host.log,
       now: () => host.now(),
       countBoxes: () => host.countBoxes(),
       findView: endpoint => host.fleet.findView(endpoint),
-      findNotice: endpoint => this.#book.find(endpoint),
+      findNotice: endpoint => this.#notices.find(endpoint),
       send: message => host.askIssuer(message),
       setIssuer: registry => host.setIssuer(registry)
     })
@@ -81,14 +81,14 @@
   check (now: number): void { this.#permitClient.check(now) }
 
   /** Decides on a request that no endpoint accepts at `at`: it waits if an endpoint is expected to accept it by `until`. */
-  ruleClosed ({ service, priority }: RequestProfile, openAt: number, until: number, at: number): ClosedRuling {
-    const opening = this.#findOpening(service, openAt, at)
-    const waitMs = this.#returns.estimateWait(opening, this.#host.countHeld(service, priority))
+  decideClosed ({ service, priority }: RequestProfile, openAt: number, until: number, at: number): ClosedRuling {
+    const availability = this.#findAvailability(service, openAt, at)
+    const waitMs = this.#returns.estimateWait(availability, this.#host.countQueued(service, priority))
     if (at + waitMs <= until) return { type: 'wait' }
-    return { type: 'return', afterMs: this.#returns.plan(service, priority, opening, at) }
+    return { type: 'return', afterMs: this.#returns.plan(service, priority, availability, at) }
   }
 
-  #findOpening (service: ServiceName, openAt: number, at: number): ServiceAvailability {
+  #findAvailability (service: ServiceName, openAt: number, at: number): ServiceAvailability {
     const perSecond = this.#host.fleet.sumLimits(service, at) / Math.max(1, this.#host.countBoxes())
     return { availableInMs: Math.max(0, openAt - at), perSecond }
   }
--- a/src/gateway/endpoint-search.ts
+++ b/src/gateway/endpoint-search.ts
@@ -43,9 +43,9 @@
   start (): void {
     const { request } = this.#searcher
     const at = this.#host.now()
-    const ruling = this.#host.guard.decide(request)
-    if (ruling.type === 'refused') return this.#searcher.fail({ ...ruling, type: 'quarantined' })
-    const choice = this.#host.fleet.choose(request.work, this.#tried, at, this.#host.draw(), at - request.arrivedAt, this.#host.guard.composeNarrowing(request, ruling))
+    const decision = this.#host.guard.decide(request)
+    if (decision.type === 'refused') return this.#searcher.fail({ ...decision, type: 'quarantined' })
+    const choice = this.#host.fleet.choose(request.work, this.#tried, at, this.#host.draw(), at - request.arrivedAt, this.#host.guard.composeFilter(request, decision))
     if (choice === 'later') return this.#enqueue()
     if (choice === 'closed') return this.#handleClosed(at)
     if (typeof choice === 'string') return this.#fail({ type: 'unplaced', why: choice })
@@ -90,10 +90,10 @@
     const waitUntil = this.#searcher.hasBegun ? deadlineAt : arrivedAt + work.targetMs
     const openAt = this.#host.fleet.findOpenTime(work, this.#tried, at)
     this.#maxClosedMs = Math.max(this.#maxClosedMs, openAt - at)
-    const ruling = this.#host.limits.ruleClosed(work, openAt, waitUntil, at)
-    switch (ruling.type) {
+    const decision = this.#host.limits.decideClosed(work, openAt, waitUntil, at)
+    switch (decision.type) {
       case 'wait': return this.#enqueue()
-      case 'return': return this.#fail({ type: 'closed', retryAfterMs: ruling.afterMs })
+      case 'return': return this.#fail({ type: 'closed', retryAfterMs: decision.afterMs })
     }
   }
 
--- a/src/gateway/exchange-report.ts
+++ b/src/gateway/exchange-report.ts
@@ -42,15 +42,15 @@
 function isBroken ({ end }: Attempt): boolean { return end.startsWith('broken') || end.startsWith('lost') }
 
 // The expected wait, the prompt's own prefill time, the allowed time, and the figures they are computed from.
-function formatAdmission ({ waitMs, ownMs, allowedMs, lateness, sinceLessUrgentMs: sinceLessMs, share, backlog }: Admission): string {
+function formatAdmission ({ waitMs, ownMs, allowedMs, lateness, sinceLessUrgentMs, share, backlog }: Admission): string {
   const { ownTokens, otherTokens, heldTokens, lessTokens, engines, rate } = backlog
-  const times = `wait=${Math.round(waitMs)}:reading=${Math.round(ownMs)}:allowed=${Math.round(allowedMs)}:late=${lateness.toFixed(2)}:less=${Math.round(lessTokens)}/${Number.isFinite(sinceLessMs) ? Math.round(sinceLessMs) : '-'}`
+  const times = `wait=${Math.round(waitMs)}:reading=${Math.round(ownMs)}:allowed=${Math.round(allowedMs)}:late=${lateness.toFixed(2)}:less=${Math.round(lessTokens)}/${Number.isFinite(sinceLessUrgentMs) ? Math.round(sinceLessUrgentMs) : '-'}`
   return `${times}:own=${Math.round(ownTokens)}:others=${Math.round(otherTokens)}:held=${Math.round(heldTokens)}:engines=${engines}:rate=${rate.toFixed(1)}:share=${share.toFixed(2)}`
 }
 
 // The endpoint, the time of the send in ms after arrival, the figures behind the choice, and the outcome.
 function formatAttempt (attempt: Attempt, arrivedAt: number): string {
-  return `${attempt.endpoint}@${Math.round(attempt.sentAt - arrivedAt)}:expected=${attempt.expectedMs}:of=${attempt.candidates}:apart=${attempt.share}:read=${Math.round(attempt.plan.readTokens)}:fetch=${formatFetch(attempt)}:home=${attempt.isHome ? 1 : 0}${attempt.permitMs === null ? '' : `:permit=${Math.round(attempt.permitMs)}`}:${attempt.end}`
+  return `${attempt.endpoint}@${Math.round(attempt.sentAt - arrivedAt)}:expected=${attempt.expectedMs}:of=${attempt.candidates}:apart=${attempt.dedicatedCount}:read=${Math.round(attempt.plan.readTokens)}:fetch=${formatFetch(attempt)}:home=${attempt.isAffinityEngine ? 1 : 0}${attempt.permitMs === null ? '' : `:permit=${Math.round(attempt.permitMs)}`}:${attempt.end}`
 }
 
 function formatFetch ({ plan: { fetch } }: Attempt): string {
--- a/src/gateway/exchange-summary.ts
+++ b/src/gateway/exchange-summary.ts
@@ -7,10 +7,10 @@
   readonly endpoint: EndpointId
   readonly expectedMs: number
   readonly candidates: number
-  readonly share: number
-  /** How the endpoint was expected to obtain the prompt, and whether it is the preferred endpoint of the shared parts. */
+  readonly dedicatedCount: number
+  /** How the endpoint was expected to obtain the prompt, and whether it is the affinity engine of the shared parts. */
   readonly plan: PromptPlan
-  readonly isHome: boolean
+  readonly isAffinityEngine: boolean
   readonly sentAt: number
   /** Time spent on a permit for a rate-limited endpoint, ms; null if none was needed. */
   readonly permitMs: number | null
--- a/src/gateway/exchange.ts
+++ b/src/gateway/exchange.ts
@@ -57,8 +57,8 @@
 
   start (): void {
     this.#admission = this.#host.fleet.admit(this.request.work, this.#host.now())
-    const returnMs = this.#admission?.returnMs ?? null
-    if (returnMs !== null) return this.#refuse({ kind: 'overloaded', text: 'too much waits before this request', retryAfterMs: returnMs })
+    const retryAfterMs = this.#admission?.returnMs ?? null
+    if (retryAfterMs !== null) return this.#refuse({ kind: 'overloaded', text: 'too much waits before this request', retryAfterMs })
     this.#search.start()
   }
 
@@ -95,10 +95,10 @@
   // Sending.
 
   /** Sends the request to the endpoint found by the search; `permitMs`: time spent on a permit, null if none was needed. */
-  send ({ view, expectedMs, candidates, dedicatedCount: share, plan, isAffinityEngine: isHome }: Choice, permitMs: number | null): void {
+  send ({ view, expectedMs, candidates, dedicatedCount, plan, isAffinityEngine }: Choice, permitMs: number | null): void {
     const { request } = this
     const at = this.#host.now()
-    const attempt: Attempt = { endpoint: view.id, expectedMs: Math.round(expectedMs), candidates, share, plan, isHome, sentAt: at, permitMs, end: 'open' }
+    const attempt: Attempt = { endpoint: view.id, expectedMs: Math.round(expectedMs), candidates, dedicatedCount, plan, isAffinityEngine, sentAt: at, permitMs, end: 'open' }
     this.#attempts.push(attempt)
     this.#retryPolicy.noteSend()
     const placed = view.place(request.work, plan, at)
@@ -226,13 +226,13 @@
   // Failures.
 
   #handleNotRun (sent: ActiveSend, head: AnswerHead): void {
-    const { isMisdirected: isOtherEndpoint } = head.headers
-    if (isOtherEndpoint) sent.view.health.noteUnreachable(this.#host.now())
+    const { isMisdirected } = head.headers
+    if (isMisdirected) sent.view.health.noteUnreachable(this.#host.now())
     else sent.view.health.noteGood()
     this.#cancelSend(sent, `not-run ${head.status}`)
     const at = this.#host.now()
-    const openMs = Math.max(0, this.#host.fleet.findOpenTime(this.request.work, [], at) - at)
-    this.#execute(this.#retryPolicy.decide({ type: 'not-run', isOther: isOtherEndpoint, openMs: Number.isFinite(openMs) ? openMs : 0 }))
+    const availableInMs = Math.max(0, this.#host.fleet.findOpenTime(this.request.work, [], at) - at)
+    this.#execute(this.#retryPolicy.decide({ type: 'not-run', isMisdirected, availableInMs: Number.isFinite(availableInMs) ? availableInMs : 0 }))
   }
 
   #handleFailure (sent: ActiveSend, head: AnswerHead): void {
--- a/src/gateway/gateway-box.ts
+++ b/src/gateway/gateway-box.ts
@@ -83,7 +83,7 @@
       countReservedEngines: service => this.#fleet.countDedicated(service)
     })
     this.#prober = new EndpointProber(log, now)
-    this.#guard = new CrashGuard({ log, metrics: dependencies.metrics, fleet: this.#fleet, prober: this.#prober, now, broadcast: news => this.#follower.broadcast({ type: 'crashes', news }) })
+    this.#guard = new CrashGuard({ log, metrics: dependencies.metrics, fleet: this.#fleet, prober: this.#prober, now, broadcast: update => this.#follower.broadcast({ type: 'crashes', news: update }) })
     this.#limits = this.#createLimits(notices)
     const windowMs = settings.usageWindowSeconds * 1000
     this.#usageReporter = windowMs === 0 ? null : new UsageReporter({ windowMs, now, findLink: () => this.#follower.findPreferredLink() })
@@ -192,7 +192,7 @@
       handleDocument: document => this.#applyDocument(document),
       handlePrompts: prompts => this.#fleet.notePrompts(prompts),
       handleRecords: records => this.#applyRecords(records),
-      handleCrashes: news => this.#guard.merge(news),
+      handleCrashes: update => this.#guard.merge(update),
       listCrashes: () => this.listCrashes(),
       handleGatewayCount: count => {
         this.#gatewayCount.note(now(), count)
@@ -212,7 +212,7 @@
       fleet: this.#fleet,
       now,
       countBoxes: () => this.#gatewayCount.find(now(), 0),
-      countHeld: (service, priority) => this.#waitQueue.count(service, priority),
+      countQueued: (service, priority) => this.#waitQueue.count(service, priority),
       noteNoticeChange: () => this.#loadReporter.noteChange(),
       askIssuer: message => this.#follower.sendToIssuer(message),
       setIssuer: registry => this.#follower.setIssuer(registry)
--- a/src/gateway/load-reporter.ts
+++ b/src/gateway/load-reporter.ts
@@ -41,7 +41,7 @@
   readonly reader: LoadUpdateDecoder
   /** Number of its newest update; undefined before the first. */
   newest: ReportSequence | undefined
-  heardAt: number
+  lastReceivedAt: number
 }
 
 type Input =
@@ -78,7 +78,7 @@
   /** Load of the other boxes as last received; null once it is discarded. */
   #others: LoadTotals | null = null
   #sentAt = -Infinity
-  #heardAt = -Infinity
+  #lastReceivedAt = -Infinity
   #isScheduled = false
   #isClosed = false
   #timer: NodeJS.Timeout | null = null
@@ -128,8 +128,8 @@
     if (update === null || !isNewerReport(update, hub.newest)) return
     const now = this.#host.now()
     hub.newest = { start: update.start, number: update.number }
-    hub.heardAt = now
-    this.#heardAt = now
+    hub.lastReceivedAt = now
+    this.#lastReceivedAt = now
     this.#intervalMs = update.intervalMs
     if (update.notices.length > 0) this.#host.handleNotices(update.notices, brandId(hub.host))
     const totals = hub.reader.take(update.news)
@@ -139,14 +139,14 @@
   #tick (): void {
     const now = this.#host.now()
     this.#updateHub(now)
-    this.#expireOthers(now - this.#heardAt)
+    this.#expireOthers(now - this.#lastReceivedAt)
     if (now - this.#sentAt >= heartbeatMs) this.#send()
   }
 
   // Without updates from any hub, first the queued requests of the other boxes are discarded, later all of their load.
-  #expireOthers (silentMs: number): void {
-    if (this.#others === null || silentMs <= staleMs) return
-    if (silentMs <= othersTtlMs) return this.#setOthers(dropBacklog(this.#others), this.#intervalMs)
+  #expireOthers (sinceReportMs: number): void {
+    if (this.#others === null || sinceReportMs <= staleMs) return
+    if (sinceReportMs <= othersTtlMs) return this.#setOthers(dropBacklog(this.#others), this.#intervalMs)
     this.#others = null
     this.#host.log.warn('hubs-silent', { hub: this.#hub?.host ?? '' })
     this.#host.handleOthers(noTotals, 0)
@@ -160,13 +160,13 @@
   // Replaces a hub that is silent, and one of another zone as soon as one of this zone is reachable.
   #updateHub (now: number): void {
     const hub = this.#hub
-    if (hub !== null && now - Math.max(hub.heardAt, hub.chosenAt) > hubTimeoutMs) this.#avoidedUntil.set(hub.host, now + avoidHubMs)
+    if (hub !== null && now - Math.max(hub.lastReceivedAt, hub.chosenAt) > hubTimeoutMs) this.#avoidedUntil.set(hub.host, now + avoidHubMs)
     const best = this.#findHub(now)
     if (best === hub?.host || best === undefined) return
     this.#host.log.info('hub-chosen', { hub: best, before: hub?.host ?? '' })
     if (hub !== null) this.#sendLoad(hub.host, null)
     this.#host.noteHubChange()
-    this.#hub = { host: best, chosenAt: now, reader: new LoadUpdateDecoder(), newest: undefined, heardAt: -Infinity }
+    this.#hub = { host: best, chosenAt: now, reader: new LoadUpdateDecoder(), newest: undefined, lastReceivedAt: -Infinity }
     this.#send()
   }
 
--- a/src/gateway/notice-tracker.ts
+++ b/src/gateway/notice-tracker.ts
@@ -24,21 +24,21 @@
 
 export class NoticeTracker {
   #host: NoticeTrackerHost
-  #book: NoticeStore
+  #store: NoticeStore
   #uplink: NoticeUplink
   #faultyLoggedAt = new Map<EndpointId, number>()
 
-  constructor (host: NoticeTrackerHost, book: NoticeStore) {
+  constructor (host: NoticeTrackerHost, store: NoticeStore) {
     this.#host = host
-    this.#book = book
-    this.#uplink = new NoticeUplink(book)
+    this.#store = store
+    this.#uplink = new NoticeUplink(store)
   }
 
   /** Applies the notices of one answer. A missing limit ends the limit only if the request ran: an endpoint that refuses requests may omit it. */
   noteAnswer (view: EndpointView, { limit, isLeaving, backoffMs, faulty }: EndpointNotices, hasRun: boolean): void {
     const { id, record: { born, service } } = view
     if (backoffMs !== null) this.#noteBackoff(view, backoffMs)
-    const notice = this.#book.note({ endpoint: id, born, limit: limit === null && !hasRun ? undefined : limit, isLeaving }, this.#host.now())
+    const notice = this.#store.note({ endpoint: id, born, limit: limit === null && !hasRun ? undefined : limit, isLeaving }, this.#host.now())
     if (notice !== null) {
       this.#apply([notice], 'answer')
       this.#uplink.note(notice)
@@ -50,12 +50,12 @@
   /** Merges notices from the hub or a registry. */
   merge (notices: readonly EndpointNotice[], from: BoxId): void {
     this.#uplink.confirm(notices)
-    this.#apply(this.#book.merge(notices.filter(({ endpoint }) => this.#host.fleet.findView(endpoint) !== undefined), this.#host.now(), from), 'box')
+    this.#apply(this.#store.merge(notices.filter(({ endpoint }) => this.#host.fleet.findView(endpoint) !== undefined), this.#host.now(), from), 'box')
   }
 
   /** Forgets endpoints that are gone. */
   noteRecords (records: readonly EndpointRecord[]): void {
-    for (const { id, stage } of records) if (stage === 'gone') this.#book.forget(id)
+    for (const { id, stage } of records) if (stage === 'gone') this.#store.forget(id)
   }
 
   /** Notices that the hub has not confirmed. */
@@ -76,7 +76,7 @@
 
   #countLimited (service: string): number {
     const { fleet } = this.#host
-    return this.#book.notices.filter(({ endpoint, perSecond }) => perSecond !== null && fleet.findView(endpoint)?.record.service === service).length
+    return this.#store.notices.filter(({ endpoint, perSecond }) => perSecond !== null && fleet.findView(endpoint)?.record.service === service).length
   }
 
   // Back-off applies to this box alone; the others only learn that the endpoint is loaded.
--- a/src/gateway/registry-follower.ts
+++ b/src/gateway/registry-follower.ts
@@ -28,7 +28,7 @@
   handlePrompts (prompts: readonly PromptReport[]): void
   handleRecords (records: readonly EndpointRecord[]): void
   /** Handles a report of endpoint crashes and of requests in quarantine. */
-  handleCrashes (news: CrashUpdate): void
+  handleCrashes (update: CrashUpdate): void
   /** The crashes and quarantined requests known here, for a registry that may know nothing. */
   listCrashes (): CrashUpdate
   /** Handles the number of gateways connected to a registry. */
--- a/src/gateway/retry-policy.ts
+++ b/src/gateway/retry-policy.ts
@@ -15,8 +15,8 @@
   | { readonly type: 'unplaced', readonly why: 'none-known' | 'none-usable' }
   /** The box backs off from every endpoint, or their rate limits are exhausted; `retryAfterMs`: until one accepts the request. */
   | { readonly type: 'closed', readonly retryAfterMs: number }
-  /** The endpoint stated that it did not run the request; `isOther`: because another endpoint answers at its address; `openMs`: until an endpoint accepts requests. */
-  | { readonly type: 'not-run', readonly isOther: boolean, readonly openMs: number }
+  /** The endpoint stated that it did not run the request; `isMisdirected`: because another endpoint answers at its address; `availableInMs`: until an endpoint accepts requests. */
+  | { readonly type: 'not-run', readonly isMisdirected: boolean, readonly availableInMs: number }
   /** The endpoint ran it and answered with an error. */
   | { readonly type: 'failed' }
   /** The connection could not be established or broke, or the answer was not valid. */
@@ -63,7 +63,7 @@
     switch (outcome.type) {
       case 'unplaced': return this.#handleUnplaced(outcome.why)
       case 'closed': return this.#handleClosed(outcome.retryAfterMs)
-      case 'not-run': return this.#handleNotRun(outcome.isOther, outcome.openMs)
+      case 'not-run': return this.#handleNotRun(outcome.isMisdirected, outcome.availableInMs)
       case 'failed': return this.#handleFailed()
       case 'broke': return this.#handleBroken(outcome.failure, outcome.reason)
       case 'answered': return this.#handleAnswered(outcome.status)
@@ -82,11 +82,11 @@
     return refuse('overloaded', 'no endpoint takes the request now', retryAfterMs)
   }
 
-  #handleNotRun (isOther: boolean, openMs: number): NextStep {
-    if (isOther) this.#unreachable += 1
+  #handleNotRun (isMisdirected: boolean, availableInMs: number): NextStep {
+    if (isMisdirected) this.#unreachable += 1
     if (this.#takeAttempt()) return { type: 'send' }
     if (this.#mayHaveRun) return refuse('engine-failed', 'an earlier send broke, and another endpoint is full')
-    return refuse('overloaded', 'the endpoint is full', Math.max(fullRetryMs, openMs))
+    return refuse('overloaded', 'the endpoint is full', Math.max(fullRetryMs, availableInMs))
   }
 
   // The endpoint ran the request and reported an error, so a retry is a second run.
--- a/src/protocol/header-dialect.ts
+++ b/src/protocol/header-dialect.ts
@@ -99,11 +99,11 @@
 
   readCaller (headers: HeaderMap): CallerHeaders {
     return {
-      requestId: readText(headers, this.#lowerNames.requestId) ?? '',
+      requestId: readString(headers, this.#lowerNames.requestId) ?? '',
       deadlineMs: readMs(headers, this.#lowerNames.deadline),
-      key: readKey(readText(headers, 'authorization'), this.#names.keyScheme),
-      cost: readCost(readText(headers, this.#lowerNames.tokens), readText(headers, this.#lowerNames.parts)),
-      lastEvent: readText(headers, this.#lowerNames.lastEvent)
+      key: readKey(readString(headers, 'authorization'), this.#names.keyScheme),
+      cost: readCost(readString(headers, this.#lowerNames.tokens), readString(headers, this.#lowerNames.parts)),
+      lastEvent: readString(headers, this.#lowerNames.lastEvent)
     }
   }
 
@@ -120,11 +120,11 @@
 
   readAnswer (status: number, headers: HeaderMap, wallMs: number): AnswerHeaders {
     const { requestId, notRun, mark } = this.#lowerNames
-    const isOtherEndpoint = status === misdirectedStatus
+    const isMisdirected = status === misdirectedStatus
     return {
-      requestId: readText(headers, requestId) ?? '',
-      isNotRun: isOtherEndpoint || headers[notRun] !== undefined,
-      isMisdirected: isOtherEndpoint,
+      requestId: readString(headers, requestId) ?? '',
+      isNotRun: isMisdirected || headers[notRun] !== undefined,
+      isMisdirected,
       isMarked: mark === '' || headers[mark] !== undefined,
       notices: readNotices(status, headers, this.#lowerNames, wallMs)
     }
@@ -161,13 +161,13 @@
   return Object.fromEntries(lower) as HeaderNames
 }
 
-function readText (headers: HeaderMap, name: string): string | null {
+function readString (headers: HeaderMap, name: string): string | null {
   const found = headers[name]
   return typeof found === 'string' ? found : found?.[0] ?? null
 }
 
 function readMs (headers: HeaderMap, name: string): number | null {
-  const text = readText(headers, name)
+  const text = readString(headers, name)
   const ms = text === null ? NaN : Number(text)
   return Number.isFinite(ms) && ms >= 0 ? ms : null
 }
@@ -182,9 +182,9 @@
 // A malformed cost is ignored, and the request is served without an estimate.
 function readCost (tokens: string | null, parts: string | null): PromptCost | null {
   if (tokens === null) return null
-  const [promptTokens, mostTokens] = tokens.split(',').map(Number)
+  const [promptTokens, maxTokens] = tokens.split(',').map(Number)
   if (!Number.isFinite(promptTokens)) return null
-  return { promptTokens, maxTokens: Number.isFinite(mostTokens) ? mostTokens : 0, parts: parts === null ? [] : readParts(parts) }
+  return { promptTokens, maxTokens: Number.isFinite(maxTokens) ? maxTokens : 0, parts: parts === null ? [] : readParts(parts) }
 }
 
 function readParts (text: string): PromptPart[] {
--- a/src/protocol/link-pool.ts
+++ b/src/protocol/link-pool.ts
@@ -74,7 +74,7 @@
     return listen(server, { host, port })
   }
 
-  /** Opens a link and reconnects it whenever it closes, until `hangUp`. */
+  /** Opens a link and reconnects it whenever it closes, until `disconnect`. */
   dial (host: string, port: number): void {
     const key = `${host}:${port}`
     if (this.#dialed.has(key) || this.#isClosed) return
--- a/src/protocol/load-datagram.ts
+++ b/src/protocol/load-datagram.ts
@@ -76,9 +76,9 @@
   const fields = decodeFields(bytes, 6)
   if (fields === null) return null
   const [, hub, start, number, encoded, packed] = fields as [number, BoxId, number, number, unknown, unknown]
-  const news = decodeLoadUpdate(encoded)
+  const update = decodeLoadUpdate(encoded)
   const notices = unpackNotices(packed)
-  return news === null || notices === null ? null : { hub, start, number, news, notices }
+  return update === null || notices === null ? null : { hub, start, number, news: update, notices }
 }
 
 /** Encodes an update of summed loads once for all recipients of a hub's reports. */
@@ -89,9 +89,9 @@
 /** Encodes notices once for all recipients of a hub's reports. */
 export function encodeNotices (notices: readonly EndpointNotice[]): Buffer { return encodeValue(notices.map(packNotice)) }
 
-/** Encodes a hub's report to one gateway; `news` and `notices` are already encoded. */
-export function encodeTotalsReport (report: Omit<TotalsReport, 'news' | 'notices'>, news: Buffer, notices: Buffer): Buffer {
-  return encodeValue([wireVersion, report.start, report.number, report.ownNumber, report.intervalMs, news, notices])
+/** Encodes a hub's report to one gateway; `update` and `notices` are already encoded. */
+export function encodeTotalsReport (report: Omit<TotalsReport, 'news' | 'notices'>, update: Buffer, notices: Buffer): Buffer {
+  return encodeValue([wireVersion, report.start, report.number, report.ownNumber, report.intervalMs, update, notices])
 }
 
 /** Decodes a hub's report to a gateway; null for invalid bytes. */
@@ -99,9 +99,9 @@
   const fields = decodeFields(bytes, 7)
   if (fields === null) return null
   const [, start, number, ownNumber, intervalMs, encoded, packed] = fields as [number, number, number, number, number, unknown, unknown]
-  const news = decodeLoadUpdate(encoded)
+  const update = decodeLoadUpdate(encoded)
   const notices = packed instanceof Uint8Array ? unpackNotices(decodeUntrusted(packed)) : null
-  return news === null || notices === null ? null : { start, number, ownNumber, intervalMs, news, notices }
+  return update === null || notices === null ? null : { start, number, ownNumber, intervalMs, news: update, notices }
 }
 
 /** A load as a tuple: without field names, as loads make up most of a report. */
--- a/src/registry/crash-replicator.ts
+++ b/src/registry/crash-replicator.ts
@@ -14,7 +14,7 @@
   now (): number
   countEndpoints (service: ServiceName): number
   /** Sends to gateways and the other registries. */
-  broadcast (news: CrashUpdate): void
+  broadcast (update: CrashUpdate): void
   save (entries: readonly QuarantineEntry[]): void
 }
 
@@ -26,7 +26,7 @@
   constructor (host: CrashReplicatorHost) {
     this.#host = host
     this.#crashes = new CrashWatch(host.countEndpoints)
-    this.#unsent = new Batcher(crashUpdateDelayMs, news => host.broadcast(mergeCrashUpdates(news)))
+    this.#unsent = new Batcher(crashUpdateDelayMs, updates => host.broadcast(mergeCrashUpdates(updates)))
   }
 
   /** The full state: crashes and quarantine entries. */
@@ -36,22 +36,22 @@
   restore (entries: readonly QuarantineEntry[]): void { this.#crashes.merge({ ends: [], entries }, this.#host.now()) }
 
   /** Merges an update of another box; broadcasts only what is new. */
-  merge (news: CrashUpdate): void { this.#broadcast(this.#crashes.merge(news, this.#host.now())) }
+  merge (update: CrashUpdate): void { this.#broadcast(this.#crashes.merge(update, this.#host.now())) }
 
   /** Lifts a quarantine on an operator's request; false where there is none. */
   lift (fingerprint: Fingerprint): boolean {
-    const news = this.#crashes.lift(fingerprint, this.#host.now())
-    if (news === null) return false
+    const update = this.#crashes.lift(fingerprint, this.#host.now())
+    if (update === null) return false
     this.#host.log.info('quarantine-lifted', { fingerprint })
-    this.#broadcast(news)
+    this.#broadcast(update)
     return true
   }
 
-  #broadcast (news: CrashUpdate): void {
-    if (news.ends.length === 0 && news.entries.length === 0) return
-    this.#unsent.add(news)
-    if (news.entries.length === 0) return
-    for (const entry of news.entries) this.#host.log.warn('quarantine', describeEntry(entry))
+  #broadcast (update: CrashUpdate): void {
+    if (update.ends.length === 0 && update.entries.length === 0) return
+    this.#unsent.add(update)
+    if (update.entries.length === 0) return
+    for (const entry of update.entries) this.#host.log.warn('quarantine', describeEntry(entry))
     this.#host.save(this.state.entries)
   }
 }
--- a/src/registry/endpoint-scaler.ts
+++ b/src/registry/endpoint-scaler.ts
@@ -59,7 +59,7 @@
     for (const service of this.#host.listServices()) {
       const observed = this.#observe(service, loads, at)
       if (observed === null) continue
-      for (const wish of this.#findPlanner(service.name).plan(observed)) this.#sendIfDue(wish, observed, call)
+      for (const target of this.#findPlanner(service.name).plan(observed)) this.#sendIfDue(target, observed, call)
     }
   }
 
@@ -87,17 +87,17 @@
     return { at, sizing, slots: engine?.slots ?? Math.max(...records.map(({ slots }) => slots)), zones: countByZone(records), running, backlogMs: rate === 0 ? 0 : heldTokens / rate * 1000 }
   }
 
-  #sendIfDue (wish: GroupTarget, observed: SizingInput, call: (call: DutyCall) => Promise<DutyCallResult>): void {
-    const key = `${wish.service} ${wish.zone} ${wish.isSpot}`
+  #sendIfDue (target: GroupTarget, observed: SizingInput, call: (call: DutyCall) => Promise<DutyCallResult>): void {
+    const key = `${target.service} ${target.zone} ${target.isSpot}`
     const last = this.#lastOrders.get(key)
-    if (last !== undefined && !isDue(last, wish, observed)) return
-    const next: SentOrder = { count: wish.count, sentAt: observed.at, isAccepted: false, isPending: true }
+    if (last !== undefined && !isDue(last, target, observed)) return
+    const next: SentOrder = { count: target.count, sentAt: observed.at, isAccepted: false, isPending: true }
     this.#lastOrders.set(key, next)
-    void this.#send(wish, next, call)
+    void this.#send(target, next, call)
   }
 
-  async #send (wish: GroupTarget, order: SentOrder, call: (call: DutyCall) => Promise<DutyCallResult>): Promise<void> {
-    const { service, zone, isSpot, count, why } = wish
+  async #send (target: GroupTarget, order: SentOrder, call: (call: DutyCall) => Promise<DutyCallResult>): Promise<void> {
+    const { service, zone, isSpot, count, why } = target
     const result = await call({ type: 'order-endpoints', service, zone, isSpot, count })
     order.isPending = false
     order.isAccepted = result.type === 'answered' && result.status >= 200 && result.status < 300
@@ -108,15 +108,15 @@
   }
 }
 
-function isDue (last: SentOrder, wish: GroupTarget, { at, sizing, zones }: SizingInput): boolean {
+function isDue (last: SentOrder, target: GroupTarget, { at, sizing, zones }: SizingInput): boolean {
   if (last.isPending) return false
   const sinceMs = at - last.sentAt
   if (!last.isAccepted) return sinceMs >= retryIntervalMs
-  if (wish.count > last.count) return true
-  if (wish.count < last.count) return sinceMs >= scaleDownIntervalMs
-  const counts = zones.find(({ zone }) => zone === wish.zone)
-  const current = (wish.isSpot ? counts?.spot : counts?.onDemand) ?? 0
-  return current < wish.count && sinceMs >= sizing.bootMs + bootGraceMs
+  if (target.count > last.count) return true
+  if (target.count < last.count) return sinceMs >= scaleDownIntervalMs
+  const counts = zones.find(({ zone }) => zone === target.zone)
+  const current = (target.isSpot ? counts?.spot : counts?.onDemand) ?? 0
+  return current < target.count && sinceMs >= sizing.bootMs + bootGraceMs
 }
 
 function countByZone (records: readonly EndpointRecord[]): ZoneEndpoints[] {
--- a/src/registry/endpoint-tracker.ts
+++ b/src/registry/endpoint-tracker.ts
@@ -73,8 +73,8 @@
   /** Restores the records saved by the previous process; they are valid until endpoints have had time to send heartbeats. */
   restore (records: readonly EndpointRecord[]): void {
     this.merge(records)
-    const heardAt = this.#host.now() - this.#host.lostMs + restoredGraceMs
-    for (const { id } of records) this.#lastHeardAt.set(id, heardAt)
+    const lastHeardAt = this.#host.now() - this.#host.lostMs + restoredGraceMs
+    for (const { id } of records) this.#lastHeardAt.set(id, lastHeardAt)
   }
 
   /** Applies a registration, heartbeat or deregistration that an endpoint sent itself. */
--- a/src/registry/leader-client.ts
+++ b/src/registry/leader-client.ts
@@ -42,8 +42,8 @@
     while (performance.now() < deadline) {
       const newest = this.#host.log.state.routing.newest
       if (newest !== null && newest.version >= document.version) return 'held'
-      const end = await this.#tryPut(document, deadline)
-      if (end !== null) return end
+      const outcome = await this.#tryPut(document, deadline)
+      if (outcome !== null) return outcome
       await pause(retryPauseMs)
     }
     return 'unknown'
@@ -64,9 +64,9 @@
   async putLocally (document: VersionedText): Promise<PutOutcome | null> {
     const { log } = this.#host
     if (!log.isLeader) return null
-    const end = await log.propose({ part: 'routing', command: { type: 'put', document } })
-    switch (end.type) {
-      case 'applied': return (end.result as { type: 'taken' | 'held' }).type
+    const outcome = await log.propose({ part: 'routing', command: { type: 'put', document } })
+    switch (outcome.type) {
+      case 'applied': return (outcome.result as { type: 'taken' | 'held' }).type
       case 'lost': return 'unknown'
       case 'rejected': return null
     }
--- a/src/registry/membership-manager.ts
+++ b/src/registry/membership-manager.ts
@@ -21,42 +21,42 @@
 }
 
 /** A silent voter is replaced by a spare after this, ms: longer than a restart, shorter than the time to the next possible failure. */
-const replaceMs = 2500
+const replaceVoterMs = 2500
 /** A silent learner, or registry that is not a seed, is removed after this, ms. */
-const forgetMs = 60_000
+const dropLearnerMs = 60_000
 /** The fewest voters that tolerate one failure. */
 const minVoters = 3
 
 export class MembershipManager {
   #host: MembershipManagerHost
-  #heard = new Map<ReplicaId, RegistrySighting>()
+  #replicas = new Map<ReplicaId, RegistrySighting>()
   #isChanging = false
 
   constructor (host: MembershipManagerHost) { this.#host = host }
 
-  /** Records a sign of life of a replica. */
-  noteHeard (replica: ReplicaId, zone: string): void {
-    this.#heard.set(replica, { zone, lastHeardAt: this.#host.now() })
+  /** Records that a message from a replica was received. */
+  noteMessage (replica: ReplicaId, zone: string): void {
+    this.#replicas.set(replica, { zone, lastHeardAt: this.#host.now() })
   }
 
-  /** Removes the replicas that have been silent for `forgetMs`; returns them. */
-  forgetSilent (): ReplicaId[] {
+  /** Removes the replicas that have been silent for `dropLearnerMs`; returns them. */
+  dropExpired (): ReplicaId[] {
     const now = this.#host.now()
-    const forgotten: ReplicaId[] = []
-    for (const [replica, { lastHeardAt }] of this.#heard) {
-      if (now - lastHeardAt < forgetMs) continue
-      this.#heard.delete(replica)
-      forgotten.push(replica)
+    const expired: ReplicaId[] = []
+    for (const [replica, { lastHeardAt }] of this.#replicas) {
+      if (now - lastHeardAt < dropLearnerMs) continue
+      this.#replicas.delete(replica)
+      expired.push(replica)
     }
-    return forgotten
+    return expired
   }
 
   /** Makes the next membership change that is needed, where this box leads and none is in progress. */
   async reconcile (keeperLog: KeeperLog): Promise<void> {
     const { replica } = keeperLog
     if (replica?.isLeader !== true || this.#isChanging || !replica.node.hasCommittedMembers) return
-    const sights = this.#listSightings(keeperLog.id, replica.node.matches)
-    const next = planMembers({ members: replica.members, self: replica.id, commit: replica.node.commitIndex, observations: sights }, this.#target)
+    const observations = this.#listObservations(keeperLog.id, replica.node.matches)
+    const next = planMembers({ members: replica.members, self: replica.id, commit: replica.node.commitIndex, observations }, this.#target)
     if (next === null) return
     this.#isChanging = true
     const outcome = await replica.changeMembers(next)
@@ -66,13 +66,13 @@
 
   get #target (): MembershipTarget {
     const { faults } = this.#host
-    return { voters: Math.max(minVoters, 2 * faults + 1), maxPerZone: Math.max(1, faults), replaceVoterMs: replaceMs, dropLearnerMs: forgetMs }
+    return { voters: Math.max(minVoters, 2 * faults + 1), maxPerZone: Math.max(1, faults), replaceVoterMs, dropLearnerMs }
   }
 
-  #listSightings (self: ReplicaId, matches: ReadonlyMap<ReplicaId, number>): KeeperObservation[] {
+  #listObservations (self: ReplicaId, matches: ReadonlyMap<ReplicaId, number>): KeeperObservation[] {
     const now = this.#host.now()
-    const sights: KeeperObservation[] = [{ replica: self, zone: this.#host.zone, silentMs: 0, match: matches.get(self) ?? 0 }]
-    for (const [replica, { zone, lastHeardAt }] of this.#heard) sights.push({ replica, zone, silentMs: now - lastHeardAt, match: matches.get(replica) ?? 0 })
-    return sights
+    const observations: KeeperObservation[] = [{ replica: self, zone: this.#host.zone, silentMs: 0, match: matches.get(self) ?? 0 }]
+    for (const [replica, { zone, lastHeardAt }] of this.#replicas) observations.push({ replica, zone, silentMs: now - lastHeardAt, match: matches.get(replica) ?? 0 })
+    return observations
   }
 }
--- a/src/registry/operator-server.ts
+++ b/src/registry/operator-server.ts
@@ -116,9 +116,9 @@
     const mistakes = findDocumentMistakes(document)
     if (mistakes.length > 0) throw new DocumentError(mistakes)
     const startedAt = performance.now()
-    const end = await this.#host.put({ version: document.version, text })
-    this.#host.log.info('document-put', { version: document.version, end, routes: document.routes.length, ms: Math.round(performance.now() - startedAt) })
-    switch (end) {
+    const outcome = await this.#host.put({ version: document.version, text })
+    this.#host.log.info('document-put', { version: document.version, end: outcome, routes: document.routes.length, ms: Math.round(performance.now() - startedAt) })
+    switch (outcome) {
       case 'taken': return { status: 200, body: '{}' }
       case 'held': return { status: 200, body: '{}' }
       case 'unknown': return { status: 503, body: 'the document may or may not have been committed; send it again' }
--- a/src/registry/permit-server.ts
+++ b/src/registry/permit-server.ts
@@ -43,9 +43,9 @@
   /** Called when a gateway connects. */
   noteConnected (gateway: BoxId): void { this.#silentSince.delete(gateway) }
 
-  /** Called when a gateway's link closes; `wasSilent`: for lack of heartbeats, so that the gateway may still be running. */
-  noteDisconnected (gateway: BoxId, wasSilent: boolean): void {
-    if (wasSilent) this.#silentSince.set(gateway, this.#host.now())
+  /** Called when a gateway's link closes; `hasTimedOut`: for lack of heartbeats, so that the gateway may still be running. */
+  noteDisconnected (gateway: BoxId, hasTimedOut: boolean): void {
+    if (hasTimedOut) this.#silentSince.set(gateway, this.#host.now())
   }
 
   /** Answers a gateway's request for permits to a rate-limited endpoint. */
--- a/src/registry/registry-box.ts
+++ b/src/registry/registry-box.ts
@@ -169,7 +169,7 @@
       log: this.#dependencies.log,
       now,
       countEndpoints: service => this.#endpoints.records.filter(record => record.service === service && record.stage === 'ready').length,
-      broadcast: news => this.#broadcastToAll({ type: 'crashes', news }),
+      broadcast: update => this.#broadcastToAll({ type: 'crashes', news: update }),
       save: entries => this.#saved.saveQuarantine(entries)
     })
   }
@@ -248,7 +248,7 @@
 
   #handleRegistryHello (message: Extract<RouteMessage, { type: 'registry-hello' }>): void {
     const host = getKeeperName(message.replica)
-    this.#membership.noteHeard(message.replica, message.zone)
+    this.#membership.noteMessage(message.replica, message.zone)
     this.#hosts.add(host)
     for (const other of message.registries) this.#hosts.add(other)
   }
@@ -269,7 +269,7 @@
   #broadcastState (): void {
     this.#endpoints.tick()
     this.#gateways.broadcast(this.#composeBoxes())
-    for (const replica of this.#membership.forgetSilent()) this.#hosts.remove(getKeeperName(replica))
+    for (const replica of this.#membership.dropExpired()) this.#hosts.remove(getKeeperName(replica))
     this.#saved.savePrompts(this.#loadHub.prompts)
   }
 
--- a/src/registry/saved-state.ts
+++ b/src/registry/saved-state.ts
@@ -32,10 +32,10 @@
 
   saveQuarantine (entries: readonly QuarantineEntry[]): void { void this.#quarantine.save(entries) }
 
-  /** Adds the saved prompts to the book. */
-  async loadPrompts (book: PromptIndex): Promise<void> {
-    book.note(await this.#prompts.load())
-    this.#savedPromptsVersion = book.version
+  /** Adds the saved prompts to the index. */
+  async loadPrompts (index: PromptIndex): Promise<void> {
+    index.note(await this.#prompts.load())
+    this.#savedPromptsVersion = index.version
   }
 
   /** Saves the prompts where they have changed. */
--- a/src/registry/usage-reporter.ts
+++ b/src/registry/usage-reporter.ts
@@ -42,7 +42,7 @@
 
 export class UsageReporter {
   #host: UsageReporterHost
-  #book = new UsageAggregator()
+  #aggregator = new UsageAggregator()
   /** The window in which this box first held the duty: the first one reported where none has been settled yet. */
   #firstWindow: UsageWindow | null = null
   #isSettling = false
@@ -55,16 +55,16 @@
   }
 
   merge (reports: readonly UsageUpdate[]): void {
-    for (const report of reports) this.#book.note(report, this.#host.now())
+    for (const report of reports) this.#aggregator.note(report, this.#host.now())
   }
 
   /** The reports for the leader: those that changed since the last call, or all. */
-  takeUnsent (all: boolean): UsageUpdate[] { return this.#book.takeUpdates(all) }
+  takeUnsent (all: boolean): UsageUpdate[] { return this.#aggregator.takeUpdates(all) }
 
   /** Drops windows that are settled or can no longer be reported. */
   prune (): void {
     const settled = this.#host.ledger.newest ?? -1
-    this.#book.prune(Math.max(settled + 1, this.#currentWindow - maxBackfilledWindows), this.#host.now())
+    this.#aggregator.prune(Math.max(settled + 1, this.#currentWindow - maxBackfilledWindows), this.#host.now())
   }
 
   /** Settles and reports the windows that are due. Only the lease holder calls this, a few times a second. */
@@ -82,10 +82,10 @@
     const end = (window + 1) * windowMs
     const sinceMs = this.#host.readTimeOfDay() - end
     if (sinceMs < settleDelayMs) return
-    const behind = this.#book.countBehind(end, this.#host.now() - sinceMs - windowMs - inactiveMs)
+    const behind = this.#aggregator.countBehind(end, this.#host.now() - sinceMs - windowMs - inactiveMs)
     if (behind > 0 && sinceMs < reportDeadlineMs * waitFraction) return
     this.#isSettling = true
-    const counts = this.#book.sum(window)
+    const counts = this.#aggregator.sum(window)
     const result = await this.#host.propose({ type: 'settle', window, counts })
     if (result?.type !== 'settled') return this.#host.log.warn('usage-not-settled', { window, end: result?.type ?? 'unknown' })
     this.#host.log.info('usage-settled', { window, requests: countRequests(result.settled.counts), workspaces: counts.length, behind, sinceMs: Math.round(sinceMs) })
--- a/src/standin/standin-endpoint.ts
+++ b/src/standin/standin-endpoint.ts
@@ -36,7 +36,7 @@
   /** Likewise, but resets the connection halfway through the body. */
   | { readonly type: 'unframed-reset' }
 
-/** How the endpoint crashes on a request whose body begins with `crashMark`. */
+/** How the endpoint crashes on a request whose body begins with `crashBodyPrefix`. */
 export interface CrashShape {
   /** From the start of the run until the crash, ms. */
   readonly afterMs: number
@@ -119,9 +119,9 @@
   crash: CrashShape | null = null
   /** Bodies of the requests that crashed it, in order. */
   readonly crashBodies: string[] = []
-  /** Time of each crash in `ends`, on this process's monotonic clock, ms. */
+  /** Time of each crash in `crashBodies`, on this process's monotonic clock, ms. */
   readonly crashedAt: number[] = []
-  /** Time from `noteKnown` to the next run after each restart, ms. */
+  /** Time from `noteRegistered` to the next run after each restart, ms. */
   readonly recoveryMs: number[] = []
   /** Called when it crashes. */
   noteCrash: () => void = () => {}
@@ -132,7 +132,7 @@
   #host = ''
   #sockets = new Set<Socket>()
   #isDown = false
-  /** Time of the last `noteKnown`; null once a request has run since. */
+  /** Time of the last `noteRegistered`; null once a request has run since. */
   #registeredAt: number | null = null
   #isClosed = false
   #engine: PacedEngine | null
--- a/src/standin/standin-platform.ts
+++ b/src/standin/standin-platform.ts
@@ -1,7 +1,7 @@
 /**
  * A stand-in for the platform underneath. It accepts usage reports and orders of
  * endpoints without checking fencing tokens, records every call, and injects
- * faults. `findBreaches` checks the recorded calls for violations of fencing.
+ * faults. `findFencingViolations` checks the recorded calls for violations of fencing.
  */
 import { createServer } from 'node:http'
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
--- a/test/crashing-requests.test.ts
+++ b/test/crashing-requests.test.ts
@@ -29,7 +29,7 @@
 after(() => deployment.stop())
 
 function countCrashes (body: string): number {
-  return deployment.endpoints.flatMap(endpoint => endpoint.crashBodies).filter(ended => ended === body).length
+  return deployment.endpoints.flatMap(endpoint => endpoint.crashBodies).filter(crashBody => crashBody === body).length
 }
 
 async function awaitEndpoints (): Promise<void> { await sleep(2 * downMs) }
@@ -54,17 +54,17 @@
 ]
 
 test('a request that crashes endpoints crashes few of them, and is then refused as not run by every gateway', async () => {
-  const ended: string[] = []
+  const observed: string[] = []
   for (const { name, path } of kinds) {
     const body = `${crashBodyPrefix}: ${name}`
     const answers = await repeat(path, body, 12)
-    ended.push(`one that ${name}: ${countCrashes(body) <= maxCrashes ? 'few' : countCrashes(body)}`)
+    observed.push(`one that ${name}: ${countCrashes(body) <= maxCrashes ? 'few' : countCrashes(body)}`)
     for (const { status, headers, body: text } of answers.slice(-gateways)) {
-      ended.push(status === 503 && Number(headers['retry-after']) > 0 && text.includes('not-run') ? 'refused' : `answered ${status}`)
+      observed.push(status === 503 && Number(headers['retry-after']) > 0 && text.includes('not-run') ? 'refused' : `answered ${status}`)
     }
     await awaitEndpoints()
   }
-  assert.deepEqual(ended, kinds.flatMap(({ name }) => [`one that ${name}: few`, ...Array.from({ length: gateways }, () => 'refused')]))
+  assert.deepEqual(observed, kinds.flatMap(({ name }) => [`one that ${name}: few`, ...Array.from({ length: gateways }, () => 'refused')]))
 })
 
 test('a harmful request seen at one gateway crashes few more endpoints when it arrives at all gateways at once', async () => {
@@ -121,7 +121,7 @@
 test('a request in quarantine is refused at once by a restarted gateway, also after all registries have restarted from their disks', async () => {
   const body = `${crashBodyPrefix}: before the boxes were gone`
   await quarantine(body)
-  const ended = countCrashes(body)
+  const crashesBefore = countCrashes(body)
   deployment.gateways[0].kill()
   await deployment.startGateway(0)
   await waitFor(async () => (await deployment.ask('/public/up', { body: 'x', gateway: 0, keyed: false })).status === 200, 'the gateway serves')
@@ -134,7 +134,7 @@
   assert.equal((await deployment.ask('/again/q', { body, gateway: 0 })).status, 503)
   for (let i = 1; i < gateways; i++) await deployment.startGateway(i)
   await waitFor(() => deployment.gateways.every(({ table }) => table !== null), 'all gateways have the document')
-  assert.equal(countCrashes(body), ended)
+  assert.equal(countCrashes(body), crashesBefore)
 })
 
 test('a registry that restarts without its disk learns of the quarantine from the others', async () => {
@@ -149,7 +149,7 @@
 test('an operator can list a quarantine and lift it; the request is then tried, and refused again after another crash', async () => {
   const body = `${crashBodyPrefix}: until an operator lifts it`
   const fingerprint = await quarantine(body)
-  const ended = countCrashes(body)
+  const crashesBefore = countCrashes(body)
   const [entry] = (await listQuarantine()).filter(one => one.fingerprint === fingerprint)
   assert.deepEqual([entry.state, entry.ends >= 3], ['refused', true])
   assert.ok(deployment.lines.some(line => line.includes('event=exchange') && line.includes('outcome=quarantined') && line.includes(fingerprint)))
@@ -159,7 +159,7 @@
   await waitFor(async () => (await deployment.ask('/again/q', { body })).status === 502, 'it is sent again')
   await awaitEndpoints()
   await repeat('/again/q', body, 6)
-  assert.ok(countCrashes(body) - ended <= maxCrashes, `${countCrashes(body) - ended} ended`)
+  assert.ok(countCrashes(body) - crashesBefore <= maxCrashes, `${countCrashes(body) - crashesBefore} ended`)
   assert.equal((await deployment.ask('/again/q', { body })).status, 503)
   await awaitEndpoints()
 })
--- a/test/duty-client.test.ts
+++ b/test/duty-client.test.ts
@@ -25,8 +25,8 @@
     const platform = new StandinPlatform()
     platform.fault = fault
     const client = new DutyClient({ host, port: await platform.listen(host) }, 200)
-    const end = await client.call(() => call)
-    assert.equal(end.type, isOutcomeKnown ? 'answered' : 'failed')
+    const result = await client.call(() => call)
+    assert.equal(result.type, isOutcomeKnown ? 'answered' : 'failed')
     assert.equal(client.lastUnknownOutcomeAt === -Infinity, isOutcomeKnown)
     assert.equal(client.openCount, 0)
     platform.close()
--- a/test/endpoint-restarts.test.ts
+++ b/test/endpoint-restarts.test.ts
@@ -73,10 +73,10 @@
 })
 
 test('registries forget the prompts that an earlier incarnation held', () => {
-  const book = new PromptIndex()
-  book.note([[brandId('e1'), [['shared', 100]], true], [brandId('e2'), [['shared', 100]], true]])
-  const { version } = book
-  book.forget(brandId('e1'))
-  assert.deepEqual(book.prompts.map(([endpoint]) => endpoint), ['e2'])
-  assert.ok(book.version > version)
+  const index = new PromptIndex()
+  index.note([[brandId('e1'), [['shared', 100]], true], [brandId('e2'), [['shared', 100]], true]])
+  const { version } = index
+  index.forget(brandId('e1'))
+  assert.deepEqual(index.prompts.map(([endpoint]) => endpoint), ['e2'])
+  assert.ok(index.version > version)
 })
--- a/test/leases.test.ts
+++ b/test/leases.test.ts
@@ -14,12 +14,12 @@
 const readBothClocks = (ms: number): ClockReading => ({ monotonic: ms, wall: ms })
 
 /** A holder that requested the lease at 1,000 ms and received the grant at 1,400 ms. */
-function createGrantedHolder (book = new LeaseTable()): LeaseHolder {
+function createGrantedHolder (table = new LeaseTable()): LeaseHolder {
   const holder = new LeaseHolder('duty', 'a', timing, readBothClocks(0))
   const command = holder.decide(readBothClocks(1000), true)
   assert.equal(command?.type, 'claim')
-  const result = book.apply(command as LeaseCommand)
-  holder.observe(book.find('duty'), readBothClocks(1400))
+  const result = table.apply(command as LeaseCommand)
+  holder.observe(table.find('duty'), readBothClocks(1400))
   holder.noteResult(result)
   return holder
 }
@@ -40,59 +40,59 @@
 }
 
 test('another box claims only after the mark was unchanged for long enough on its monotonic clock, and gets a higher fencing token', () => {
-  const book = new LeaseTable()
-  createGrantedHolder(book)
+  const table = new LeaseTable()
+  createGrantedHolder(table)
   const other = new LeaseHolder('duty', 'b', timing, readBothClocks(0))
-  other.observe(book.find('duty'), readBothClocks(1410))
+  other.observe(table.find('duty'), readBothClocks(1410))
   assert.equal(other.decide({ monotonic: 1410 + timing.waitMs - 1, wall: 99_999 }, true), null)
   const claim = other.decide(readBothClocks(1410 + timing.waitMs), true)
   assert.equal(claim?.type, 'claim')
-  other.noteResult(book.apply(claim as LeaseCommand))
+  other.noteResult(table.apply(claim as LeaseCommand))
   assert.equal(other.findFence(readBothClocks(1420 + timing.waitMs), 0), 2)
   assert.ok(timing.waitMs > timing.holdMs)
 })
 
 test('a claim that a renewal precedes is refused', () => {
-  const book = new LeaseTable()
-  const first = createGrantedHolder(book)
-  const seen = book.find('duty')?.mark ?? 0
+  const table = new LeaseTable()
+  const first = createGrantedHolder(table)
+  const seen = table.find('duty')?.mark ?? 0
   const renewal = first.decide(readBothClocks(1000 + timing.renewMs), true)
-  first.noteResult(book.apply(renewal as LeaseCommand))
-  assert.equal(book.apply({ type: 'claim', duty: 'duty', holder: 'b', seen }).type, 'refused')
-  assert.equal(book.find('duty')?.holder, 'a')
+  first.noteResult(table.apply(renewal as LeaseCommand))
+  assert.equal(table.apply({ type: 'claim', duty: 'duty', holder: 'b', seen }).type, 'refused')
+  assert.equal(table.find('duty')?.holder, 'a')
 })
 
 test('a released lease can be claimed at once by another box, but not by a recent former holder', () => {
-  const book = new LeaseTable()
-  const first = createGrantedHolder(book)
-  book.apply(first.release() as LeaseCommand)
+  const table = new LeaseTable()
+  const first = createGrantedHolder(table)
+  table.apply(first.release() as LeaseCommand)
   assert.equal(first.findFence(readBothClocks(1500), 0), null)
   const second = new LeaseHolder('duty', 'b', timing, readBothClocks(0))
-  second.observe(book.find('duty'), readBothClocks(1500))
-  second.noteResult(book.apply(second.decide(readBothClocks(1501), true) as LeaseCommand))
+  second.observe(table.find('duty'), readBothClocks(1500))
+  second.noteResult(table.apply(second.decide(readBothClocks(1501), true) as LeaseCommand))
   assert.equal(second.findFence(readBothClocks(1510), 0), 2)
-  book.apply(second.release() as LeaseCommand)
+  table.apply(second.release() as LeaseCommand)
   // The first box has restarted and knows only the state of the log.
   const restarted = new LeaseHolder('duty', 'a', timing, readBothClocks(1600))
-  restarted.observe(book.find('duty'), readBothClocks(1650))
+  restarted.observe(table.find('duty'), readBothClocks(1650))
   assert.equal(restarted.decide(readBothClocks(1600 + timing.cooldownMs - 1), true), null)
   assert.equal(restarted.decide(readBothClocks(1600 + timing.cooldownMs), true)?.type, 'claim')
 })
 
 test('a restarted box does not resume the lease it held before', () => {
-  const book = new LeaseTable()
-  createGrantedHolder(book)
+  const table = new LeaseTable()
+  createGrantedHolder(table)
   const restarted = new LeaseHolder('duty', 'a', timing, readBothClocks(1500))
-  restarted.observe(book.find('duty'), readBothClocks(1500))
+  restarted.observe(table.find('duty'), readBothClocks(1500))
   assert.equal(restarted.findFence(readBothClocks(1500), 0), null)
   assert.equal(restarted.decide(readBothClocks(1600), true), null)
   assert.equal(restarted.decide(readBothClocks(1500 + timing.waitMs), true)?.type, 'claim')
 })
 
 test('fencing tokens keep increasing across snapshots', () => {
-  const book = new LeaseTable()
-  createGrantedHolder(book)
-  const restored = new LeaseTable(book.save())
+  const table = new LeaseTable()
+  createGrantedHolder(table)
+  const restored = new LeaseTable(table.save())
   assert.deepEqual(restored.apply({ type: 'claim', duty: 'duty', holder: 'b', seen: restored.find('duty')?.mark ?? 0 }), { type: 'granted', fence: 2 })
 })
 
--- a/test/load-datagrams.test.ts
+++ b/test/load-datagrams.test.ts
@@ -25,17 +25,17 @@
 const totals: LoadTotals = { ...load, demands: [{ ...demand, holders: 1 }], zones: [brandId<ZoneName>('zone-a')] }
 const notice: EndpointNotice = { endpoint, born: 12, stamp: 3, perSecond: 2.6, isLeaving: false }
 const gatewayReport = { box: brandId<BoxId>('gateway-1'), zone: brandId<ZoneName>('zone-a'), start: 5, number: 6, load, notices: [notice] }
-const news: LoadUpdate = { ...totals, isWhole: false, gone: [brandId<EndpointId>('e-2')], gaps: null }
-const hubReport = { hub: brandId<BoxId>('registry-1'), start: 5, number: 6, news, notices: [notice] }
+const update: LoadUpdate = { ...totals, isWhole: false, gone: [brandId<EndpointId>('e-2')], gaps: null }
+const hubReport = { hub: brandId<BoxId>('registry-1'), start: 5, number: 6, news: update, notices: [notice] }
 const totalsReport = { start: 5, number: 6, ownNumber: 4, intervalMs: 10 }
 
 test('load reports are decoded to what was encoded, and only by the decoder of their type', () => {
   const fromGateway = encodeGatewayReport(gatewayReport)
   const toHub = encodeHubReport(hubReport)
-  const toGateway = encodeTotalsReport(totalsReport, encodeLoadUpdate(news), encodeNotices([notice]))
+  const toGateway = encodeTotalsReport(totalsReport, encodeLoadUpdate(update), encodeNotices([notice]))
   assert.deepEqual([fromGateway, toHub, toGateway].map(decodeGatewayReport), [gatewayReport, null, null])
   assert.deepEqual([fromGateway, toHub, toGateway].map(decodeHubReport), [null, hubReport, null])
-  assert.deepEqual([fromGateway, toHub, toGateway].map(decodeTotalsReport), [null, null, { ...totalsReport, news, notices: [notice] }])
+  assert.deepEqual([fromGateway, toHub, toGateway].map(decodeTotalsReport), [null, null, { ...totalsReport, news: update, notices: [notice] }])
 })
 
 const invalidDatagrams: readonly { name: string, bytes: Uint8Array }[] = [
@@ -48,9 +48,9 @@
   { name: 'a sum with an invalid load', bytes: encodeValue([4, 'registry-1', 5, 6, encodeValue([true, [['e-1', 2]], [], [], [], [], []]), []]) },
   { name: 'notices that are not a list', bytes: encodeValue([5, 'gateway-1', 'zone-a', 5, 6, load, 7]) },
   { name: 'a notice without a start time', bytes: encodeValue([5, 'gateway-1', 'zone-a', 5, 6, load, [['e-1', null, 3, 2.6, false]]]) },
-  { name: 'a limit of 0', bytes: encodeValue([5, 'registry-1', 5, 6, encodeLoadUpdate(news), [['e-1', 12, 3, 0, false]]]) },
+  { name: 'a limit of 0', bytes: encodeValue([5, 'registry-1', 5, 6, encodeLoadUpdate(update), [['e-1', 12, 3, 0, false]]]) },
   { name: 'totals that are not valid CBOR', bytes: encodeTotalsReport(totalsReport, Buffer.from([0xff]), encodeNotices([])) },
-  { name: 'totals with notices that are not valid CBOR', bytes: encodeTotalsReport(totalsReport, encodeLoadUpdate(news), Buffer.from([0xff])) },
+  { name: 'totals with notices that are not valid CBOR', bytes: encodeTotalsReport(totalsReport, encodeLoadUpdate(update), Buffer.from([0xff])) },
   { name: 'totals without zones', bytes: encodeTotalsReport(totalsReport, encodeValue([true, [], [], [], [], [], null]), encodeNotices([])) }
 ]
 
--- a/test/loads.test.ts
+++ b/test/loads.test.ts
@@ -41,9 +41,9 @@
 })
 
 // Guards against counting the backlog of boxes that no longer report: after the registries' leader lost power, its gateways reported to another
-// hub, but their last reports to the old one counted for 1.5 s more. All boxes assumed 9,580 held tokens for 600 ms and refused 60 tags.
+// hub, but their last reports to the old one counted for 1.5 s more. All boxes assumed 9,580 queued tokens for 600 ms and refused 60 tags.
 // Likewise, the 18,214 unread tokens of a stopped gateway kept requests away from an engine with room for 1.4 s.
-const staleReportCases: readonly { readonly name: string, readonly report: (book: LoadTable, load: BoxLoad) => void }[] = [
+const staleReportCases: readonly { readonly name: string, readonly report: (table: LoadTable, load: BoxLoad) => void }[] = [
   { name: 'a box', report: (table, load) => table.note(brandId('a'), nameZone('zone-a'), load, 0) },
   {
     name: 'a hub',
--- a/test/log-size.test.ts
+++ b/test/log-size.test.ts
@@ -26,8 +26,8 @@
       await log.form(members)
       await waitFor(() => log.isLeader, 'a leader')
       for (let version = 1; version <= count; version++) {
-        const end = await log.propose({ part: 'routing', command: { type: 'put', document: { version, text: 'x'.repeat(size) } } })
-        assert.equal(end.type, 'applied')
+        const outcome = await log.propose({ part: 'routing', command: { type: 'put', document: { version, text: 'x'.repeat(size) } } })
+        assert.equal(outcome.type, 'applied')
       }
       const bytes = readdirSync(folder).reduce((sum, file) => sum + statSync(join(folder, file)).size, 0)
       assert.ok(bytes < maxBytes, `${bytes} bytes`)
--- a/test/member-plan.test.ts
+++ b/test/member-plan.test.ts
@@ -5,7 +5,7 @@
 
 const target = { voters: 3, maxPerZone: 1, replaceVoterMs: 2500, dropLearnerMs: 60_000 }
 
-function createSight (id: string, zone: string, silentMs = 0, match = 100): KeeperObservation {
+function createObservation (id: string, zone: string, silentMs = 0, match = 100): KeeperObservation {
   return { replica: id as ReplicaId, zone, silentMs, match }
 }
 
@@ -14,25 +14,25 @@
   return { voters: parseIds(voters), learners: parseIds(learners) }
 }
 
-const [a, b, c, d] = [createSight('a#1', 'za'), createSight('b#1', 'zb'), createSight('c#1', 'zc'), createSight('d#1', 'zd')]
+const [a, b, c, d] = [createObservation('a#1', 'za'), createObservation('b#1', 'zb'), createObservation('c#1', 'zc'), createObservation('d#1', 'zd')]
 
-const cases: readonly { name: string, members: Members, sights: readonly KeeperObservation[], next: Members | null }[] = [
-  { name: 'no change while all voters are reachable', members: parseMembers('a#1 b#1 c#1', 'd#1'), sights: [a, b, c, d], next: null },
-  { name: 'a new keeper is added as a learner', members: parseMembers('a#1 b#1 c#1'), sights: [a, b, c, d], next: parseMembers('a#1 b#1 c#1', 'd#1') },
-  { name: 'a caught-up learner is promoted if a voter is missing', members: parseMembers('a#1 b#1', 'd#1'), sights: [a, b, d], next: parseMembers('a#1 b#1 d#1') },
-  { name: 'a learner that lags behind is not promoted', members: parseMembers('a#1 b#1', 'd#1'), sights: [a, b, createSight('d#1', 'zd', 0, 3)], next: null },
-  { name: 'a keeper with a new disk replaces its old replica by a learner', members: parseMembers('a#1 b#1 c#1'), sights: [a, b, createSight('c#1', 'zc', 900), createSight('c#2', 'zc')], next: parseMembers('a#1 b#1', 'c#2') },
-  { name: 'the old replica of a new disk stays if removing it would leave no quorum', members: parseMembers('a#1 b#1 c#1'), sights: [a, createSight('b#1', 'zb', 3000), createSight('c#1', 'zc', 3000), createSight('c#2', 'zc')], next: parseMembers('a#1 b#1 c#1', 'c#2') },
-  { name: 'a spare is promoted before a silent voter is demoted', members: parseMembers('a#1 b#1 c#1', 'd#1'), sights: [a, b, createSight('c#1', 'zc', 3000), d], next: parseMembers('a#1 b#1 c#1 d#1') },
-  { name: 'the silent voter is demoted once there is a surplus', members: parseMembers('a#1 b#1 c#1 d#1'), sights: [a, b, createSight('c#1', 'zc', 3300), d], next: parseMembers('a#1 b#1 d#1', 'c#1') },
-  { name: 'a short silence causes no change', members: parseMembers('a#1 b#1 c#1', 'd#1'), sights: [a, b, createSight('c#1', 'zc', 2000), d], next: null },
-  { name: 'a silent voter stays if there is no spare', members: parseMembers('a#1 b#1 c#1'), sights: [a, b, createSight('c#1', 'zc', 9000)], next: null },
-  { name: 'a spare of another zone is promoted if a zone has too many voters', members: parseMembers('a#1 b#1 e#1', 'd#1'), sights: [a, b, createSight('e#1', 'zb'), d], next: parseMembers('a#1 b#1 e#1 d#1') },
-  { name: 'a voter of the crowded zone is demoted', members: parseMembers('a#1 b#1 e#1 d#1'), sights: [a, b, createSight('e#1', 'zb'), d], next: parseMembers('a#1 b#1 d#1', 'e#1') },
-  { name: 'a learner that has been silent for long is removed', members: parseMembers('a#1 b#1 c#1', 'd#1'), sights: [a, b, c, createSight('d#1', 'zd', 70_000)], next: parseMembers('a#1 b#1 c#1') }
+const cases: readonly { name: string, members: Members, observations: readonly KeeperObservation[], next: Members | null }[] = [
+  { name: 'no change while all voters are reachable', members: parseMembers('a#1 b#1 c#1', 'd#1'), observations: [a, b, c, d], next: null },
+  { name: 'a new keeper is added as a learner', members: parseMembers('a#1 b#1 c#1'), observations: [a, b, c, d], next: parseMembers('a#1 b#1 c#1', 'd#1') },
+  { name: 'a caught-up learner is promoted if a voter is missing', members: parseMembers('a#1 b#1', 'd#1'), observations: [a, b, d], next: parseMembers('a#1 b#1 d#1') },
+  { name: 'a learner that lags behind is not promoted', members: parseMembers('a#1 b#1', 'd#1'), observations: [a, b, createObservation('d#1', 'zd', 0, 3)], next: null },
+  { name: 'a keeper with a new disk replaces its old replica by a learner', members: parseMembers('a#1 b#1 c#1'), observations: [a, b, createObservation('c#1', 'zc', 900), createObservation('c#2', 'zc')], next: parseMembers('a#1 b#1', 'c#2') },
+  { name: 'the old replica of a new disk stays if removing it would leave no quorum', members: parseMembers('a#1 b#1 c#1'), observations: [a, createObservation('b#1', 'zb', 3000), createObservation('c#1', 'zc', 3000), createObservation('c#2', 'zc')], next: parseMembers('a#1 b#1 c#1', 'c#2') },
+  { name: 'a spare is promoted before a silent voter is demoted', members: parseMembers('a#1 b#1 c#1', 'd#1'), observations: [a, b, createObservation('c#1', 'zc', 3000), d], next: parseMembers('a#1 b#1 c#1 d#1') },
+  { name: 'the silent voter is demoted once there is a surplus', members: parseMembers('a#1 b#1 c#1 d#1'), observations: [a, b, createObservation('c#1', 'zc', 3300), d], next: parseMembers('a#1 b#1 d#1', 'c#1') },
+  { name: 'a short silence causes no change', members: parseMembers('a#1 b#1 c#1', 'd#1'), observations: [a, b, createObservation('c#1', 'zc', 2000), d], next: null },
+  { name: 'a silent voter stays if there is no spare', members: parseMembers('a#1 b#1 c#1'), observations: [a, b, createObservation('c#1', 'zc', 9000)], next: null },
+  { name: 'a spare of another zone is promoted if a zone has too many voters', members: parseMembers('a#1 b#1 e#1', 'd#1'), observations: [a, b, createObservation('e#1', 'zb'), d], next: parseMembers('a#1 b#1 e#1 d#1') },
+  { name: 'a voter of the crowded zone is demoted', members: parseMembers('a#1 b#1 e#1 d#1'), observations: [a, b, createObservation('e#1', 'zb'), d], next: parseMembers('a#1 b#1 d#1', 'e#1') },
+  { name: 'a learner that has been silent for long is removed', members: parseMembers('a#1 b#1 c#1', 'd#1'), observations: [a, b, c, createObservation('d#1', 'zd', 70_000)], next: parseMembers('a#1 b#1 c#1') }
 ]
 
-for (const { name, members: present, sights, next } of cases) {
+for (const { name, members: present, observations: sights, next } of cases) {
   test(`members: ${name}`, () => {
     assert.deepEqual(planMembers({ members: present, self: 'a#1' as ReplicaId, commit: 100, observations: sights }, target), next)
   })
--- a/test/registry-follower.test.ts
+++ b/test/registry-follower.test.ts
@@ -62,7 +62,7 @@
   }
 
   /** `others`: registries that are never reachable. */
-  static async run (scenario: (stage: FakeRegistry) => Promise<void>, others: readonly string[] = [], now = () => performance.now()): Promise<void> {
+  static async run (scenario: (registry: FakeRegistry) => Promise<void>, others: readonly string[] = [], now = () => performance.now()): Promise<void> {
     const registry = new FakeRegistry(now)
     await registry.#links.listen(host, linkPort)
     registry.#follower.start([`${host}:1`, ...others])
--- a/test/routes-path.test.ts
+++ b/test/routes-path.test.ts
@@ -23,7 +23,7 @@
   return Array.from({ length: to - from + 1 }, (_, i) => composeEvent(path, from + i)).join('')
 }
 
-// Sends requests until both endpoints are trusted again, each after an answer of its own.
+// Sends requests until both endpoints are considered healthy again, each after an answer of its own.
 async function settle (): Promise<void> {
   const isGood = (endpoint: StandinEndpoint): boolean => deployment.gateways[0].fleet.findView(endpoint.id as never)?.health.findState(performance.now()) === 'good'
   await waitFor(async () => (await deployment.ask('/again/x', { method: 'GET', body: '' })).status === 200 && isGood(first) && isGood(second), 'both endpoints trusted')
--- a/test/support/limit-model.ts
+++ b/test/support/limit-model.ts
@@ -84,7 +84,7 @@
   readonly index: number
   readonly fleet: Fleet
   readonly limits: EndpointLimits
-  readonly held: Set<ModelSearcher>
+  readonly queued: Set<ModelSearcher>
   readonly host: ExchangeHost<ModelSearcher>
 }
 
@@ -96,8 +96,8 @@
   #send: (view: EndpointView) => void
   #refuse: (retryAfterMs: number | null) => void
 
-  constructor (host: ExchangeHost<ModelSearcher>, order: AdmittedRequest, send: (view: EndpointView) => void, refuse: (retryAfterMs: number | null) => void) {
-    this.request = order
+  constructor (host: ExchangeHost<ModelSearcher>, request: AdmittedRequest, send: (view: EndpointView) => void, refuse: (retryAfterMs: number | null) => void) {
+    this.request = request
     this.#send = send
     this.#refuse = refuse
     this.search = new EndpointSearch(host, this)
@@ -163,37 +163,37 @@
     const fleet = new Fleet(this.#records[0].zone, () => true, id => notices.find(id))
     fleet.configure([{ ...engineService, engine: null }])
     fleet.applyRecords(this.#records)
-    const held = new Set<ModelSearcher>()
+    const queued = new Set<ModelSearcher>()
     const limits = new EndpointLimits({
       log,
       metrics: new Metrics(null, `box-${index}`),
       fleet,
       now,
       countBoxes: () => this.#shape.boxes,
-      countHeld: (_service, priority) => [...held].filter(({ request: order }) => order.work.priority <= priority).length,
+      countQueued: (_service, priority) => [...queued].filter(({ request }) => request.work.priority <= priority).length,
       noteNoticeChange: () => this.#queue.schedule(noticeDelayMs / 2, () => this.#sendNotices(index)),
       askIssuer: message => this.#requestPermits(index, message),
       setIssuer: () => {}
     }, notices)
-    const guard = { decide: () => ({ type: 'free' }), composeNarrowing: () => null } as unknown as ExchangeHost<ModelSearcher>['guard']
+    const guard = { decide: () => ({ type: 'free' }), composeFilter: () => null } as unknown as ExchangeHost<ModelSearcher>['guard']
     const host = {
       fleet,
       limits,
       guard,
       now,
       draw: this.#random,
-      enqueue: (one: ModelSearcher) => held.add(one),
-      dequeue: (one: ModelSearcher) => held.delete(one)
+      enqueue: (one: ModelSearcher) => queued.add(one),
+      dequeue: (one: ModelSearcher) => queued.delete(one)
     } as unknown as ExchangeHost<ModelSearcher>
-    return { index, fleet, limits, held, host }
+    return { index, fleet, limits, queued, host }
   }
 
-  // Periodic work of a gateway: checks its pending calls and retries held requests, most urgent first.
+  // Periodic work of a gateway: checks its pending calls and retries queued requests, most urgent first.
   #poll (box: ModelBox): void {
     this.#queue.schedule(pollMs, () => {
       if (!this.#isFrozen(box.index)) {
         box.limits.check(this.#now - sweepIntervalMs / 2)
-        for (const one of [...box.held].sort((a, b) => a.request.work.priority - b.request.work.priority)) one.search.retry()
+        for (const one of [...box.queued].sort((a, b) => a.request.work.priority - b.request.work.priority)) one.search.retry()
       }
       this.#poll(box)
     })
@@ -211,10 +211,10 @@
     if (this.#isFrozen(index)) return void this.#queue.schedule(pollMs, () => this.#arrive(index, priority, isRetry))
     const box = this.#boxes[index]
     const arrivedAt = this.#now
-    const order = { work: createWork({ priority, targetMs }), service: desk, arrivedAt, deadlineAt: arrivedAt + 5 * targetMs } as unknown as AdmittedRequest
-    box.limits.noteArrival(order.work, arrivedAt)
+    const request = { work: createWork({ priority, targetMs }), service: desk, arrivedAt, deadlineAt: arrivedAt + 5 * targetMs } as unknown as AdmittedRequest
+    box.limits.noteArrival(request.work, arrivedAt)
     const addOutcome = (waitMs: number | null, retryAfterMs: number | null): void => { this.outcomes.push({ arrivedAt, priority, box: index, waitMs, retryAfterMs, isRetry }) }
-    const searcher = new ModelSearcher(box.host, order, view => {
+    const searcher = new ModelSearcher(box.host, request, view => {
       addOutcome(this.#now - arrivedAt, null)
       this.#serve(box, view, priority)
     }, retryAfterMs => {
--- a/test/support/pool-model.ts
+++ b/test/support/pool-model.ts
@@ -39,7 +39,7 @@
   readonly kind: ModelKind
   readonly tokens: number
   readonly at: number
-  /** Time at which it was refused, or its caller disconnected while it was held; else null. */
+  /** Time at which it was refused, or its caller disconnected while it was queued; else null. */
   deniedAt: number | null
   /** Time at which it was sent to an engine. */
   sentAt: number | null
@@ -48,7 +48,7 @@
 
 interface ModelBox {
   readonly fleet: Fleet
-  held: ModelRequest[]
+  queued: ModelRequest[]
 }
 
 interface ModelEngine {
@@ -65,7 +65,7 @@
 }
 
 const tickMs = 5
-/** Interval at which boxes retry held requests, the same as in a gateway. */
+/** Interval at which boxes retry queued requests, the same as in a gateway. */
 const pollMs = 15
 /** Duration of a stream after its first event. */
 const streamMs = 400
@@ -90,7 +90,7 @@
       const fleet = new Fleet(brandId<ZoneName>('zone-a'))
       fleet.configure([composeService()])
       fleet.applyRecords(records)
-      return { fleet, held: [] }
+      return { fleet, queued: [] }
     })
   }
 
@@ -125,21 +125,21 @@
   }
 
   #hold (box: ModelBox, request: ModelRequest): void {
-    box.held.push(request)
+    box.queued.push(request)
     box.fleet.noteHeld(composeWork(request), true)
   }
 
   #pollHeld (box: ModelBox, at: number): void {
-    for (const request of box.held) {
+    for (const request of box.queued) {
       if (at - request.at < request.kind.callerTimeoutMs) continue
       request.deniedAt = at
       box.fleet.noteHeld(composeWork(request), false)
     }
-    box.held = box.held.filter(one => one.deniedAt === null)
-    const ordered = [...box.held].sort((a, b) => a.kind.level - b.kind.level || a.at - b.at)
+    box.queued = box.queued.filter(one => one.deniedAt === null)
+    const ordered = [...box.queued].sort((a, b) => a.kind.level - b.kind.level || a.at - b.at)
     for (const request of ordered) {
       if (!this.#send(box, request, at)) continue
-      box.held = box.held.filter(one => one !== request)
+      box.queued = box.queued.filter(one => one !== request)
       box.fleet.noteHeld(composeWork(request), false)
     }
   }
@@ -177,9 +177,9 @@
     const [sent] = this.#sentLoads
     if (at - sent.at < loadDelayMs) return
     this.#sentLoads.shift()
-    const book = new LoadTable()
-    sent.loads.forEach((load, i) => book.note(brandId(`box-${i}`), brandId('zone-a'), load, at))
-    const totals = book.sumOwn(at)
+    const table = new LoadTable()
+    sent.loads.forEach((load, i) => table.note(brandId(`box-${i}`), brandId('zone-a'), load, at))
+    const totals = table.sumOwn(at)
     this.#boxes.forEach(({ fleet }, i) => fleet.noteOthers(subtractOwn(totals, sent.loads[i]), at))
   }
 }
--- a/test/usage.test.ts
+++ b/test/usage.test.ts
@@ -34,18 +34,18 @@
 }
 
 test('changes are relayed once, complete sources no longer count as behind, and settled windows are dropped', () => {
-  const book = new UsageAggregator()
-  book.note(createUpdate('a', 7, 3, 8000), 100)
-  book.note(createUpdate('b', 7, 3, 9000), 100)
-  assert.equal(book.takeUpdates(false).length, 2)
-  assert.deepEqual(book.takeUpdates(false), [])
-  assert.equal(book.countBehind(8500, 0), 1)
-  assert.equal(book.countBehind(8500, 101), 0)
-  book.note({ source: 'a', through: 9000, windows: [] }, 200)
-  assert.deepEqual(book.takeUpdates(false), [{ source: 'a', through: 9000, windows: [] }])
-  assert.equal(book.countBehind(8500, 0), 0)
-  book.prune(8, 300)
-  assert.deepEqual(book.sum(7), [])
+  const aggregator = new UsageAggregator()
+  aggregator.note(createUpdate('a', 7, 3, 8000), 100)
+  aggregator.note(createUpdate('b', 7, 3, 9000), 100)
+  assert.equal(aggregator.takeUpdates(false).length, 2)
+  assert.deepEqual(aggregator.takeUpdates(false), [])
+  assert.equal(aggregator.countBehind(8500, 0), 1)
+  assert.equal(aggregator.countBehind(8500, 101), 0)
+  aggregator.note({ source: 'a', through: 9000, windows: [] }, 200)
+  assert.deepEqual(aggregator.takeUpdates(false), [{ source: 'a', through: 9000, windows: [] }])
+  assert.equal(aggregator.countBehind(8500, 0), 0)
+  aggregator.prune(8, 300)
+  assert.deepEqual(aggregator.sum(7), [])
 })
 
 const clockCases: readonly { name: string, wall: (steady: number) => number, at: number, expected: number }[] = [
