--- a/src/gateway/crash-guard.ts
+++ b/src/gateway/crash-guard.ts
@@ -56,7 +56,7 @@
  * 300 ms. Earlier failures had another cause; later ones belong to the next incarnation.
  */
 const crashWindowMs = 1000
-const freeRuling: SendDecision = { type: 'free' }
+const freeDecision: SendDecision = { type: 'free' }
 
 export class CrashGuard {
   #host: GuardHost
@@ -74,7 +74,7 @@
 
   /** Decides whether a request may be sent now, and where. */
   decide (request: AdmittedRequest): SendDecision {
-    if (this.#watch.isIdle) return freeRuling
+    if (this.#watch.isIdle) return freeDecision
     const fingerprint = identifyRequest(request)
     const at = this.#host.now()
     const listLabels = (): ReadonlySet<string> => new Set(this.#host.fleet.listUsable(request.service, at).map(({ record }) => labelSoftware(record)))
--- a/src/gateway/endpoint-limits.ts
+++ b/src/gateway/endpoint-limits.ts
@@ -28,7 +28,7 @@
 }
 
 /** Decision on a request that no endpoint accepts now: it waits, or the caller is to retry after `afterMs`. */
-export type ClosedRuling =
+export type ClosedDecision =
   | { readonly type: 'wait' }
   | { readonly type: 'return', readonly afterMs: number }
 
@@ -81,7 +81,7 @@
   check (now: number): void { this.#permitClient.check(now) }
 
   /** Decides on a request that no endpoint accepts at `at`: it waits if an endpoint is expected to accept it by `until`. */
-  decideClosed ({ service, priority }: RequestProfile, openAt: number, until: number, at: number): ClosedRuling {
+  decideClosed ({ service, priority }: RequestProfile, openAt: number, until: number, at: number): ClosedDecision {
     const availability = this.#findAvailability(service, openAt, at)
     const waitMs = this.#returns.estimateWait(availability, this.#host.countQueued(service, priority))
     if (at + waitMs <= until) return { type: 'wait' }
--- a/src/registry/membership-manager.ts
+++ b/src/registry/membership-manager.ts
@@ -15,7 +15,7 @@
   now (): number
 }
 
-interface RegistrySighting {
+interface RegistryContact {
   readonly zone: string
   readonly lastHeardAt: number
 }
@@ -29,7 +29,7 @@
 
 export class MembershipManager {
   #host: MembershipManagerHost
-  #replicas = new Map<ReplicaId, RegistrySighting>()
+  #replicas = new Map<ReplicaId, RegistryContact>()
   #isChanging = false
 
   constructor (host: MembershipManagerHost) { this.#host = host }
