--- a/examples/one-holder.ts
+++ b/examples/one-holder.ts
@@ -4,7 +4,7 @@
 const stepMs = 100
 const createReading = (ms: number): { monotonic: number, wall: number } => ({ monotonic: ms, wall: ms })
 // In a deployment, a replicated log drives this state machine.
-const book = new LeaseTable()
+const table = new LeaseTable()
 const timing = planLeaseTiming(3000)
 const boxes = ['box-1', 'box-2'].map(name => new LeaseHolder('reports', name, timing, createReading(0)))
 
@@ -12,9 +12,9 @@
   for (const box of boxes) {
     // The first box stops after 3 s.
     if (box.self === 'box-1' && ms > 3000) continue
-    box.observe(book.find('reports'), createReading(ms))
+    box.observe(table.find('reports'), createReading(ms))
     const command = box.decide(createReading(ms), true)
-    if (command !== null) box.noteResult(book.apply(command))
+    if (command !== null) box.noteResult(table.apply(command))
     const fence = box.findFence(createReading(ms), timing.callMs)
     if (fence !== null && ms % 1000 === 0) console.log(`${ms} ms: ${box.self} holds the lease with fencing token ${fence}`)
   }
